--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -115,7 +115,7 @@
             return;
         }
         if !self.in_contact() {
-            return self.carry_on(conn, "the state service can not be reached");
+            return self.relay_to_peer(conn, "the state service can not be reached");
         }
         if self.types.is_empty() {
             return self.come_back(conn, "the machine types are not known yet");
@@ -356,7 +356,7 @@
     fn give_up(&mut self, ask: &Ask, why: &str) {
         match ask.at_ms {
             Some(_) => self.come_back(ask.conn, why),
-            None => self.carry_on(ask.conn, why),
+            None => self.relay_to_peer(ask.conn, why),
         }
     }
 
@@ -466,7 +466,7 @@
     /// Puts a user among those who wait for a read.
     fn ask(&mut self, conn: ConnId, job: JobId, wish: Wish, spec: Option<Rc<JobSpec>>) {
         if !self.in_contact() || self.admission.asks.len() >= MOST_WAITING {
-            return self.carry_on(conn, "the state service can not be reached");
+            return self.relay_to_peer(conn, "the state service can not be reached");
         }
         self.admission.asks.push(Ask {
             conn,
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -35,7 +35,7 @@
     /// A block's record has changed.
     pub(crate) fn block_changed(&mut self, id: BlockId) {
         if let Some(block) = self.view.blocks.get(&id) {
-            self.reach.leased(self.now, id, block.version);
+            self.reachability.record_lease(self.now, id, block.version);
         }
         let mine = self.view.blocks.get(&id).filter(|b| {
             #[cfg(feature = "sabotage")]
@@ -62,7 +62,8 @@
         let held = Held { term, lost: 0 };
         self.held.insert(id, held);
         if let Some(block) = self.view.blocks.get(&id) {
-            self.reach.taken(self.now, id, &block.record.zone);
+            self.reachability
+                .block_acquired(self.now, id, &block.record.zone);
         }
         let names = self.view.in_block.get(&id).cloned().unwrap_or_default();
         for name in names {
@@ -87,7 +88,7 @@
         let names: Vec<_> = names.map(|(name, _)| name.clone()).collect();
         for name in names {
             self.machines.remove(&name);
-            self.touch(&name);
+            self.mark_changed(&name);
         }
         self.held.remove(&id);
     }
@@ -95,7 +96,7 @@
     /// A machine's record has come or gone.
     pub(crate) fn machine_changed(&mut self, name: &str) {
         self.follow_machine(name);
-        self.touch(name);
+        self.mark_changed(name);
         self.room_changed(name);
         // Also when the block is another controller's: a worker that waits for
         // its place has to be sent there at once, not when its report is late.
@@ -114,7 +115,7 @@
                     return;
                 }
                 let mut machine = Machine::new(record, term, self.now);
-                for image in self.images_heard(name) {
+                for image in self.last_known_images(name) {
                     let gb = self.image_size(&image);
                     let kind = self.types.get(&machine.record.kind);
                     machine.note_image(&image, gb, kind);
@@ -146,7 +147,9 @@
             Ok(report) => report,
             Err(e) => return self.refuse(conn, 400, &e.to_string()),
         };
-        let close = self.sockets.is_worker(self.now, conn, &report.machine);
+        let close = self
+            .sockets
+            .identify_worker(self.now, conn, &report.machine);
         self.close(close);
         self.known_report(conn, report);
     }
@@ -161,7 +164,7 @@
         };
         let block = record.block;
         let Some(held) = self.held.get(&block) else {
-            return self.stray(conn, report, block);
+            return self.handle_stray_report(conn, report, block);
         };
         let term = held.term;
         if report.token > term {
@@ -169,8 +172,9 @@
             return self.redirect(conn, None);
         }
         if !self.forwarding.is_forwarded(conn) {
-            self.reach.heard(self.now, block, &report.machine);
-            self.forwarding.reported_directly(&report.machine);
+            self.reachability
+                .record_report(self.now, block, &report.machine);
+            self.forwarding.record_direct_report(&report.machine);
         }
         let name = report.machine.clone();
         let (session, seq) = (report.session, report.seq);
@@ -288,7 +292,7 @@
                 self.to_order.insert(name.clone());
             }
         }
-        self.touch(&name);
+        self.mark_changed(&name);
         true
     }
 
@@ -562,6 +566,6 @@
             self.free(&task, Nowhere::LeaseOver { at }, Duration::ZERO);
         }
         self.find_lost(block);
-        self.touch(name);
+        self.mark_changed(name);
     }
 }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -19,7 +19,6 @@
     admission::{Admission, Ask},
     blocks::Held,
     call::{Answer, Call, CallId, ConnId, Method, Output, Reply, Request, Side, Target},
-    carry::Carry,
     cloud::CloudCall,
     due::Due,
     fleet::Fleet,
@@ -30,14 +29,15 @@
     invariants::Invariants,
     leader::Leader,
     machine::Machine,
-    peers::{Absent, Link, PeerState},
-    reach::Reach,
+    machine_status::OwnMachines,
+    peers::{NonMemberPeers, PeerLink, PeerState},
+    reachability::Reachability,
     recorder::{Busy, News},
     records::{BlockId, Key, Level},
-    seen::Own,
+    relay::Relay,
     slots::Slot,
     snapshot::SnapshotPart,
-    sockets::{Close, Lane, SocketId, Sockets},
+    sockets::{Close, OutboundKind, SocketId, Sockets},
     store::{Outcome, Purpose, Store},
     team_use::TeamUse,
     tuning::Tuning,
@@ -252,21 +252,21 @@
 }
 
 impl Pending {
-    fn lane(&self) -> Lane {
+    fn lane(&self) -> OutboundKind {
         match self {
-            Self::Orders { .. } | Self::Inspect { .. } => Lane::Orders,
+            Self::Orders { .. } | Self::Inspect { .. } => OutboundKind::Orders,
             Self::Peer(..)
             | Self::Level(_)
             | Self::Reach
             | Self::Carried(_)
-            | Self::ForwardedReport(_) => Lane::Peers,
-            _ => Lane::Outside,
+            | Self::ForwardedReport(_) => OutboundKind::Peers,
+            _ => OutboundKind::Outside,
         }
     }
 
     /// Whether the state service was asked.
     fn is_state(&self) -> bool {
-        !matches!(self, Self::Cloud(_)) && self.lane() == Lane::Outside
+        !matches!(self, Self::Cloud(_)) && self.lane() == OutboundKind::Outside
     }
 
     fn is_doubtful(&self) -> bool {
@@ -326,20 +326,20 @@
     pub(crate) attempts: u64,
     pub(crate) peers: BTreeMap<String, PeerState>,
     /// What we have told the peers.
-    pub(crate) links: BTreeMap<String, Link>,
+    pub(crate) peer_links: BTreeMap<String, PeerLink>,
     /// Our machines as we tell of them.
-    pub(crate) own: Own,
+    pub(crate) own_machines: OwnMachines,
     /// Tasks of held blocks that are done or given back and not recorded yet.
     pub(crate) over: BTreeSet<TaskId>,
     pub(crate) leader: Option<Leader>,
     /// Users' requests that go to peers, and theirs that come here.
-    pub(crate) carry: Carry,
+    pub(crate) relay: Relay,
     /// Reports of workers that go to peers, and theirs that come here.
     pub(crate) forwarding: Forwarding,
     /// When peers that are no members were told how we stand.
-    pub(crate) absent: Absent,
+    pub(crate) non_member_peers: NonMemberPeers,
     /// What is known about the links to workers.
-    pub(crate) reach: Reach,
+    pub(crate) reachability: Reachability,
     /// Since when nobody leads.
     pub(crate) leaderless_since: Option<Duration>,
     pub(crate) fleet: Fleet,
@@ -357,7 +357,9 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let tuning = Tuning::new(&settings);
         let peers = settings.peers.iter();
-        let links = peers.map(|p| (p.node.clone(), Link::default())).collect();
+        let peer_links = peers
+            .map(|p| (p.node.clone(), PeerLink::default()))
+            .collect();
         Self {
             incarnation: rng.u64(1..1 << 53),
             store: Store::new(&settings),
@@ -392,14 +394,14 @@
             to_order: Due::default(),
             attempts: 0,
             peers: BTreeMap::new(),
-            links,
-            own: Own::default(),
+            peer_links,
+            own_machines: OwnMachines::default(),
             over: BTreeSet::new(),
             leader: None,
-            carry: Carry::default(),
+            relay: Relay::default(),
             forwarding: Forwarding::default(),
-            absent: Absent::default(),
-            reach: Reach::new(settings.report_period()),
+            non_member_peers: NonMemberPeers::default(),
+            reachability: Reachability::new(settings.report_period()),
             leaderless_since: None,
             settings: Rc::new(settings),
             draining: BTreeSet::new(),
@@ -436,12 +438,13 @@
             #[cfg(feature = "sabotage")]
             Input::Opened(id, _)
                 if self.sabotage == Some(Sabotage::NoShares)
-                    && self.sockets.open() >= self.settings.params.limits.max_sockets * 3 / 4 =>
+                    && self.sockets.open_count()
+                        >= self.settings.params.limits.max_sockets * 3 / 4 =>
             {
-                return vec![Output::Close(Close::Came(id))];
+                return vec![Output::Close(Close::Inbound(id))];
             }
             Input::Opened(id, side) => {
-                let close = self.sockets.opened(self.now, id, side);
+                let close = self.sockets.connection_opened(self.now, id, side);
                 return close.into_iter().map(Output::Close).collect();
             }
             Input::Arrived(id, beginning) => {
@@ -452,15 +455,16 @@
                 return Vec::new();
             }
             Input::Closed(id) => {
-                self.sockets.ended(id);
+                self.sockets.connection_closed(id);
                 return Vec::new();
             }
             Input::Kept(kept) => {
-                self.sockets.kept(kept);
+                self.sockets.set_idle(kept);
                 return Vec::new();
             }
             Input::Request(request) => {
-                self.sockets.asked(self.now, request.socket, request.conn);
+                self.sockets
+                    .request_received(self.now, request.socket, request.conn);
                 let class = self.class(Class::of(&request));
                 self.intake.take(self.now, class, request);
                 return Vec::new();
@@ -489,8 +493,8 @@
         let turn = self.intake.turn(self.now);
         let late = turn.late_reports.iter().map(|r| r.socket);
         for id in late.chain(turn.late_sockets) {
-            self.sockets.ended(id);
-            self.close(vec![Close::Came(id)]);
+            self.sockets.connection_closed(id);
+            self.close(vec![Close::Inbound(id)]);
         }
         self.out.extend(turn.serve.into_iter().map(Output::Serve));
         for request in turn.late_users {
@@ -533,9 +537,9 @@
         let mut out = std::mem::take(&mut self.out);
         for output in &mut out {
             if let Output::Answer(answer) = output {
-                self.carry.leaves(answer);
-                self.forwarding.leaves(answer);
-                self.sockets.answered(self.now, answer.conn);
+                self.relay.wrap_answer(answer);
+                self.forwarding.wrap_answer(answer);
+                self.sockets.request_answered(self.now, answer.conn);
             }
         }
         out
@@ -567,10 +571,10 @@
     fn settle(&mut self) {
         self.place();
         self.record();
-        self.refresh_own();
+        self.refresh_own_machines();
         if self.futile.take_changed() {
             self.place();
-            self.refresh_own();
+            self.refresh_own_machines();
         }
         self.hand_out();
         self.send_orders();
@@ -592,29 +596,30 @@
                 self.answer(conn, status, Vec::new());
             }
             (Side::Public, (Some("work"), id, what, more), _) => {
-                self.carry.keep(self.now, conn, method, &path, &body);
+                self.relay
+                    .store_request(self.now, conn, method, &path, &body);
                 self.serve_user(conn, method, (id, what, more), &body);
             }
             (Side::Public, (Some("checkin"), None, ..), Method::Post) => self.report(conn, &body),
             (Side::Internal, (Some("peer"), None, ..), Method::Post) => {
-                if let Some(message) = self.message(conn, &body) {
-                    self.hear(conn, message);
+                if let Some(message) = self.decode_peer_message(conn, &body) {
+                    self.receive_peer_message(conn, message);
                 }
             }
             (Side::Internal, (Some("reach"), None, ..), Method::Post)
                 if self.program >= Level::PIPELINES =>
             {
-                self.hear_of_links(conn, &body);
+                self.receive_reach_message(conn, &body);
             }
             (Side::Internal, (Some("carry"), None, ..), Method::Post)
                 if self.program >= Level::PIPELINES =>
             {
-                self.carried_here(conn, &body);
+                self.receive_relayed_request(conn, &body);
             }
             (Side::Internal, (Some("forward"), None, ..), Method::Post)
                 if self.program >= Level::PIPELINES =>
             {
-                self.forwarded_here(conn, &body);
+                self.receive_forwarded_report(conn, &body);
             }
             (Side::Internal, (Some("level"), None, ..), Method::Get)
                 if self.program >= Level::PIPELINES =>
@@ -641,7 +646,8 @@
         let Some((pending, sent)) = self.calls.remove(&call) else {
             return;
         };
-        self.sockets.called(pending.lane(), pending.is_doubtful());
+        self.sockets
+            .call_finished(pending.lane(), pending.is_doubtful());
         if pending.is_state() && matches!(reply, Reply::Answer { .. }) {
             self.store.answered = self.now;
         }
@@ -662,12 +668,12 @@
                 term,
                 ..
             } => self.orders_done(&machine, &starts, term, &reply),
-            Pending::Peer(peer, version) => self.told(&peer, version, &reply),
+            Pending::Peer(peer, version) => self.peer_message_answered(&peer, version, &reply),
             Pending::Level(node) => self.level_told(&node, &reply),
             Pending::Reach => {}
-            Pending::Carried(conn) => self.carried_back(conn, &reply),
-            Pending::ForwardedReport(conn) => self.forwarded_back(conn, &reply),
-            Pending::Inspect { zone, machine } => self.inspected(&zone, &machine, &reply),
+            Pending::Carried(conn) => self.relay_answered(conn, &reply),
+            Pending::ForwardedReport(conn) => self.forward_answered(conn, &reply),
+            Pending::Inspect { zone, machine } => self.inspect_answered(&zone, &machine, &reply),
         }
     }
 
@@ -690,7 +696,7 @@
             Key::Leader | Key::Member(_) => self.members_changed(),
             Key::Block(id) => {
                 self.block_changed(*id);
-                self.strays_answered();
+                self.answer_waiting_strays();
             }
             Key::Machines(..) => {
                 for name in std::mem::take(&mut self.view.news) {
@@ -726,7 +732,7 @@
         let id = self.next_call;
         let close = self
             .sockets
-            .calls(self.now, pending.lane(), pending.is_doubtful());
+            .call_started(self.now, pending.lane(), pending.is_doubtful());
         self.close(close);
         self.calls.insert(id, (pending, self.now));
         self.out.push(Output::Call(Call {
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -544,9 +544,9 @@
             } else if silent > self.early_limit()
                 && !room.tasks.is_empty()
                 // A cut, which may end.
-                && !self.reach.nobody_hears(room.block)
+                && !self.reachability.is_reported_unheard(room.block)
                 // It came to somebody else: the tasks on it live.
-                && !self.came_to_others(name)
+                && !self.reported_to_non_holder(name)
             {
                 early.push(name.clone());
             } else if unlisted {
--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -31,7 +31,7 @@
 use crate::{
     call::{Answer, ConnId, Reply},
     controller::{Controller, Pending},
-    reach::Advice,
+    reachability::StrayAction,
     records::{BlockId, Level, Term},
 };
 use holder::Inbox;
@@ -57,18 +57,18 @@
     }
 
     /// An answer leaves, to whomever.
-    pub fn leaves(&mut self, answer: &mut Answer) {
-        self.inbox.leaves(answer);
+    pub fn wrap_answer(&mut self, answer: &mut Answer) {
+        self.inbox.wrap_answer(answer);
     }
 
     /// A worker has reported to us directly.
-    pub fn reported_directly(&mut self, machine: &str) {
-        self.inbox.reported_directly(machine);
+    pub fn record_direct_report(&mut self, machine: &str) {
+        self.inbox.record_direct_report(machine);
     }
 
     /// A machine has answered our question.
-    pub fn reached(&mut self, now: Duration, machine: &str) {
-        self.inbox.reached(now, machine);
+    pub fn record_reached(&mut self, now: Duration, machine: &str) {
+        self.inbox.record_reached(now, machine);
     }
 }
 
@@ -81,7 +81,7 @@
         report: &Report,
         (block, term): (BlockId, Term),
         holder: &str,
-        advice: Advice,
+        advice: StrayAction,
     ) -> bool {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::StaleForwards)
@@ -125,7 +125,7 @@
         let may = self.level() >= Level::PIPELINES
             && self.intake.is_empty()
             && self.forwarding.outbox.has_room()
-            && self.hears_peer(to);
+            && self.is_peer_fresh(to);
         if !may {
             return false;
         }
@@ -159,13 +159,13 @@
     }
 
     /// What came of a report that we forwarded.
-    pub(crate) fn forwarded_back(&mut self, conn: ConnId, reply: &Reply) {
+    pub(crate) fn forward_answered(&mut self, conn: ConnId, reply: &Reply) {
         match self.forwarding.outbox.replied(conn, reply) {
             Some(Forwarded::Answered(outstanding, answer)) => {
                 let machine = &outstanding.report.machine;
                 if answer.status == 421 && self.is_sent_here(&answer.body) {
                     // Our records don't show yet that we hold it.
-                    let fallback = Fallback::Stray(Advice::AwaitRecords);
+                    let fallback = Fallback::Stray(StrayAction::AwaitRecords);
                     return self.not_forwarded(
                         conn,
                         Outstanding {
@@ -175,7 +175,7 @@
                     );
                 }
                 if answer.status == 200 {
-                    self.reach.served_elsewhere(machine);
+                    self.reachability.served_elsewhere(machine);
                 }
                 self.answer(conn, answer.status, answer.body);
             }
@@ -215,11 +215,11 @@
     }
 
     /// A peer forwards a worker's report to us.
-    pub(crate) fn forwarded_here(&mut self, conn: ConnId, body: &[u8]) {
-        let Some(message) = self.message::<ForwardedReport>(conn, body) else {
+    pub(crate) fn receive_forwarded_report(&mut self, conn: ConnId, body: &[u8]) {
+        let Some(message) = self.decode_peer_message::<ForwardedReport>(conn, body) else {
             return;
         };
-        if !self.links.contains_key(&message.from) {
+        if !self.peer_links.contains_key(&message.from) {
             return self.refuse(conn, 403, "not a controller of this deployment");
         }
         let report: Report = match decode(&message.body) {
@@ -260,7 +260,7 @@
     }
 
     /// Asks workers that report by way of peers whether they can be reached directly.
-    pub(crate) fn ask_remote_workers(&mut self) {
+    pub(crate) fn probe_remote_workers(&mut self) {
         for machine in self.forwarding.inbox.due_for_question(self.now) {
             self.inspect(machine);
         }
--- a/crates/core/src/forwarding/holder.rs
+++ b/crates/core/src/forwarding/holder.rs
@@ -61,7 +61,7 @@
 
     /// An answer leaves; one to a forwarded report goes in an envelope that names the
     /// report.
-    pub fn leaves(&mut self, answer: &mut Answer) {
+    pub fn wrap_answer(&mut self, answer: &mut Answer) {
         let Some((report, _)) = self.received.remove(&answer.conn) else {
             return;
         };
@@ -94,14 +94,14 @@
     }
 
     /// A worker has reported to us directly.
-    pub fn reported_directly(&mut self, machine: &str) {
+    pub fn record_direct_report(&mut self, machine: &str) {
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.is_back = true;
         }
     }
 
     /// A worker has answered our question.
-    pub fn reached(&mut self, now: Duration, machine: &str) {
+    pub fn record_reached(&mut self, now: Duration, machine: &str) {
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.reached_at = Some(now);
         }
--- a/crates/core/src/forwarding/origin.rs
+++ b/crates/core/src/forwarding/origin.rs
@@ -10,7 +10,7 @@
 use crate::{
     call::{ConnId, Reply},
     intake::REPORT_PATIENCE,
-    reach::Advice,
+    reachability::StrayAction,
 };
 
 /// How many forwarded reports may be without an answer at a time.
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fallback {
     /// The holder is up and did not answer.
-    Stray(Advice),
+    Stray(StrayAction),
     /// The machine has no record.
     Unregistered,
 }
--- a/crates/core/src/forwarding/tests.rs
+++ b/crates/core/src/forwarding/tests.rs
@@ -39,7 +39,7 @@
             block: 0,
             term: TERM,
         },
-        fallback: Fallback::Stray(Advice::SendOn),
+        fallback: Fallback::Stray(StrayAction::Redirect),
         came_at: ms(0),
         is_repeat: false,
     }
@@ -145,13 +145,13 @@
         retry_after: None,
     };
     let mut wrapped = answer(PEER);
-    inbox.leaves(&mut wrapped);
+    inbox.wrap_answer(&mut wrapped);
     let inner: ForwardedAnswer = borsh::from_slice(&wrapped.body).expect("an envelope");
     assert_eq!((wrapped.status, inner.status), (200, 421));
     assert_eq!((inner.report.seq, inner.body), (5, vec![7]));
     for conn in [PEER, WORKER] {
         let mut other = answer(conn);
-        inbox.leaves(&mut other);
+        inbox.wrap_answer(&mut other);
         assert_eq!((other.status, other.body), (421, vec![7]));
     }
 }
@@ -169,14 +169,14 @@
         "asked already"
     );
     assert!(!inbox.came(now + ms(2000), "vm-1"), "no answer yet");
-    inbox.reached(now + ms(2500), "vm-1");
+    inbox.record_reached(now + ms(2500), "vm-1");
     assert!(inbox.came(now + ms(4000), "vm-1"));
     let mut stays = Vec::new();
     for _ in 0..6 {
         let sent_home = now;
         loop {
             now += ms(1000);
-            inbox.reached(now, "vm-1");
+            inbox.record_reached(now, "vm-1");
             if inbox.came(now, "vm-1") {
                 break;
             }
@@ -186,7 +186,7 @@
     assert!(stays.is_sorted(), "{stays:?}");
     assert_eq!(stays.last(), Some(&160));
     // Whoever reports directly is not asked.
-    inbox.reported_directly("vm-1");
+    inbox.record_direct_report("vm-1");
     assert!(inbox.due_for_question(now + ms(200_000)).is_empty());
 }
 
@@ -220,7 +220,7 @@
 /// answer in the envelope.
 fn answered(controller: &mut Controller, body: &[u8]) -> (u16, Option<ForwardedAnswer>) {
     controller.out.clear();
-    controller.forwarded_here(PEER, body);
+    controller.receive_forwarded_report(PEER, body);
     let mut answers = controller.out.drain(..).filter_map(|output| match output {
         Output::Answer(answer) => Some(answer),
         _ => None,
@@ -228,7 +228,7 @@
     let mut answer = answers.next().expect("an answer");
     assert!(answers.next().is_none(), "one answer");
     drop(answers);
-    controller.forwarding.leaves(&mut answer);
+    controller.forwarding.wrap_answer(&mut answer);
     let inner = borsh::from_slice(&answer.body).ok();
     (answer.status, inner.filter(|_| answer.status == 200))
 }
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -242,7 +242,7 @@
             return;
         }
         self.lease_blocks(tidy);
-        self.lease_reachable();
+        self.move_unreachable_blocks();
         self.keep_lists();
         self.finish();
         if tidy {
@@ -371,7 +371,7 @@
         let members = self.view.members.iter();
         let load = |name: &String| loads.get(name).copied().unwrap_or(0);
         let us = &self.settings.node;
-        let serves = |name: &str| self.reach.serves(self.now, us, name, zone);
+        let serves = |name: &str| self.reachability.can_serve_zone(self.now, us, name, zone);
         let fits = |name: &str| match instead_of {
             Some(other) => name != other && serves(name),
             None => true,
@@ -379,7 +379,7 @@
         members
             .filter(|(name, _)| fits(name))
             .min_by_key(|(name, m)| {
-                let suspect = self.reach.is_suspect(us, name);
+                let suspect = self.reachability.is_suspect(us, name);
                 let far = m.record.zone != zone;
                 (!serves(name), suspect, far, load(name), *name)
             })
@@ -439,7 +439,9 @@
             let node = self.view.members.keys().find(|node| {
                 let gap = load.saturating_sub(load_of(node));
                 let us = &self.settings.node;
-                let serves = self.reach.serves(self.now, us, node, &block.record.zone);
+                let serves =
+                    self.reachability
+                        .can_serve_zone(self.now, us, node, &block.record.zone);
                 serves && *node != holder && better(near(holder), near(node), gap, size)
             })?;
             Some((*id, node.clone()))
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -13,7 +13,7 @@
     call::{ConnId, Method, Output, Reply, Target},
     controller::{Controller, Pending, route},
     leader::{Duty, LeaseReason},
-    reach::{Advice, Looked},
+    reachability::{BlockStatus, StrayAction},
     records::{BlockId, Level},
     store::Urgency,
 };
@@ -26,7 +26,7 @@
 
 impl Controller {
     /// A worker came whose block we don't hold.
-    pub(crate) fn stray(&mut self, conn: ConnId, report: Report, block: BlockId) {
+    pub(crate) fn handle_stray_report(&mut self, conn: ConnId, report: Report, block: BlockId) {
         let held = self.view.blocks.get(&block);
         let up = held
             .filter(|b| self.view.holder_is_up(&b.record) && b.record.holder != self.settings.node);
@@ -38,9 +38,11 @@
             return self.redirect(conn, Some(holder));
         }
         let lease = (block, term);
-        let advice = self.reach.strayed(self.now, &report, lease, &holder);
+        let advice = self
+            .reachability
+            .record_stray(self.now, &report, lease, &holder);
         log::debug!("{}: came here, though {holder} holds it", report.machine);
-        let forwards = report.token <= term && self.reach.is_lost_to_holder(&report.machine);
+        let forwards = report.token <= term && self.reachability.is_lost_to_holder(&report.machine);
         if forwards && self.forward_to_holder(conn, &report, lease, &holder, advice) {
             return;
         }
@@ -54,17 +56,17 @@
         conn: ConnId,
         report: Report,
         came_at: Duration,
-        advice: Advice,
+        advice: StrayAction,
     ) {
         let waits = match advice {
-            Advice::SendOn => false,
-            Advice::AwaitLease => self.in_contact(),
-            Advice::AwaitRecords => true,
+            StrayAction::Redirect => false,
+            StrayAction::AwaitLease => self.in_contact(),
+            StrayAction::AwaitRecords => true,
         };
         #[cfg(feature = "sabotage")]
         let waits = waits && self.sabotage != Some(crate::Sabotage::NoReach);
         match waits {
-            true => self.reach.wait(came_at, conn, report, advice),
+            true => self.reachability.wait(came_at, conn, report, advice),
             false => self.serve_or_redirect(conn, report),
         }
     }
@@ -84,9 +86,9 @@
 
     /// Answers those strays whose block has been leased anew, and those that
     /// have waited for long enough.
-    pub(crate) fn strays_answered(&mut self) {
+    pub(crate) fn answer_waiting_strays(&mut self) {
         let view = &self.view;
-        let over = self.reach.waited(self.now, |machine, term| {
+        let over = self.reachability.waited(self.now, |machine, term| {
             let record = view.machines.get(machine);
             let block = record.and_then(|m| view.blocks.get(&m.block));
             block.is_none_or(|b| b.version != term)
@@ -98,12 +100,12 @@
 
     /// Whether a machine came to some controller lately that does not hold it, so that
     /// it and its tasks live whatever its holder hears.
-    pub(crate) fn came_to_others(&self, machine: &str) -> bool {
+    pub(crate) fn reported_to_non_holder(&self, machine: &str) -> bool {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::SilentToHolder) {
             return false;
         }
-        self.reach.has_strayed(self.now, machine)
+        self.reachability.has_strayed(self.now, machine)
     }
 
     pub(crate) fn links_tick(&mut self) {
@@ -115,10 +117,10 @@
         if self.sabotage == Some(crate::Sabotage::NoReach) {
             return;
         }
-        self.strays_answered();
-        self.ask_remote_workers();
+        self.answer_waiting_strays();
+        self.probe_remote_workers();
         let members = &self.view.members;
-        self.reach
+        self.reachability
             .restarted(|node| members.get(node).map(|m| m.record.incarnation));
         let machines = &self.view.machines;
         let held = || {
@@ -135,14 +137,16 @@
         };
         let machines_of = |zone: &str| machines.values().filter(|m| m.zone == zone).count();
         let everywhere = &self.settings.params.zones;
-        self.reach.look(now, everywhere, held, machines_of);
+        self.reachability.look(now, everywhere, held, machines_of);
         let of_zone = |zone: &str| {
             let zone = zone.to_owned();
             let here = machines.iter().filter(move |(_, m)| m.zone == zone);
             here.map(|(name, _)| name.as_str())
         };
         let rng = &mut self.rng;
-        let ask = self.reach.questions(now, of_zone, |n| rng.usize(0..n));
+        let ask = self
+            .reachability
+            .questions(now, of_zone, |n| rng.usize(0..n));
         let ask: Vec<_> = ask.into_iter().map(str::to_owned).collect();
         for machine in ask {
             self.inspect(machine);
@@ -151,8 +155,8 @@
             return;
         }
         let node = &self.settings.node;
-        if let Some(word) = self.reach.tell(now, node, self.incarnation) {
-            let peers: Vec<_> = self.links.keys().cloned().collect();
+        if let Some(word) = self.reachability.tell(now, node, self.incarnation) {
+            let peers: Vec<_> = self.peer_links.keys().cloned().collect();
             for peer in peers {
                 self.call_peer(peer, "/reach", &word, TIMEOUT, Pending::Reach);
             }
@@ -161,7 +165,7 @@
 
     /// A user's request can't be served here, as the state service can't be
     /// reached or did not answer: a peer that reaches it may.
-    pub(crate) fn carry_on(&mut self, conn: ConnId, why: &str) {
+    pub(crate) fn relay_to_peer(&mut self, conn: ConnId, why: &str) {
         let peers: Vec<_> = self.peers_in_contact().cloned().collect();
         #[cfg(feature = "sabotage")]
         let peers = match self.sabotage {
@@ -175,7 +179,7 @@
             return self.come_back(conn, why);
         }
         let peer = peers[self.rng.usize(0..peers.len())].clone();
-        let Some((request, timeout)) = self.carry.carry(self.now, conn) else {
+        let Some((request, timeout)) = self.relay.take_request(self.now, conn) else {
             return self.come_back(conn, why);
         };
         log::debug!("a user's {} is carried on to {peer}: {why}", request.path);
@@ -183,19 +187,19 @@
     }
 
     /// What a peer made of it.
-    pub(crate) fn carried_back(&mut self, conn: ConnId, reply: &Reply) {
-        match self.carry.back(conn, reply) {
+    pub(crate) fn relay_answered(&mut self, conn: ConnId, reply: &Reply) {
+        match self.relay.unwrap_answer(conn, reply) {
             Some(answer) => self.out.push(Output::Answer(answer)),
             None => self.come_back(conn, "no controller could be asked"),
         }
     }
 
     /// A peer carries a user's request to us.
-    pub(crate) fn carried_here(&mut self, conn: ConnId, body: &[u8]) {
-        let Some(CarriedRequest { asks, path, body }) = self.message(conn, body) else {
+    pub(crate) fn receive_relayed_request(&mut self, conn: ConnId, body: &[u8]) {
+        let Some(CarriedRequest { asks, path, body }) = self.decode_peer_message(conn, body) else {
             return;
         };
-        self.carry.arrived(conn);
+        self.relay.request_received(conn);
         let method = if asks { Method::Get } else { Method::Post };
         match route(&path) {
             (Some("work"), id, what, more) => {
@@ -206,17 +210,17 @@
     }
 
     /// A peer tells of its links.
-    pub(crate) fn hear_of_links(&mut self, conn: ConnId, body: &[u8]) {
-        let Some(word) = self.message::<ReachWord>(conn, body) else {
+    pub(crate) fn receive_reach_message(&mut self, conn: ConnId, body: &[u8]) {
+        let Some(word) = self.decode_peer_message::<ReachWord>(conn, body) else {
             return;
         };
-        if !self.links.contains_key(&word.from) {
+        if !self.peer_links.contains_key(&word.from) {
             return self.refuse(conn, 403, "not a controller of this deployment");
         }
         let member = self.view.members.get(&word.from);
         // What a process from before has said is about links of before.
         if member.is_none_or(|m| m.record.incarnation == word.incarnation) {
-            self.reach.hear(self.now, word);
+            self.reachability.hear(self.now, word);
         }
         self.answer(conn, 200, Vec::new());
     }
@@ -233,16 +237,16 @@
     }
 
     /// What came of a question to a machine.
-    pub(crate) fn inspected(&mut self, zone: &str, machine: &str, reply: &Reply) {
+    pub(crate) fn inspect_answered(&mut self, zone: &str, machine: &str, reply: &Reply) {
         if matches!(reply, Reply::Answer { status: 200, .. }) {
-            self.reach.answered(self.now, zone, machine);
-            self.forwarding.reached(self.now, machine);
+            self.reachability.answered(self.now, zone, machine);
+            self.forwarding.record_reached(self.now, machine);
         }
     }
 
     /// Leases blocks away from holders that their workers don't reach; whoever
     /// leads and is one of these leaves the lead to others.
-    pub(crate) fn lease_reachable(&mut self) {
+    pub(crate) fn move_unreachable_blocks(&mut self) {
         let now = self.now;
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoReach) {
@@ -251,7 +255,7 @@
         let blocks = self.view.blocks.iter();
         let blocks = blocks.filter(|(_, b)| self.view.holder_is_up(&b.record));
         let looked: Vec<_> = blocks
-            .map(|(id, b)| Looked {
+            .map(|(id, b)| BlockStatus {
                 id: *id,
                 term: b.version,
                 holder: &b.record.holder,
@@ -259,11 +263,12 @@
             })
             .collect();
         let us = &self.settings.node;
-        let moves = self.reach.moves(now, us, &looked);
-        let others = self.reach.is_beyond()
+        let moves = self.reachability.moves(now, us, &looked);
+        let others = self.reachability.is_isolated()
             && looked.iter().any(|b| {
                 let zone = self.view.blocks.get(&b.id).map(|b| &b.record.zone);
-                let serves = |zone: &String| self.reach.serves(now, us, b.holder, zone);
+                let serves =
+                    |zone: &String| self.reachability.can_serve_zone(now, us, b.holder, zone);
                 b.holder != us && b.machines > 0 && zone.is_some_and(serves)
             });
         let mut loads = match moves.is_empty() {
@@ -281,10 +286,10 @@
             if self.lease_block(found.block, block.version, zone.clone(), &holder, &reason) {
                 let size = self.view.count_in(&found.block) + 1;
                 *loads.entry(holder).or_default() += size;
-                self.reach.moved(now, &from, &zone, found.unheard);
+                self.reachability.moved(now, &from, &zone, found.unheard);
             }
         }
-        if self.reach.should_resign(now, others) {
+        if self.reachability.should_resign(now, others) {
             self.resign();
         }
     }
@@ -299,19 +304,21 @@
             changes: vec![Change::Delete { key }],
         };
         if self.duty(Duty::Resign, txn, Urgency::Safety) {
-            self.reach.resigned(self.now);
+            self.reachability.resigned(self.now);
             log::info!("we reach no workers and leave the lead to others");
         }
     }
 
     /// Whether we leave the lead to others, of whom nobody has had the time to
     /// take it.
-    pub(crate) fn backs_off_from_lead(&mut self) -> bool {
+    pub(crate) fn defers_candidacy(&mut self) -> bool {
         if self.view.leader.is_some() {
             self.leaderless_since = None;
             return false;
         }
         let since = *self.leaderless_since.get_or_insert(self.now);
-        self.reach.is_beyond() && self.view.members.len() > 1 && self.now < since + LEAD_BACKOFF
+        self.reachability.is_isolated()
+            && self.view.members.len() > 1
+            && self.now < since + LEAD_BACKOFF
     }
 }
--- a/crates/core/src/lists.rs
+++ b/crates/core/src/lists.rs
@@ -293,8 +293,11 @@
     /// no controller may.
     fn may_hear_new(&self, id: BlockId, block: &BlockRecord) -> bool {
         let us = &self.settings.node;
-        let serves = |node: &String| self.reach.serves(self.now, us, node, &block.zone);
-        if serves(&block.holder) && !self.reach.holder_hears_none(us, &block.holder, id) {
+        let serves = |node: &String| {
+            self.reachability
+                .can_serve_zone(self.now, us, node, &block.zone)
+        };
+        if serves(&block.holder) && !self.reachability.holder_hears_none(us, &block.holder, id) {
             return true;
         }
         !self.view.members.keys().any(serves)
--- a/crates/core/src/seen.rs
+++ b/crates/core/src/machine_status.rs
@@ -22,7 +22,7 @@
 
 /// A machine as its holder sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Seen {
+pub(crate) struct MachineStatus {
     pub term: Term,
     /// Whether tasks can be placed on it.
     pub usable: bool,
@@ -38,7 +38,7 @@
     pub tasks: Vec<TaskId>,
 }
 
-impl Seen {
+impl MachineStatus {
     /// As told by a peer just now.
     pub fn hear(now: Duration, view: MachineView) -> (String, Self) {
         let at = |ms| now.saturating_sub(Duration::from_millis(ms));
@@ -92,9 +92,9 @@
 /// Our own machines as we see them, each with the version in which it changed
 /// last.
 #[derive(Debug, Default)]
-pub(crate) struct Own {
+pub(crate) struct OwnMachines {
     pub version: u64,
-    pub machines: BTreeMap<String, (u64, Seen)>,
+    pub machines: BTreeMap<String, (u64, MachineStatus)>,
     /// Machines to look at again.
     touched: BTreeSet<String>,
     looked_at: Duration,
@@ -102,33 +102,38 @@
 
 impl Controller {
     /// Something about a machine of ours may have changed.
-    pub(crate) fn touch(&mut self, name: &str) {
-        if !self.own.touched.contains(name) {
-            self.own.touched.insert(name.to_owned());
+    pub(crate) fn mark_changed(&mut self, name: &str) {
+        if !self.own_machines.touched.contains(name) {
+            self.own_machines.touched.insert(name.to_owned());
         }
     }
 
     /// Looks again at the machines of ours that may have changed.
-    pub(crate) fn refresh_own(&mut self) {
-        if self.now >= self.own.looked_at + PERIOD {
-            self.own.looked_at = self.now;
-            let all = self.machines.keys().chain(self.own.machines.keys());
-            self.own.touched = all.cloned().collect();
+    pub(crate) fn refresh_own_machines(&mut self) {
+        if self.now >= self.own_machines.looked_at + PERIOD {
+            self.own_machines.looked_at = self.now;
+            let all = self
+                .machines
+                .keys()
+                .chain(self.own_machines.machines.keys());
+            self.own_machines.touched = all.cloned().collect();
         }
-        for name in std::mem::take(&mut self.own.touched) {
+        for name in std::mem::take(&mut self.own_machines.touched) {
             let changed = match self.machines.get(&name) {
-                None => self.own.machines.remove(&name).is_some(),
+                None => self.own_machines.machines.remove(&name).is_some(),
                 Some(machine) => {
                     let seen = self.look(&name, machine);
-                    let before = self.own.machines.get(&name).map(|o| &o.1);
+                    let before = self.own_machines.machines.get(&name).map(|o| &o.1);
                     let changed = before.is_none_or(|b| *b != seen);
                     if seen.has_gained(before) {
                         self.futile.room_gained(machine.block);
                     }
                     if changed {
-                        self.own.version += 1;
-                        let version = self.own.version;
-                        self.own.machines.insert(name.clone(), (version, seen));
+                        self.own_machines.version += 1;
+                        let version = self.own_machines.version;
+                        self.own_machines
+                            .machines
+                            .insert(name.clone(), (version, seen));
                     }
                     changed
                 }
@@ -139,10 +144,10 @@
         }
     }
 
-    fn look(&self, name: &str, machine: &Machine) -> Seen {
+    fn look(&self, name: &str, machine: &Machine) -> MachineStatus {
         let total = self.types.get(&machine.record.kind).map(|k| k.amounts());
         let silent = machine.silent(self.now) >= self.silence_limit();
-        Seen {
+        MachineStatus {
             term: machine.term,
             usable: self.usable(name, machine),
             faulty: machine.faulty(),
@@ -156,8 +161,12 @@
 
     /// A machine as its holder sees it, whether that is us or a peer, if it is
     /// by its present term; and whether that is recent.
-    pub(crate) fn seen(&self, name: &str, block: &Versioned<BlockRecord>) -> Option<(&Seen, bool)> {
-        if let Some((_, seen)) = self.own.machines.get(name) {
+    pub(crate) fn machine_status(
+        &self,
+        name: &str,
+        block: &Versioned<BlockRecord>,
+    ) -> Option<(&MachineStatus, bool)> {
+        if let Some((_, seen)) = self.own_machines.machines.get(name) {
             return Some((seen, true)).filter(|_| self.machines.contains_key(name));
         }
         let peer = self.peers.get(&block.record.holder)?;
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -191,7 +191,7 @@
                 continue;
             }
             let doubtful = machine.unanswered > 0;
-            if !self.sockets.may_order(doubtful) {
+            if !self.sockets.may_send_order(doubtful) {
                 self.to_order.insert_at(now + CROWDED, name);
                 continue;
             }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -12,7 +12,7 @@
     attempt::Nowhere,
     call::{ConnId, Method, Reply, Target},
     controller::{Controller, Pending},
-    seen::Seen,
+    machine_status::MachineStatus,
     slots::Stop,
 };
 
@@ -34,7 +34,7 @@
     heard: Duration,
     /// When its contact with the state service was whole.
     contact: Option<Duration>,
-    pub machines: BTreeMap<String, Seen>,
+    pub machines: BTreeMap<String, MachineStatus>,
     /// Tasks that take no room any more, whatever the records say.
     pub over: Vec<TaskId>,
 }
@@ -48,7 +48,7 @@
 
 /// What we have told another controller.
 #[derive(Debug, Default)]
-pub(crate) struct Link {
+pub(crate) struct PeerLink {
     /// The version of our machines that it has.
     acked: u64,
     /// When we wrote last, and whether the answer is awaited.
@@ -61,11 +61,11 @@
 
 /// When peers that are no members were last told how we stand.
 #[derive(Debug, Default)]
-pub(crate) struct Absent {
+pub(crate) struct NonMemberPeers {
     told: BTreeMap<String, Duration>,
 }
 
-impl Absent {
+impl NonMemberPeers {
     /// Which peers that are no members are to be told now how we stand with the
     /// state service. One that is turned away by it for longer than its lease heard
     /// from nobody any more, took that for an outage of all, and called itself
@@ -82,7 +82,11 @@
 
 impl Controller {
     /// A message of a controller; none if it is refused.
-    pub(crate) fn message<T: BorshDeserialize>(&mut self, conn: ConnId, body: &[u8]) -> Option<T> {
+    pub(crate) fn decode_peer_message<T: BorshDeserialize>(
+        &mut self,
+        conn: ConnId,
+        body: &[u8],
+    ) -> Option<T> {
         let message = borsh::from_slice(body).ok();
         if message.is_none() {
             self.refuse(conn, 400, "not a message of this version");
@@ -106,7 +110,7 @@
     }
 
     /// Takes in what another controller says.
-    pub(crate) fn hear(&mut self, conn: ConnId, message: PeerMessage) {
+    pub(crate) fn receive_peer_message(&mut self, conn: ConnId, message: PeerMessage) {
         let now = self.now;
         let known = self.settings.peers.iter().any(|p| p.node == message.from);
         if !known {
@@ -120,7 +124,7 @@
             if self.draining != drain {
                 let before = std::mem::replace(&mut self.draining, drain);
                 for name in before.iter().chain(&self.draining.clone()) {
-                    self.touch(name);
+                    self.mark_changed(name);
                 }
             }
             for task in &message.preempt {
@@ -161,7 +165,7 @@
         peer.over = message.over;
         let mut changed = Vec::new();
         for view in message.machines {
-            let (name, seen) = Seen::hear(now, view);
+            let (name, seen) = MachineStatus::hear(now, view);
             changed.push(name.clone());
             peer.machines.insert(name, seen);
         }
@@ -172,12 +176,12 @@
     }
 
     /// Whether we heard from some peer lately.
-    pub(crate) fn hears_peers(&self) -> bool {
+    pub(crate) fn has_fresh_peer(&self) -> bool {
         self.peers.values().any(|p| p.is_fresh(self.now))
     }
 
     /// Whether we heard from a peer lately.
-    pub(crate) fn hears_peer(&self, node: &str) -> bool {
+    pub(crate) fn is_peer_fresh(&self, node: &str) -> bool {
         let peer = self.peers.get(node);
         peer.is_some_and(|p| p.is_fresh(self.now))
     }
@@ -197,7 +201,7 @@
     }
 
     /// Images that a machine had by what we heard of it last.
-    pub(crate) fn images_heard(&self, name: &str) -> Vec<String> {
+    pub(crate) fn last_known_images(&self, name: &str) -> Vec<String> {
         let heard = self.peers.values().find_map(|p| p.machines.get(name));
         heard.map(|m| m.images.clone()).unwrap_or_default()
     }
@@ -229,8 +233,8 @@
     }
 
     /// The leader wants a task stopped: whoever holds it hears of it.
-    pub(crate) fn ask_for_room(&mut self, task: &TaskId) {
-        for link in self.links.values_mut() {
+    pub(crate) fn request_preemption(&mut self, task: &TaskId) {
+        for link in self.peer_links.values_mut() {
             link.preempt.push(task.clone());
         }
         self.preempt(task);
@@ -238,10 +242,10 @@
 
     /// The leader's list of machines to be emptied has changed.
     pub(crate) fn drain_changed(&mut self, name: &str) {
-        for link in self.links.values_mut() {
+        for link in self.peer_links.values_mut() {
             link.drain_due = true;
         }
-        self.touch(name);
+        self.mark_changed(name);
         self.room_changed(name);
     }
 
@@ -253,8 +257,8 @@
         }
         let leader = self.view.leader.as_ref().map(|l| &l.record.node);
         let leads = self.leader.is_some();
-        let version = self.own.version;
-        let due = |peer: &String, link: &Link| {
+        let version = self.own_machines.version;
+        let due = |peer: &String, link: &PeerLink| {
             let news = if leads {
                 !link.preempt.is_empty() || link.drain_due
             } else {
@@ -263,7 +267,7 @@
             !link.waiting && now >= link.at + if news { NEWS } else { PERIOD }
         };
         let due: Vec<_> = self
-            .links
+            .peer_links
             .iter()
             .filter(|(peer, link)| due(peer, link))
             .map(|(peer, _)| peer.clone())
@@ -277,10 +281,10 @@
     /// Peers that are no members hear how we stand with the state service, and
     /// nothing else: they may be up and turned away by it.
     fn tell_absent(&mut self, version: u64) {
-        let (now, links) = (self.now, &self.links);
+        let (now, links) = (self.now, &self.peer_links);
         let peers = self.settings.peers.iter().map(|p| &p.node);
         let absent = peers.filter(|peer| !links.contains_key(*peer)).cloned();
-        let due = self.absent.due(now, absent);
+        let due = self.non_member_peers.due(now, absent);
         if due.is_empty() {
             return;
         }
@@ -308,7 +312,7 @@
 
     fn tell_peer(&mut self, peer: String, version: u64) {
         let now = self.now;
-        let Some(link) = self.links.get_mut(&peer) else {
+        let Some(link) = self.peer_links.get_mut(&peer) else {
             return;
         };
         link.at = now;
@@ -316,7 +320,7 @@
         link.drain_due = false;
         let base = link.acked;
         let preempt = std::mem::take(&mut link.preempt);
-        let machines = self.own.machines.iter();
+        let machines = self.own_machines.machines.iter();
         let changed = machines.filter(|(_, (at, _))| *at > base);
         let message = PeerMessage {
             base,
@@ -330,8 +334,8 @@
     }
 
     /// What came of a message to a peer.
-    pub(crate) fn told(&mut self, peer: &str, version: u64, reply: &Reply) {
-        let Some(link) = self.links.get_mut(peer) else {
+    pub(crate) fn peer_message_answered(&mut self, peer: &str, version: u64, reply: &Reply) {
+        let Some(link) = self.peer_links.get_mut(peer) else {
             return;
         };
         link.waiting = false;
--- a/crates/core/src/peers/tests.rs
+++ b/crates/core/src/peers/tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn peers_that_are_no_members_are_told_once_a_second() {
-    let mut absent_peers = Absent::default();
+    let mut absent_peers = NonMemberPeers::default();
     let mut told = |at, absent: &[&str]| {
         let absent: Vec<_> = absent.iter().map(|p| (*p).to_owned()).collect();
         absent_peers.due(ms(at), absent.into_iter()).len()
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -139,7 +139,7 @@
             && machine.taken_at.is_none()
             && !machine.faulty()
             && !self.draining.contains(name)
-            && !self.reach.is_unheard(machine.block)
+            && !self.reachability.is_unheard(machine.block)
             && !self.reports_to_others(name, machine)
             && machine.silent(self.now) < self.silence_limit()
             && machine
@@ -150,7 +150,7 @@
     /// Whether a machine came to another controller since we answered a report of it: as
     /// long as it is not back its lease runs out, however well direct orders reach it.
     fn reports_to_others(&self, name: &str, machine: &Machine) -> bool {
-        let strayed = self.reach.strayed_at(self.now, name);
+        let strayed = self.reachability.last_stray_at(self.now, name);
         strayed.is_some_and(|at| {
             machine
                 .answered
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -72,7 +72,7 @@
                 if let Some(leader) = &mut self.leader {
                     leader.asked.insert(task.clone(), self.now);
                 }
-                self.ask_for_room(&task);
+                self.request_preemption(&task);
             }
         }
     }
--- a/crates/core/src/reach.rs
+++ b/crates/core/src/reachability.rs
@@ -25,7 +25,7 @@
 //! doubles each time, and there is a bound on moves in a minute, so that a link
 //! that comes and goes moves nothing back and forth.
 
-mod hearing;
+mod block_liveness;
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -41,7 +41,7 @@
     call::ConnId,
     records::{BlockId, Term},
 };
-use hearing::{Hearing, explained};
+use block_liveness::{BlockLiveness, explained};
 
 /// How often blocks are looked at.
 const LOOK_INTERVAL: Duration = Duration::from_millis(250);
@@ -115,7 +115,7 @@
 
 /// A block as the leader looks at it.
 #[derive(Clone, Debug)]
-pub(crate) struct Looked<'a> {
+pub(crate) struct BlockStatus<'a> {
     pub id: BlockId,
     pub term: Term,
     pub holder: &'a str,
@@ -134,9 +134,9 @@
 
 /// What to do with the report of a worker that another controller holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Advice {
+pub(crate) enum StrayAction {
     /// The worker is sent to its holder.
-    SendOn,
+    Redirect,
     /// It waits for its block to be leased anew: others of the block have come as well,
     /// or it has come again. Who has no contact would not see that.
     AwaitLease,
@@ -145,11 +145,11 @@
     AwaitRecords,
 }
 
-impl Advice {
+impl StrayAction {
     /// For how long the report waits; none: it is answered at once.
     fn patience(self) -> Option<Duration> {
         match self {
-            Self::SendOn => None,
+            Self::Redirect => None,
             Self::AwaitLease => Some(LEASE_PATIENCE),
             Self::AwaitRecords => Some(RECORDS_PATIENCE),
         }
@@ -158,11 +158,11 @@
 
 /// The one owner of what is known about links.
 #[derive(Debug)]
-pub(crate) struct Reach {
+pub(crate) struct Reachability {
     /// The time between two reports.
     period: Duration,
     strays: BTreeMap<String, Stray>,
-    blocks: BTreeMap<BlockId, Hearing>,
+    blocks: BTreeMap<BlockId, BlockLiveness>,
     /// Blocks that we lost while we heard none of their workers, and when. It is told for a while: a peer that
     /// sees the lease later than this word sent their workers back to us.
     lost_unheard: BTreeMap<BlockId, Duration>,
@@ -192,7 +192,7 @@
     resigned_at: Option<Duration>,
 }
 
-impl Reach {
+impl Reachability {
     /// For workers that report so often.
     pub fn new(period: Duration) -> Self {
         Self {
@@ -218,7 +218,7 @@
     }
 
     /// A block has been leased, to whomever.
-    pub fn leased(&mut self, now: Duration, block: BlockId, term: Term) {
+    pub fn record_lease(&mut self, now: Duration, block: BlockId, term: Term) {
         let (known, since) = self.leased.entry(block).or_insert((term, now));
         if *known != term {
             (*known, *since) = (term, now);
@@ -239,13 +239,13 @@
     /// One that does not know the term yet is on its way to its holder: it has
     /// just come up, and was sent there by whoever registered it. It is no evidence,
     /// but is not sent to a holder that hears nobody either.
-    pub fn strayed(
+    pub fn record_stray(
         &mut self,
         now: Duration,
         report: &Report,
         (block, term): (BlockId, Term),
         holder: &str,
-    ) -> Advice {
+    ) -> StrayAction {
         let machine = &report.machine;
         let knows = report.token == term;
         let settled = knows && self.is_settled(now, block);
@@ -276,11 +276,11 @@
             *name != machine && s.term == term && s.settled && now < s.at + STRAY_WINDOW
         });
         if report.token > term || self.says_unheard(holder, block) {
-            Advice::AwaitRecords
+            StrayAction::AwaitRecords
         } else if again || (settled && others.count() > 0) {
-            Advice::AwaitLease
+            StrayAction::AwaitLease
         } else {
-            Advice::SendOn
+            StrayAction::Redirect
         }
     }
 
@@ -299,7 +299,7 @@
     }
 
     /// Keeps a report until its block is leased anew, for as long as the advice allows.
-    pub fn wait(&mut self, now: Duration, conn: ConnId, report: Report, advice: Advice) {
+    pub fn wait(&mut self, now: Duration, conn: ConnId, report: Report, advice: StrayAction) {
         let patience = advice.patience().unwrap_or_default();
         self.waiting.push((conn, report, now + patience));
     }
@@ -330,22 +330,22 @@
     }
 
     /// A worker of a block that we hold has reported.
-    pub fn heard(&mut self, now: Duration, block: BlockId, machine: &str) {
-        if let Some(hearing) = self.blocks.get_mut(&block) {
-            hearing.hear(now, machine);
+    pub fn record_report(&mut self, now: Duration, block: BlockId, machine: &str) {
+        if let Some(block_liveness) = self.blocks.get_mut(&block) {
+            block_liveness.hear(now, machine);
         }
     }
 
     /// We begin to hold a block.
-    pub fn taken(&mut self, now: Duration, block: BlockId, zone: &str) {
+    pub fn block_acquired(&mut self, now: Duration, block: BlockId, zone: &str) {
         self.blocks
-            .insert(block, Hearing::new(now, zone.to_owned()));
+            .insert(block, BlockLiveness::new(now, zone.to_owned()));
     }
 
     /// Whether we hear none of a block's workers.
     pub fn is_unheard(&self, block: BlockId) -> bool {
-        let hearing = self.blocks.get(&block);
-        hearing.is_some_and(|h| h.unheard && h.machines() >= MOST_STRAYS_NEEDED)
+        let block_liveness = self.blocks.get(&block);
+        block_liveness.is_some_and(|h| h.unheard && h.machines() >= MOST_STRAYS_NEEDED)
     }
 
     /// Looks at all blocks that we hold again: zone and number of machines that
@@ -365,16 +365,16 @@
         if now > before + STALL_LIMIT {
             // We stood still, and can't tell who was silent meanwhile.
             let gap = now - before;
-            for hearing in self.blocks.values_mut() {
-                hearing.stood_still(gap);
+            for block_liveness in self.blocks.values_mut() {
+                block_liveness.stood_still(gap);
             }
         }
         let held = held();
         let has_machines_of = |id: &BlockId| held.get(id).is_some_and(|(_, n)| *n > 0);
-        for (id, hearing) in &self.blocks {
+        for (id, block_liveness) in &self.blocks {
             // Lost while we heard nobody: until machines there have answered.
-            if !has_machines_of(id) && hearing.unheard {
-                Self::is_cut(&mut self.zones, &hearing.zone);
+            if !has_machines_of(id) && block_liveness.unheard {
+                Self::is_cut(&mut self.zones, &block_liveness.zone);
                 self.lost_unheard.insert(*id, now);
             }
         }
@@ -382,12 +382,12 @@
             .retain(|id, at| now < *at + WORD_LIFETIME && !has_machines_of(id));
         self.blocks.retain(|id, _| held.contains_key(id));
         for (id, (zone, machines)) in held {
-            let hearing = self.blocks.entry(id);
-            let hearing = hearing.or_insert_with(|| Hearing::new(now, zone));
-            hearing.count(now, before, machines);
-            let quiet = now.saturating_sub(hearing.silent_since());
-            let unheard = hearing.is_silent(now, self.period);
-            if unheard != std::mem::replace(&mut hearing.unheard, unheard) {
+            let block_liveness = self.blocks.entry(id);
+            let block_liveness = block_liveness.or_insert_with(|| BlockLiveness::new(now, zone));
+            block_liveness.count(now, before, machines);
+            let quiet = now.saturating_sub(block_liveness.silent_since());
+            let unheard = block_liveness.is_silent(now, self.period);
+            if unheard != std::mem::replace(&mut block_liveness.unheard, unheard) {
                 self.news = true;
                 if unheard {
                     log::info!("block {id}: none of its {machines} workers heard for {quiet:.1?}");
@@ -395,13 +395,13 @@
             }
         }
         let inhabited = self.blocks.values().filter(|h| h.machines() > 0);
-        for hearing in inhabited.filter(|h| h.unheard) {
-            Self::is_cut(&mut self.zones, &hearing.zone);
+        for block_liveness in inhabited.filter(|h| h.unheard) {
+            Self::is_cut(&mut self.zones, &block_liveness.zone);
         }
         // Whoever hears nobody can't tell about zones in which it holds nothing:
         // it got those of a dead controller, which lost their leases with it.
         let machines = self.inhabited().map(|h| h.expected(now)).sum();
-        let alone = match self.inhabited().map(Hearing::silent_since).max() {
+        let alone = match self.inhabited().map(BlockLiveness::silent_since).max() {
             Some(last) => now > last + explained(self.period, machines),
             // Whoever has lost all for it; others hold nothing yet.
             None => !self.zones.is_empty(),
@@ -414,9 +414,13 @@
         for (zone, unreached) in &mut self.zones {
             unreached.machines = machines_of(zone);
         }
-        for hearing in self.blocks.values_mut() {
-            if self.zones.get(&hearing.zone).is_some_and(|z| !z.is_out()) {
-                hearing.zone_answers();
+        for block_liveness in self.blocks.values_mut() {
+            if self
+                .zones
+                .get(&block_liveness.zone)
+                .is_some_and(|z| !z.is_out())
+            {
+                block_liveness.zone_answers();
             }
         }
         let blocks = &self.blocks;
@@ -450,7 +454,7 @@
     }
 
     /// The blocks that we hold and that have machines.
-    fn inhabited(&self) -> impl Iterator<Item = &Hearing> {
+    fn inhabited(&self) -> impl Iterator<Item = &BlockLiveness> {
         self.blocks.values().filter(|h| h.machines() > 0)
     }
 
@@ -628,7 +632,7 @@
 
     /// Whether a controller, by its own word and by what was seen of it, can
     /// serve workers of a zone. `us` is our name.
-    pub fn serves(&self, now: Duration, us: &str, node: &str, zone: &str) -> bool {
+    pub fn can_serve_zone(&self, now: Duration, us: &str, node: &str, zone: &str) -> bool {
         let by_word = self.out_of(us, node).into_iter().any(|z| z == zone);
         let backoff = self.backoff.get(&(node.to_owned(), zone.to_owned()));
         !by_word && backoff.is_none_or(|(until, _)| now >= *until)
@@ -641,7 +645,7 @@
     }
 
     /// Whether the holder of a block, by its own word, hears none of its workers.
-    pub fn nobody_hears(&self, block: BlockId) -> bool {
+    pub fn is_reported_unheard(&self, block: BlockId) -> bool {
         let mut words = self.words.values();
         self.is_unheard(block) || words.any(|(_, w)| w.unheard.contains(&block))
     }
@@ -649,11 +653,11 @@
     /// Whether a machine came to us or to a peer lately, though another controller holds
     /// it.
     pub fn has_strayed(&self, now: Duration, machine: &str) -> bool {
-        self.strayed_at(now, machine).is_some()
+        self.last_stray_at(now, machine).is_some()
     }
 
     /// When a machine came last, of late, to us or to a peer that does not hold it.
-    pub fn strayed_at(&self, now: Duration, machine: &str) -> Option<Duration> {
+    pub fn last_stray_at(&self, now: Duration, machine: &str) -> Option<Duration> {
         let ours = self.strays.get(machine).map(|s| s.at);
         let ours = ours.filter(|at| now <= *at + STRAY_LIFETIME);
         ours.max(self.came_to_peers.get(machine).copied())
@@ -674,7 +678,7 @@
 
     /// The leader's question: which blocks have a holder that their workers do
     /// not reach.
-    pub fn moves(&mut self, now: Duration, us: &str, blocks: &[Looked]) -> Vec<Move> {
+    pub fn moves(&mut self, now: Duration, us: &str, blocks: &[BlockStatus]) -> Vec<Move> {
         self.count_missed(us, blocks);
         let strays = self.all_strays(now);
         if strays.is_empty() {
@@ -729,7 +733,7 @@
 
     /// Notes how many workers each holder that hears none of them can miss: machines
     /// that come into the block later were never heard, and prove nothing.
-    fn count_missed(&mut self, us: &str, blocks: &[Looked]) {
+    fn count_missed(&mut self, us: &str, blocks: &[BlockStatus]) {
         let mut missed = BTreeMap::new();
         for block in blocks {
             if !self.holder_hears_none(us, block.holder, block.id) {
@@ -769,7 +773,7 @@
 
     /// Whether we reach no workers anywhere any more, and all blocks that we had have
     /// gone to others.
-    pub fn is_beyond(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let all = !self.zones.is_empty() && self.zones.values().all(UnreachedZone::is_out);
         all && self.inhabited().next().is_none()
     }
@@ -780,7 +784,7 @@
         let lately = self
             .resigned_at
             .is_some_and(|at| now < at + RESIGN_INTERVAL);
-        self.is_beyond() && !lately && others
+        self.is_isolated() && !lately && others
     }
 
     /// We have left the lead to others.
--- a/crates/core/src/reach/hearing.rs
+++ b/crates/core/src/reachability/block_liveness.rs
@@ -11,7 +11,7 @@
 
 /// A block that we hold.
 #[derive(Debug)]
-pub(super) struct Hearing {
+pub(super) struct BlockLiveness {
     pub zone: String,
     /// None of its workers is heard.
     pub unheard: bool,
@@ -26,7 +26,7 @@
     heard: Option<Duration>,
 }
 
-impl Hearing {
+impl BlockLiveness {
     /// A block that we begin to hold.
     pub fn new(now: Duration, zone: String) -> Self {
         Self {
--- a/crates/core/src/reach/tests.rs
+++ b/crates/core/src/reachability/tests.rs
@@ -16,14 +16,14 @@
 }
 
 /// The leader, `n-0`, with block 1 held by `n-1` under term 7 for long.
-fn leader() -> Reach {
-    let mut reach = Reach::new(PERIOD);
-    reach.leased(ms(0), 1, 7);
+fn leader() -> Reachability {
+    let mut reach = Reachability::new(PERIOD);
+    reach.record_lease(ms(0), 1, 7);
     reach
 }
 
-fn block(machines: usize) -> [Looked<'static>; 1] {
-    [Looked {
+fn block(machines: usize) -> [BlockStatus<'static>; 1] {
+    [BlockStatus {
         id: 1,
         term: 7,
         holder: "n-1",
@@ -44,11 +44,11 @@
 #[test]
 fn strays_of_a_unheard_holder_move_its_block() {
     let (mut reach, now) = (leader(), ms(60_000));
-    let first = reach.strayed(now, &report(1, 7), (1, 7), "n-1");
-    assert_eq!(first, Advice::SendOn);
-    let second = reach.strayed(now + ms(50), &report(2, 7), (1, 7), "n-1");
-    assert_eq!(second, Advice::AwaitLease, "others have come");
-    reach.strayed(now + ms(90), &report(3, 7), (1, 7), "n-1");
+    let first = reach.record_stray(now, &report(1, 7), (1, 7), "n-1");
+    assert_eq!(first, StrayAction::Redirect);
+    let second = reach.record_stray(now + ms(50), &report(2, 7), (1, 7), "n-1");
+    assert_eq!(second, StrayAction::AwaitLease, "others have come");
+    reach.record_stray(now + ms(90), &report(3, 7), (1, 7), "n-1");
     let now = now + ms(100);
     assert_eq!(reach.moves(now, "n-0", &block(26)), [], "it may hear them");
     reach.hear(now, word(vec![1]));
@@ -57,8 +57,8 @@
         (moves.len(), moves[0].block, moves[0].unheard),
         (1, 1, true)
     );
-    assert!(!reach.serves(now, "n-0", "n-1", "a"));
-    assert!(reach.serves(now, "n-0", "n-1", "b"));
+    assert!(!reach.can_serve_zone(now, "n-0", "n-1", "a"));
+    assert!(reach.can_serve_zone(now, "n-0", "n-1", "b"));
     // Once the holder says that it hears somebody, nothing moves any more.
     reach.hear(now, word(Vec::new()));
     assert_eq!(reach.moves(now, "n-0", &block(26)), []);
@@ -69,23 +69,23 @@
     let (mut reach, now) = (leader(), ms(60_000));
     // New machines are sent to their holder by whoever registers them.
     for machine in 0..9 {
-        let advice = reach.strayed(now, &report(machine, 0), (1, 7), "n-1");
-        assert_eq!(advice, Advice::SendOn);
+        let advice = reach.record_stray(now, &report(machine, 0), (1, 7), "n-1");
+        assert_eq!(advice, StrayAction::Redirect);
     }
     // Not to one that hears nobody: they wait, and still prove nothing.
     reach.hear(now, word(vec![1]));
     for machine in 10..19 {
-        let advice = reach.strayed(now, &report(machine, 0), (1, 7), "n-1");
-        assert_eq!(advice, Advice::AwaitRecords);
+        let advice = reach.record_stray(now, &report(machine, 0), (1, 7), "n-1");
+        assert_eq!(advice, StrayAction::AwaitRecords);
     }
     assert_eq!(reach.moves(now, "n-0", &block(26)), []);
     // A block has just been leased: its workers look for their holder.
-    reach.leased(now, 1, 8);
+    reach.record_lease(now, 1, 8);
     for machine in 0..9 {
-        let advice = reach.strayed(now, &report(machine, 8), (1, 8), "n-2");
-        assert_eq!(advice, Advice::SendOn);
+        let advice = reach.record_stray(now, &report(machine, 8), (1, 8), "n-2");
+        assert_eq!(advice, StrayAction::Redirect);
     }
-    let young = [Looked {
+    let young = [BlockStatus {
         term: 8,
         ..block(26)[0].clone()
     }];
@@ -98,7 +98,7 @@
     let (mut reach, mut now) = (leader(), ms(60_000));
     for round in 0..2 {
         for machine in 0..5 {
-            reach.strayed(now, &report(machine, 7), (1, 7), "n-1");
+            reach.record_stray(now, &report(machine, 7), (1, 7), "n-1");
         }
         let moves = reach.moves(now, "n-0", &block(20));
         assert_eq!(moves.len(), round, "{moves:?}");
@@ -106,34 +106,34 @@
     }
     // Shunned for longer each time.
     reach.moved(now, "n-1", "a", false);
-    assert!(!reach.serves(now + ms(19_000), "n-0", "n-1", "a"));
-    assert!(reach.serves(now + ms(21_000), "n-0", "n-1", "a"));
+    assert!(!reach.can_serve_zone(now + ms(19_000), "n-0", "n-1", "a"));
+    assert!(reach.can_serve_zone(now + ms(21_000), "n-0", "n-1", "a"));
     now += ms(30_000);
     reach.moved(now, "n-1", "a", false);
-    assert!(!reach.serves(now + ms(39_000), "n-0", "n-1", "a"));
+    assert!(!reach.can_serve_zone(now + ms(39_000), "n-0", "n-1", "a"));
 }
 
 #[test]
 fn a_zone_that_is_dead_moves_nothing() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = |machines| move || BTreeMap::from([(1, ("a".to_owned(), machines))]);
     let mut now = ms(0);
     let mut unheard_at = None;
     while now < ms(120_000) {
-        reach.leased(now, 1, 7);
+        reach.record_lease(now, 1, 7);
         if now < ms(30_000) {
-            reach.heard(now, 1, "vm-1");
+            reach.record_report(now, 1, "vm-1");
         }
         reach.look(now, &[], held(26), |_| 26);
         if reach.is_unheard(1) {
             unheard_at = unheard_at.or(Some(now));
         }
-        let ours = [Looked {
+        let ours = [BlockStatus {
             holder: "n-0",
             ..block(26)[0].clone()
         }];
         assert_eq!(reach.moves(now, "n-0", &ours), []);
-        assert!(!reach.is_beyond());
+        assert!(!reach.is_isolated());
         now += ms(250);
     }
     let unheard_at = unheard_at.expect("it is noticed");
@@ -142,19 +142,19 @@
         "{unheard_at:?}"
     );
     // They are back.
-    reach.heard(now, 1, "vm-1");
+    reach.record_report(now, 1, "vm-1");
     reach.look(now + ms(250), &[], held(26), |_| 26);
-    assert!(!reach.is_unheard(1) && reach.serves(now, "n-0", "n-0", "a"));
+    assert!(!reach.is_unheard(1) && reach.can_serve_zone(now, "n-0", "n-0", "a"));
 }
 
 /// Who stood still has heard nobody meanwhile, and that means nothing.
 #[test]
 fn whoever_stood_still_is_not_unheard() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 26))]);
     for step in 0..40 {
         reach.look(ms(250 * step), &[], held, |_| 26);
-        reach.heard(ms(250 * step), 1, "vm-1");
+        reach.record_report(ms(250 * step), 1, "vm-1");
     }
     reach.look(ms(60_000), &[], held, |_| 26);
     assert!(!reach.is_unheard(1));
@@ -162,7 +162,7 @@
 
 #[test]
 fn whoever_lost_its_blocks_asks_until_somebody_answers() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 26))]);
     let names = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5"];
     let mut now = ms(0);
@@ -170,11 +170,11 @@
         reach.look(now, &[], held, |_| 26);
         now += ms(250);
     }
-    assert!(reach.is_unheard(1) && !reach.is_beyond());
+    assert!(reach.is_unheard(1) && !reach.is_isolated());
     assert_eq!(reach.questions(now, |_| names.into_iter(), |_| 0).len(), 0);
     // Its block goes to somebody else.
     reach.look(now, &[], BTreeMap::new, |_| 26);
-    assert!(reach.is_beyond() && !reach.serves(now, "n-0", "n-0", "a"));
+    assert!(reach.is_isolated() && !reach.can_serve_zone(now, "n-0", "n-0", "a"));
     // It leaves the lead to others, but not again and again, and to nobody.
     assert!(!reach.should_resign(now, false) && reach.should_resign(now, true));
     reach.resigned(now);
@@ -186,18 +186,18 @@
     reach.answered(now, "a", "vm-1");
     now += ms(250);
     reach.look(now, &[], BTreeMap::new, |_| 26);
-    assert!(reach.is_beyond(), "one is not enough");
+    assert!(reach.is_isolated(), "one is not enough");
     reach.answered(now, "a", "vm-2");
     now += ms(250);
     reach.look(now, &[], BTreeMap::new, |_| 26);
-    assert!(!reach.is_beyond() && reach.serves(now, "n-0", "n-0", "a"));
+    assert!(!reach.is_isolated() && reach.can_serve_zone(now, "n-0", "n-0", "a"));
 }
 
 /// A controller that was cut from its workers got the blocks of one that died,
 /// in zones where it had held nothing.
 #[test]
 fn whoever_hears_nobody_serves_no_zone_before_somebody_there_answers() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 26))]);
     let everywhere = ["a".to_owned(), "b".to_owned()];
     let mut now = ms(0);
@@ -205,7 +205,7 @@
         reach.look(now, &everywhere, held, |_| 26);
         now += ms(250);
     }
-    assert!(!reach.serves(now, "n-0", "n-0", "b"));
+    assert!(!reach.can_serve_zone(now, "n-0", "n-0", "b"));
     let names = ["vm-1", "vm-2", "vm-3"];
     assert_eq!(
         reach.questions(now, |_| names.into_iter(), |_| 0).len(),
@@ -214,25 +214,25 @@
     );
     reach.answered(now, "b", "vm-1");
     reach.answered(now, "b", "vm-2");
-    reach.heard(now, 1, "vm-1");
+    reach.record_report(now, 1, "vm-1");
     reach.look(now + ms(250), &everywhere, held, |_| 26);
-    assert!(reach.serves(now, "n-0", "n-0", "b"));
+    assert!(reach.can_serve_zone(now, "n-0", "n-0", "b"));
 }
 
 /// Two were cut from their workers, then peers refused each other: the words
 /// were forgotten after three seconds, and blocks went back to those two.
 #[test]
 fn what_a_peer_does_not_reach_outlasts_its_word() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let everywhere = ["a".to_owned(), "b".to_owned()];
     let said = |zones: &[String]| ReachWord {
         zones: zones.to_vec(),
         ..word(vec![])
     };
-    let later = |reach: &mut Reach, at| {
+    let later = |reach: &mut Reachability, at| {
         reach.look(ms(at), &everywhere, BTreeMap::new, |_| 26);
         (
-            reach.serves(ms(at), "n-0", "n-1", "a"),
+            reach.can_serve_zone(ms(at), "n-0", "n-1", "a"),
             reach.is_suspect("n-0", "n-1"),
         )
     };
@@ -252,14 +252,14 @@
 /// minutes, as nobody was there to answer.
 #[test]
 fn where_nobody_is_left_nobody_is_out_of_reach() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 2))]);
     for step in 0..80 {
         reach.look(ms(250 * step), &[], held, |_| 26);
     }
-    assert!(!reach.serves(ms(20_000), "n-0", "n-0", "a"));
+    assert!(!reach.can_serve_zone(ms(20_000), "n-0", "n-0", "a"));
     reach.look(ms(20_250), &[], BTreeMap::new, |_| 0);
-    assert!(!reach.is_beyond() && reach.serves(ms(20_250), "n-0", "n-0", "a"));
+    assert!(!reach.is_isolated() && reach.can_serve_zone(ms(20_250), "n-0", "n-0", "a"));
 }
 
 /// Whatever the links do, so many blocks move in a minute at most.
@@ -274,9 +274,9 @@
             reach.hear(now, word(vec![1]));
         }
         for _ in 0..3 {
-            reach.strayed(now, &report(rng.usize(0..9), term), (1, term), "n-1");
+            reach.record_stray(now, &report(rng.usize(0..9), term), (1, term), "n-1");
         }
-        let looked = [Looked {
+        let looked = [BlockStatus {
             term,
             ..block(9)[0].clone()
         }];
@@ -299,22 +299,22 @@
 #[test]
 fn a_worker_that_knows_a_later_lease_waits_until_it_is_seen() {
     let (mut reach, now) = (leader(), ms(60_000));
-    let advice = reach.strayed(now, &report(1, 8), (1, 7), "n-1");
-    assert_eq!(advice, Advice::AwaitRecords);
+    let advice = reach.record_stray(now, &report(1, 8), (1, 7), "n-1");
+    assert_eq!(advice, StrayAction::AwaitRecords);
 }
 
 /// The holder lost the block and told nothing of it any more; whoever saw the new lease
 /// later than that sent workers back to it.
 #[test]
 fn a_block_that_was_lost_while_unheard_is_told_for_a_while() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 26))]);
     let mut now = ms(0);
     while now < ms(20_000) {
         reach.look(now, &[], held, |_| 26);
         now += ms(250);
     }
-    let told = |reach: &mut Reach, now| reach.tell(now, "n-0", 1).map(|word| word.unheard);
+    let told = |reach: &mut Reachability, now| reach.tell(now, "n-0", 1).map(|word| word.unheard);
     reach.look(now, &[], BTreeMap::new, |_| 26);
     assert_eq!(told(&mut reach, now), Some(vec![1]));
     now += WORD_LIFETIME;
@@ -326,16 +326,19 @@
 /// might have looked for us.
 #[test]
 fn whoever_was_heard_is_missed_at_once() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 1))]);
     let mut unheard_at = None;
     for step in 0..80 {
         let now = ms(250 * step);
         reach.look(now, &[], held, |_| 26);
         if step == 4 {
-            reach.heard(now, 1, "vm-1");
+            reach.record_report(now, 1, "vm-1");
         }
-        let is_unheard = reach.blocks.values().any(|hearing| hearing.unheard);
+        let is_unheard = reach
+            .blocks
+            .values()
+            .any(|block_liveness| block_liveness.unheard);
         unheard_at = unheard_at.or(is_unheard.then_some(now));
     }
     let unheard_at = unheard_at.expect("it is noticed");
@@ -349,10 +352,10 @@
 #[test]
 fn a_machine_that_came_to_others_lives() {
     let (mut reach, now) = (leader(), ms(60_000));
-    reach.strayed(now, &report(1, 7), (1, 7), "n-1");
+    reach.record_stray(now, &report(1, 7), (1, 7), "n-1");
     let told = reach.tell(now, "n-0", 1).expect("there is news");
     assert!(reach.has_strayed(now, "vm-1") && !reach.has_strayed(now, "vm-2"));
-    let mut other = Reach::new(PERIOD);
+    let mut other = Reachability::new(PERIOD);
     other.hear(now, told);
     assert!(other.has_strayed(now, "vm-1"));
 }
@@ -361,14 +364,14 @@
 /// nothing more: it was missed 5 s later than others.
 #[test]
 fn the_first_machine_of_an_empty_block_is_missed_at_once() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = |machines| move || BTreeMap::from([(1, ("a".to_owned(), machines))]);
-    reach.taken(ms(0), 1, "a");
+    reach.block_acquired(ms(0), 1, "a");
     for step in 0..80 {
         reach.look(ms(250 * step), &[], held(0), |_| 0);
     }
     let heard = ms(79 * 250 + 100);
-    reach.heard(heard, 1, "vm-1");
+    reach.record_report(heard, 1, "vm-1");
     let mut now = heard + ms(150);
     while now <= heard + PERIOD * 7 / 5 {
         reach.look(now, &[], held(1), |_| 26);
@@ -386,7 +389,7 @@
     let (mut reach, now) = (leader(), ms(60_000));
     reach.hear(now, word(vec![1]));
     assert_eq!(reach.moves(now, "n-0", &block(1)), []);
-    reach.strayed(now, &report(1, 7), (1, 7), "n-1");
+    reach.record_stray(now, &report(1, 7), (1, 7), "n-1");
     let moves = reach.moves(now, "n-0", &block(5));
     assert_eq!(
         (moves.len(), moves.first().map(|m| m.unheard)),
@@ -403,27 +406,27 @@
 /// had only not heard yet.
 #[test]
 fn an_empty_block_stays_unheard_for_a_while() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = |machines| move || BTreeMap::from([(1, ("a".to_owned(), machines))]);
     let mut now = ms(0);
     while now < ms(20_000) {
         reach.look(now, &[], held(1), |_| 26);
         now += ms(250);
     }
-    let is_unheard = |reach: &Reach| reach.holder_hears_none("n-0", "n-0", 1);
+    let is_unheard = |reach: &Reachability| reach.holder_hears_none("n-0", "n-0", 1);
     reach.look(now, &[], held(0), |_| 0);
     assert!(is_unheard(&reach) && reach.is_suspect("n-0", "n-0"));
     now += ms(30_000);
     reach.look(now, &[], held(1), |_| 26);
     assert!(is_unheard(&reach), "the next one is not heard either");
-    reach.heard(now, 1, "vm-2");
+    reach.record_report(now, 1, "vm-2");
     reach.look(now + ms(250), &[], held(1), |_| 26);
     assert!(!is_unheard(&reach));
 }
 
 #[test]
 fn an_empty_block_is_not_unheard_for_ever() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = |machines| move || BTreeMap::from([(1, ("a".to_owned(), machines))]);
     for step in 0..400 {
         let machines = usize::from(step < 80);
@@ -436,7 +439,7 @@
 /// answered it where there was one.
 #[test]
 fn no_more_answers_are_needed_than_there_are_machines() {
-    let mut reach = Reach::new(PERIOD);
+    let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 1))]);
     let mut now = ms(0);
     while now < ms(20_000) {
@@ -444,8 +447,8 @@
         now += ms(250);
     }
     reach.look(now, &[], BTreeMap::new, |_| 1);
-    assert!(!reach.serves(now, "n-0", "n-0", "a"));
+    assert!(!reach.can_serve_zone(now, "n-0", "n-0", "a"));
     reach.answered(now, "a", "vm-1");
     reach.look(now + ms(250), &[], BTreeMap::new, |_| 1);
-    assert!(reach.serves(now, "n-0", "n-0", "a"));
+    assert!(reach.can_serve_zone(now, "n-0", "n-0", "a"));
 }
--- a/crates/core/src/carry.rs
+++ b/crates/core/src/relay.rs
@@ -39,7 +39,7 @@
 
 /// The one owner of what is carried, both ways.
 #[derive(Debug, Default)]
-pub(crate) struct Carry {
+pub(crate) struct Relay {
     /// Requests of users that have no answer yet.
     kept: BTreeMap<ConnId, Kept>,
     /// Those that are with a peer.
@@ -48,9 +48,16 @@
     carried: BTreeSet<ConnId>,
 }
 
-impl Carry {
+impl Relay {
     /// A user's request has come in.
-    pub fn keep(&mut self, now: Duration, conn: ConnId, method: Method, path: &str, body: &[u8]) {
+    pub fn store_request(
+        &mut self,
+        now: Duration,
+        conn: ConnId,
+        method: Method,
+        path: &str,
+        body: &[u8],
+    ) {
         let asks = match method {
             Method::Get => true,
             Method::Post => false,
@@ -69,7 +76,11 @@
 
     /// A request that can't be served here: what to send to a peer, and how long
     /// to wait. None if it was not a user's, or if there is no time or no room.
-    pub fn carry(&mut self, now: Duration, conn: ConnId) -> Option<(CarriedRequest, Duration)> {
+    pub fn take_request(
+        &mut self,
+        now: Duration,
+        conn: ConnId,
+    ) -> Option<(CarriedRequest, Duration)> {
         let kept = self.kept.remove(&conn)?;
         let waits = match kept.request.asks {
             true => POLL_WAITS,
@@ -84,7 +95,7 @@
     }
 
     /// What a peer made of it; none if that is no answer for a user.
-    pub fn back(&mut self, conn: ConnId, reply: &Reply) -> Option<Answer> {
+    pub fn unwrap_answer(&mut self, conn: ConnId, reply: &Reply) -> Option<Answer> {
         self.out.remove(&conn);
         let Reply::Answer { status: 200, body } = reply else {
             return None;
@@ -99,13 +110,13 @@
     }
 
     /// A peer has carried a request to us.
-    pub fn arrived(&mut self, conn: ConnId) {
+    pub fn request_received(&mut self, conn: ConnId) {
         self.carried.insert(conn);
     }
 
     /// An answer leaves; one to what a peer has carried here goes in an envelope,
     /// so that it can't be mistaken for one to the peer itself.
-    pub fn leaves(&mut self, answer: &mut Answer) {
+    pub fn wrap_answer(&mut self, answer: &mut Answer) {
         self.kept.remove(&answer.conn);
         if !self.carried.remove(&answer.conn) {
             return;
@@ -129,26 +140,26 @@
         Duration::from_millis(n)
     }
 
-    fn at(carry: &mut Carry, conn: ConnId, method: Method) {
-        carry.keep(ms(1000), conn, method, "work/j-000001", b"");
+    fn at(relay: &mut Relay, conn: ConnId, method: Method) {
+        relay.store_request(ms(1000), conn, method, "work/j-000001", b"");
     }
 
     #[test]
     fn a_request_is_carried_once_and_in_time() {
-        let mut carry = Carry::default();
-        at(&mut carry, 1, Method::Get);
-        let (request, left) = carry.carry(ms(2500), 1).expect("time is left");
+        let mut relay = Relay::default();
+        at(&mut relay, 1, Method::Get);
+        let (request, left) = relay.take_request(ms(2500), 1).expect("time is left");
         assert_eq!((request.asks, left), (true, ms(300)));
-        assert_eq!(carry.carry(ms(2500), 1), None, "twice");
-        at(&mut carry, 2, Method::Get);
-        assert_eq!(carry.carry(ms(2700), 2), None, "too late");
-        at(&mut carry, 3, Method::Post);
-        assert_eq!(carry.carry(ms(2700), 3).map(|c| c.1), Some(MOST));
-        assert_eq!(carry.carry(ms(2700), 4), None, "not a user's");
+        assert_eq!(relay.take_request(ms(2500), 1), None, "twice");
+        at(&mut relay, 2, Method::Get);
+        assert_eq!(relay.take_request(ms(2700), 2), None, "too late");
+        at(&mut relay, 3, Method::Post);
+        assert_eq!(relay.take_request(ms(2700), 3).map(|c| c.1), Some(MOST));
+        assert_eq!(relay.take_request(ms(2700), 4), None, "not a user's");
         for conn in 10..40 {
-            at(&mut carry, conn, Method::Get);
+            at(&mut relay, conn, Method::Get);
         }
-        let out = (10..40).filter(|c| carry.carry(ms(1100), *c).is_some());
+        let out = (10..40).filter(|c| relay.take_request(ms(1100), *c).is_some());
         assert_eq!(out.count(), MOST_OUT - 2);
     }
 
@@ -156,29 +167,31 @@
     /// have heard that an accepted job does not exist.
     #[test]
     fn only_what_is_in_an_envelope_is_a_users_answer() {
-        let (mut here, mut there) = (Carry::default(), Carry::default());
-        there.arrived(7);
+        let (mut here, mut there) = (Relay::default(), Relay::default());
+        there.request_received(7);
         let mut answer = Answer {
             conn: 7,
             status: 404,
             body: vec![1, 2],
             retry_after: Some(ms(2000)),
         };
-        there.leaves(&mut answer);
+        there.wrap_answer(&mut answer);
         assert_eq!((answer.status, answer.retry_after), (200, None));
         let reply = |status, body: &[u8]| Reply::Answer {
             status,
             body: body.to_vec(),
         };
-        let back = here.back(1, &reply(200, &answer.body)).expect("an answer");
+        let back = here
+            .unwrap_answer(1, &reply(200, &answer.body))
+            .expect("an answer");
         assert_eq!((back.conn, back.status, back.body), (1, 404, vec![1, 2]));
         assert_eq!(back.retry_after, Some(ms(2000)));
         for none in [reply(404, &answer.body), reply(200, b"x"), Reply::Lost] {
-            assert!(here.back(1, &none).is_none(), "{none:?}");
+            assert!(here.unwrap_answer(1, &none).is_none(), "{none:?}");
         }
         // Its own are left as they are.
         answer.status = 201;
-        there.leaves(&mut answer);
+        there.wrap_answer(&mut answer);
         assert_eq!(answer.status, 201);
     }
 }
--- a/crates/core/src/rooms.rs
+++ b/crates/core/src/rooms.rs
@@ -19,9 +19,9 @@
 
 use crate::{
     controller::Controller,
+    machine_status::MachineStatus,
     placement::kept,
     records::{BlockId, Place, Term},
-    seen::Seen,
 };
 
 /// How often all machines are looked at, for what time alone changes.
@@ -205,7 +205,7 @@
         let record = self.view.machines.get(name)?;
         let block = self.view.blocks.get(&record.block)?;
         let kind = self.types.get(&record.kind)?;
-        let (seen, fresh) = self.seen(name, block)?;
+        let (seen, fresh) = self.machine_status(name, block)?;
         let total = kind.amounts();
         let tasks = self.tasks_on(seen, record.block, fresh);
         let free = if fresh {
@@ -245,7 +245,12 @@
         })
     }
 
-    fn tasks_on(&self, seen: &Seen, block: BlockId, fresh: bool) -> Vec<(TaskId, Rc<JobSpec>)> {
+    fn tasks_on(
+        &self,
+        seen: &MachineStatus,
+        block: BlockId,
+        fresh: bool,
+    ) -> Vec<(TaskId, Rc<JobSpec>)> {
         let here = |task: &&TaskId| {
             let job = self.view.jobs.get(&task.job);
             let place = job.map(|j| j.place(task.index));
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -334,7 +334,7 @@
             }
         }
         for name in touched {
-            self.touch(&name);
+            self.mark_changed(&name);
         }
     }
 
--- a/crates/core/src/sockets.rs
+++ b/crates/core/src/sockets.rs
@@ -33,7 +33,7 @@
 
 /// What we make connections of our own for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Lane {
+pub enum OutboundKind {
     /// State service and cloud.
     Outside,
     /// The other controllers.
@@ -42,7 +42,7 @@
     Orders,
 }
 
-impl Lane {
+impl OutboundKind {
     /// All of them.
     pub const ALL: [Self; 3] = [Self::Outside, Self::Peers, Self::Orders];
 
@@ -83,9 +83,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Close {
     /// One that came in.
-    Came(SocketId),
+    Inbound(SocketId),
     /// The longest unused ones that we have kept.
-    Kept(Lane, usize),
+    Idle(OutboundKind, usize),
 }
 
 /// What the process has open that is no connection: streams, listeners, what
@@ -221,14 +221,14 @@
     }
 
     /// How many connections are open, both ways.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         let out: usize = self.out.iter().map(|o| o.calls + o.kept).sum();
         self.sockets.len() + out
     }
 
     /// A connection came in. If it can't be had, it is itself among those to
     /// be closed.
-    pub fn opened(&mut self, now: Duration, id: SocketId, side: Side) -> Vec<Close> {
+    pub fn connection_opened(&mut self, now: Duration, id: SocketId, side: Side) -> Vec<Close> {
         let group = match side {
             Side::Public => Group::Users,
             Side::Internal => Group::Peers,
@@ -236,7 +236,7 @@
         let mut close = Vec::new();
         if !self.make_room(now, group, &mut close) {
             self.turned_away += 1;
-            close.push(Close::Came(id));
+            close.push(Close::Inbound(id));
             return close;
         }
         let socket = Socket {
@@ -251,7 +251,7 @@
     }
 
     /// A request came in on a connection.
-    pub fn asked(&mut self, now: Duration, id: SocketId, conn: ConnId) {
+    pub fn request_received(&mut self, now: Duration, id: SocketId, conn: ConnId) {
         self.happens(now, id, true);
         if self.sockets.contains_key(&id) {
             self.asked.insert(conn, id);
@@ -259,7 +259,7 @@
     }
 
     /// The request is a worker's report.
-    pub fn is_worker(&mut self, now: Duration, conn: ConnId, name: &str) -> Vec<Close> {
+    pub fn identify_worker(&mut self, now: Duration, conn: ConnId, name: &str) -> Vec<Close> {
         let mut close = Vec::new();
         let Some(&id) = self.asked.get(&conn) else {
             return close;
@@ -281,11 +281,11 @@
         match self.newest.get(name).copied() {
             // Held up on its way: the worker has a newer one, on which it
             // lives. This one will not be heard of again.
-            Some(newer) if newer > id => close.push(Close::Came(id)),
+            Some(newer) if newer > id => close.push(Close::Inbound(id)),
             Some(older) => {
                 self.newest.insert(name.to_owned(), id);
                 self.remove(older);
-                close.push(Close::Came(older));
+                close.push(Close::Inbound(older));
             }
             None => {
                 self.newest.insert(name.to_owned(), id);
@@ -293,30 +293,35 @@
         }
         // It counted as a user's until now.
         let over = self.used(Group::Workers) > self.shares.workers;
-        if over && self.open() >= self.shares.total {
+        if over && self.open_count() >= self.shares.total {
             self.evict(now, Group::Workers, false, Some(id), &mut close);
         }
         close
     }
 
     /// A request has its answer.
-    pub fn answered(&mut self, now: Duration, conn: ConnId) {
+    pub fn request_answered(&mut self, now: Duration, conn: ConnId) {
         if let Some(id) = self.asked.remove(&conn) {
             self.happens(now, id, false);
         }
     }
 
     /// A connection that came in has ended.
-    pub fn ended(&mut self, id: SocketId) {
+    pub fn connection_closed(&mut self, id: SocketId) {
         self.remove(id);
     }
 
     /// A call of our own begins; `doubtful` if it is to a worker that has not
     /// answered lately.
-    pub fn calls(&mut self, now: Duration, lane: Lane, doubtful: bool) -> Vec<Close> {
+    pub fn call_started(
+        &mut self,
+        now: Duration,
+        lane: OutboundKind,
+        doubtful: bool,
+    ) -> Vec<Close> {
         let mut close = Vec::new();
         let out = &mut self.out[lane as usize];
-        if out.kept > 0 && lane != Lane::Orders {
+        if out.kept > 0 && lane != OutboundKind::Orders {
             // Most likely over one that we have kept.
             out.kept -= 1;
         } else {
@@ -330,7 +335,7 @@
     }
 
     /// A call of our own is over.
-    pub fn called(&mut self, lane: Lane, doubtful: bool) {
+    pub fn call_finished(&mut self, lane: OutboundKind, doubtful: bool) {
         let calls = &mut self.out[lane as usize].calls;
         *calls = calls.saturating_sub(1);
         self.doubtful = self.doubtful.saturating_sub(usize::from(doubtful));
@@ -338,14 +343,14 @@
 
     /// Whether direct orders may go out now; those that must wait are tried
     /// again when calls are over.
-    pub fn may_order(&self, doubtful: bool) -> bool {
-        let calls = self.out[Lane::Orders as usize].calls;
+    pub fn may_send_order(&self, doubtful: bool) -> bool {
+        let calls = self.out[OutboundKind::Orders as usize].calls;
         let most = (self.shares.orders / DOUBTFUL_PART).max(1);
         calls < self.shares.orders && (!doubtful || self.doubtful < most)
     }
 
     /// How many connections of ours are open without a use, for each purpose.
-    pub fn kept(&mut self, kept: [usize; 3]) {
+    pub fn set_idle(&mut self, kept: [usize; 3]) {
         for (out, kept) in self.out.iter_mut().zip(kept) {
             out.kept = kept;
         }
@@ -359,7 +364,7 @@
                 && now >= since + PATIENCE
             {
                 self.remove(id);
-                close.push(Close::Came(id));
+                close.push(Close::Inbound(id));
             }
         }
         let pressed = self.closed + self.turned_away > 0;
@@ -396,21 +401,21 @@
     }
 
     fn used(&self, group: Group) -> usize {
-        let out = |lane: Lane| {
+        let out = |lane: OutboundKind| {
             let out = self.out[lane as usize];
             out.calls + out.kept
         };
         match group {
             Group::Users => self.users.len(),
-            Group::Workers => self.workers.len() + out(Lane::Orders),
-            Group::Peers => self.peers.len() + out(Lane::Peers),
-            Group::Outside => out(Lane::Outside),
+            Group::Workers => self.workers.len() + out(OutboundKind::Orders),
+            Group::Peers => self.peers.len() + out(OutboundKind::Peers),
+            Group::Outside => out(OutboundKind::Outside),
         }
     }
 
     /// Sees to it that the group can have one more. False if it can't.
     fn make_room(&mut self, now: Duration, group: Group, close: &mut Vec<Close>) -> bool {
-        while self.open() >= self.shares.total {
+        while self.open_count() >= self.shares.total {
             let entitled = self.used(group) < self.shares.of(group);
             if !self.evict(now, group, entitled, None, close) {
                 return false;
@@ -429,10 +434,10 @@
         spare: Option<SocketId>,
         close: &mut Vec<Close>,
     ) -> bool {
-        let orders = &mut self.out[Lane::Orders as usize].kept;
+        let orders = &mut self.out[OutboundKind::Orders as usize].kept;
         if *orders > 0 {
             *orders -= 1;
-            close.push(Close::Kept(Lane::Orders, 1));
+            close.push(Close::Idle(OutboundKind::Orders, 1));
             return true;
         }
         let victim = self.gave_up(now, spare).or_else(|| {
@@ -448,7 +453,7 @@
         };
         self.closed += 1;
         self.remove(id);
-        close.push(Close::Came(id));
+        close.push(Close::Inbound(id));
         true
     }
 
@@ -538,10 +543,10 @@
 
     /// A connection on which a worker reports and gets its answer.
     fn worker(sockets: &mut Sockets, now: Duration, id: u64, name: &str) -> Vec<Close> {
-        let mut close = sockets.opened(now, SocketId(id), Side::Public);
-        sockets.asked(now, SocketId(id), id);
-        close.extend(sockets.is_worker(now, id, name));
-        sockets.answered(now, id);
+        let mut close = sockets.connection_opened(now, SocketId(id), Side::Public);
+        sockets.request_received(now, SocketId(id), id);
+        close.extend(sockets.identify_worker(now, id, name));
+        sockets.request_answered(now, id);
         close
     }
 
@@ -562,14 +567,14 @@
     fn a_worker_that_came_again_loses_its_older_connection() {
         let mut sockets = Sockets::new(&settings(100));
         assert_eq!(worker(&mut sockets, S, 1, "vm-1"), []);
-        let older = Close::Came(SocketId(1));
+        let older = Close::Inbound(SocketId(1));
         assert_eq!(worker(&mut sockets, 2 * S, 2, "vm-1"), [older]);
         // What was held up on an older connection does not end the newer one.
-        sockets.opened(3 * S, SocketId(4), Side::Public);
+        sockets.connection_opened(3 * S, SocketId(4), Side::Public);
         assert_eq!(worker(&mut sockets, 4 * S, 5, "vm-2"), []);
-        sockets.asked(5 * S, SocketId(4), 4);
-        let late = Close::Came(SocketId(4));
-        assert_eq!(sockets.is_worker(5 * S, 4, "vm-2"), [late]);
+        sockets.request_received(5 * S, SocketId(4), 4);
+        let late = Close::Inbound(SocketId(4));
+        assert_eq!(sockets.identify_worker(5 * S, 4, "vm-2"), [late]);
         assert!(sockets.sockets.contains_key(&SocketId(5)));
     }
 
@@ -588,12 +593,12 @@
             }
             id += 1;
             let probe = SocketId(id);
-            let close = sockets.opened(now, probe, Side::Public);
-            assert!(!close.contains(&Close::Came(probe)), "at {now:?}");
-            sockets.asked(now, probe, id);
-            sockets.answered(now, id);
-            sockets.ended(probe);
-            assert!(sockets.open() <= sockets.shares.total);
+            let close = sockets.connection_opened(now, probe, Side::Public);
+            assert!(!close.contains(&Close::Inbound(probe)), "at {now:?}");
+            sockets.request_received(now, probe, id);
+            sockets.request_answered(now, id);
+            sockets.connection_closed(probe);
+            assert!(sockets.open_count() <= sockets.shares.total);
         }
         assert!(closed > 5000, "{closed}");
     }
@@ -603,19 +608,19 @@
         let mut sockets = Sockets::new(&settings(200));
         let most = sockets.shares.orders;
         let mut doubtful = 0;
-        while sockets.may_order(true) {
-            sockets.calls(S, Lane::Orders, true);
+        while sockets.may_send_order(true) {
+            sockets.call_started(S, OutboundKind::Orders, true);
             doubtful += 1;
         }
         assert!(doubtful <= most / DOUBTFUL_PART, "{doubtful} of {most}");
         let mut calls = doubtful;
-        while sockets.may_order(false) {
-            sockets.calls(S, Lane::Orders, false);
+        while sockets.may_send_order(false) {
+            sockets.call_started(S, OutboundKind::Orders, false);
             calls += 1;
         }
         assert_eq!(calls, most);
-        sockets.called(Lane::Orders, true);
-        assert!(sockets.may_order(true));
+        sockets.call_finished(OutboundKind::Orders, true);
+        assert!(sockets.may_send_order(true));
     }
 
     /// What is open, as plainly as it can be said.
@@ -630,7 +635,7 @@
     impl Plain {
         fn used(&self, group: Group) -> usize {
             let came = self.came.iter().filter(|c| c.1 == group).count();
-            let lanes = Lane::ALL.into_iter().filter(|l| l.group() == group);
+            let lanes = OutboundKind::ALL.into_iter().filter(|l| l.group() == group);
             let calls: usize = lanes.map(|l| self.calls[l as usize]).sum();
             came + calls
                 + if group == Group::Workers {
@@ -640,7 +645,7 @@
                 }
         }
 
-        fn open(&self) -> usize {
+        fn open_count(&self) -> usize {
             GROUPS.iter().map(|g| self.used(*g)).sum()
         }
 
@@ -653,7 +658,7 @@
         /// What goes for one more of this group.
         fn victim(&self, now: Duration, group: Group, sockets: &Sockets) -> Option<Close> {
             if self.kept > 0 {
-                return Some(Close::Kept(Lane::Orders, 1));
+                return Some(Close::Idle(OutboundKind::Orders, 1));
             }
             let first = self.longest(|p, i| p.came[i].1 == Group::Workers);
             let gave_up = first.filter(|id| {
@@ -679,13 +684,13 @@
             };
             let id = gave_up.or_else(|| self.longest(can_go));
             let id = id.or_else(|| self.longest(|p, i| short && of_group(p, i)));
-            id.map(|id| Close::Came(SocketId(id)))
+            id.map(|id| Close::Inbound(SocketId(id)))
         }
 
         fn close(&mut self, close: Close) {
             match close {
-                Close::Came(id) => self.came.retain(|c| c.0 != id.0),
-                Close::Kept(..) => self.kept -= 1,
+                Close::Inbound(id) => self.came.retain(|c| c.0 != id.0),
+                Close::Idle(..) => self.kept -= 1,
             }
         }
     }
@@ -705,21 +710,22 @@
                 }
                 assert!(plain.came.iter().all(|c| now < c.2 + PATIENCE));
                 if rng.u8(0..8) == 0 {
-                    let lane = rng.choice(Lane::ALL).expect("one");
-                    let begins = rng.bool() && (lane != Lane::Orders || sockets.may_order(false));
+                    let lane = rng.choice(OutboundKind::ALL).expect("one");
+                    let begins = rng.bool()
+                        && (lane != OutboundKind::Orders || sockets.may_send_order(false));
                     if begins && sockets.used(lane.group()) < sockets.shares.of(lane.group()) {
-                        while plain.open() >= sockets.shares.total {
+                        while plain.open_count() >= sockets.shares.total {
                             let victim = plain.victim(now, lane.group(), &sockets);
                             plain.close(victim.expect("an entitled one has room"));
                         }
-                        sockets.calls(now, lane, false);
+                        sockets.call_started(now, lane, false);
                         plain.calls[lane as usize] += 1;
                     } else if plain.calls[lane as usize] > 0 {
-                        sockets.called(lane, false);
+                        sockets.call_finished(lane, false);
                         plain.calls[lane as usize] -= 1;
-                        if lane == Lane::Orders {
+                        if lane == OutboundKind::Orders {
                             plain.kept += 1;
-                            sockets.kept([0, 0, plain.kept]);
+                            sockets.set_idle([0, 0, plain.kept]);
                         }
                     }
                     continue;
@@ -736,17 +742,21 @@
                 };
                 let mut expected = Vec::new();
                 let entitled = plain.used(group) < sockets.shares.of(group);
-                while plain.open() >= sockets.shares.total {
+                while plain.open_count() >= sockets.shares.total {
                     let Some(victim) = plain.victim(now, group, &sockets) else {
-                        expected.push(Close::Came(SocketId(id)));
+                        expected.push(Close::Inbound(SocketId(id)));
                         break;
                     };
                     expected.push(victim);
                     plain.close(victim);
                 }
-                assert_eq!(sockets.opened(now, SocketId(id), side), expected, "{seed}");
+                assert_eq!(
+                    sockets.connection_opened(now, SocketId(id), side),
+                    expected,
+                    "{seed}"
+                );
                 evicted += expected.len();
-                if expected.contains(&Close::Came(SocketId(id))) {
+                if expected.contains(&Close::Inbound(SocketId(id))) {
                     assert!(
                         !entitled,
                         "{seed}: {group:?} is turned away below its share"
@@ -759,7 +769,7 @@
                 // an answer.
                 if rng.u8(0..4) > 0 {
                     let came = plain.came.len() - 1;
-                    sockets.asked(now, SocketId(id), id);
+                    sockets.request_received(now, SocketId(id), id);
                     plain.came[came].3 = true;
                     if side == Side::Public && rng.bool() {
                         let name = format!("vm-{}", rng.u8(0..60));
@@ -767,14 +777,14 @@
                         let older = older.map(|c| c.0);
                         plain.came[came].1 = Group::Workers;
                         plain.came[came].4 = Some(name.clone());
-                        let close = sockets.is_worker(now, id, &name);
-                        assert!(older.is_none_or(|o| close.contains(&Close::Came(SocketId(o)))));
+                        let close = sockets.identify_worker(now, id, &name);
+                        assert!(older.is_none_or(|o| close.contains(&Close::Inbound(SocketId(o)))));
                         for close in close {
                             plain.close(close);
                         }
                     }
                     if rng.u8(0..6) > 0 {
-                        sockets.answered(now, id);
+                        sockets.request_answered(now, id);
                         if let Some(came) = plain.came.iter_mut().find(|c| c.0 == id) {
                             came.3 = false;
                         }
@@ -784,9 +794,9 @@
                     && let Some(ends) = rng.choice(0..plain.came.len())
                 {
                     let id = plain.came.remove(ends).0;
-                    sockets.ended(SocketId(id));
+                    sockets.connection_closed(SocketId(id));
                 }
-                assert_eq!(sockets.open(), plain.open(), "seed {seed}");
+                assert_eq!(sockets.open_count(), plain.open_count(), "seed {seed}");
                 for group in GROUPS {
                     assert_eq!(sockets.used(group), plain.used(group), "seed {seed}");
                 }
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -266,7 +266,7 @@
     /// went on coming to it for as long as the cut lasted.
     fn is_cut_off(&self) -> bool {
         let silent = self.now > self.store.answered + CUT_OFF;
-        silent && !self.settings.peers.is_empty() && !self.hears_peers()
+        silent && !self.settings.peers.is_empty() && !self.has_fresh_peer()
     }
 
     /// Shares the limits among the controllers that are up: one that is not
--- a/crates/core/src/store/session.rs
+++ b/crates/core/src/store/session.rs
@@ -124,7 +124,7 @@
     /// Takes the lead when nobody has it, or when it belongs to an earlier
     /// incarnation of this very controller, which is surely gone.
     pub(super) fn seek_leadership(&mut self) {
-        let backs_off = self.backs_off_from_lead();
+        let backs_off = self.defers_candidacy();
         let Some(hold) = self.store.hold.filter(|_| !backs_off) else {
             return;
         };
--- a/crates/core/src/store/tests.rs
+++ b/crates/core/src/store/tests.rs
@@ -241,7 +241,7 @@
                     drain: Vec::new(),
                     preempt: Vec::new(),
                 };
-                controller.hear(9, message);
+                controller.receive_peer_message(9, message);
             }
         }
         controller.healthy()
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -13,7 +13,7 @@
     Method as HttpMethod, Request, Url,
     headers::{CONNECTION, CONTENT_TYPE, RETRY_AFTER},
 };
-use oliveshift_core::{Call, Method, Reply, sockets::Lane};
+use oliveshift_core::{Call, Method, Reply, sockets::OutboundKind};
 
 use crate::stream::Stream;
 
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 struct Idle {
     stream: Stream,
-    lane: Lane,
+    lane: OutboundKind,
     since: Instant,
 }
 
@@ -78,7 +78,7 @@
         };
         let done = exchange.or(late).await;
         if done.keep {
-            self.put(addr, Lane::of(&call.to), stream);
+            self.put(addr, OutboundKind::of(&call.to), stream);
         }
         (done.reply, done.come_back)
     }
@@ -104,7 +104,7 @@
         None
     }
 
-    fn put(&self, addr: SocketAddr, lane: Lane, stream: Stream) {
+    fn put(&self, addr: SocketAddr, lane: OutboundKind, stream: Stream) {
         let mut idle = self.idle.borrow_mut();
         let streams = idle.entry(addr).or_default();
         if streams.len() < KEEP_MOST {
@@ -118,7 +118,7 @@
         }
     }
 
-    fn count(&self, lane: Lane, change: impl Fn(usize) -> usize) {
+    fn count(&self, lane: OutboundKind, change: impl Fn(usize) -> usize) {
         let mut kept = self.kept.get();
         kept[lane as usize] = change(kept[lane as usize]);
         self.kept.set(kept);
@@ -135,7 +135,7 @@
     }
 
     /// Closes the longest unused connections of a lane.
-    pub fn close(&self, lane: Lane, count: usize) {
+    pub fn close(&self, lane: OutboundKind, count: usize) {
         let mut since: Vec<_> = {
             let idle = self.idle.borrow();
             let of_lane = idle.values().flatten().filter(|i| i.lane == lane);
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -215,10 +215,10 @@
                         let _ = waiting.try_send(());
                     }
                 }
-                Output::Close(Close::Came(id)) => {
+                Output::Close(Close::Inbound(id)) => {
                     self.serving.borrow_mut().remove(&id);
                 }
-                Output::Close(Close::Kept(lane, count)) => self.client.close(lane, count),
+                Output::Close(Close::Idle(lane, count)) => self.client.close(lane, count),
                 Output::End(why) => {
                     log::error!("{why}");
                     self.ended.set(true);
--- a/crates/testkit/src/net.rs
+++ b/crates/testkit/src/net.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use oliveshift_core::{CallId, SocketId, sockets::Lane};
+use oliveshift_core::{CallId, SocketId, sockets::OutboundKind};
 
 /// For how long a connection that a call was made over is kept.
 const KEEP: Duration = Duration::from_secs(20);
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub struct Sockets {
     came: BTreeSet<SocketId>,
-    calls: HashMap<CallId, (Lane, String)>,
+    calls: HashMap<CallId, (OutboundKind, String)>,
     /// Connections without a use: since when, by address.
     kept: BTreeMap<String, Duration>,
 }
@@ -59,7 +59,7 @@
     }
 
     /// The controller makes a call.
-    pub fn calls(&mut self, id: CallId, lane: Lane, address: &str) {
+    pub fn calls(&mut self, id: CallId, lane: OutboundKind, address: &str) {
         self.kept.remove(address);
         self.calls.insert(id, (lane, address.to_owned()));
     }
@@ -67,7 +67,7 @@
     /// A call is over; its connection is kept if it got an answer. Only those
     /// to workers are many enough to be counted.
     pub fn called(&mut self, now: Duration, id: CallId, answered: bool) {
-        if let Some((Lane::Orders, address)) = self.calls.remove(&id)
+        if let Some((OutboundKind::Orders, address)) = self.calls.remove(&id)
             && answered
         {
             self.kept.insert(address, now);
@@ -87,7 +87,7 @@
     pub fn kept(&mut self, now: Duration) -> [usize; 3] {
         self.kept.retain(|_, at| now < *at + KEEP);
         let mut kept = [0; 3];
-        kept[Lane::Orders as usize] = self.kept.len();
+        kept[OutboundKind::Orders as usize] = self.kept.len();
         kept
     }
 }
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -6,7 +6,7 @@
 use oliveshift_core::{
     Call, CallId, Input, Method, Reply, Request, Side, SocketId, Target,
     records::{Key, Level},
-    sockets::Lane,
+    sockets::OutboundKind,
 };
 use oliveshift_wire::{decode, encode, state::Txn, worker::DirectOrders};
 
@@ -238,7 +238,7 @@
             Target::State | Target::Cloud | Target::Peer(_) => "",
         };
         let sockets = &mut self.nodes[node].sockets;
-        sockets.calls(id, Lane::of(&call.to), address);
+        sockets.calls(id, OutboundKind::of(&call.to), address);
         self.sockets.peak = self.sockets.peak.max(sockets.open());
         let second = self.now.as_secs();
         match &call.to {
--- a/crates/testkit/src/world/processes.rs
+++ b/crates/testkit/src/world/processes.rs
@@ -178,8 +178,8 @@
                     self.take_in(node, Input::Request(request));
                 }
             }
-            Output::Close(Close::Came(id)) => self.closed(node, life, id),
-            Output::Close(Close::Kept(_, count)) => {
+            Output::Close(Close::Inbound(id)) => self.closed(node, life, id),
+            Output::Close(Close::Idle(_, count)) => {
                 self.nodes[node].sockets.close_kept(count);
             }
             Output::Answer(answer) => {
