--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -19,9 +19,9 @@
     call::{ConnId, Method},
     controller::Controller,
     gate::Verdict,
-    records::{JobRecord, Key, Level, Phase, TooLarge, chunk_size},
+    records::{FormatLevel, JobRecord, JobTooLarge, Key, Phase, max_chunk_tasks},
     store::{Outcome, Purpose, Urgency},
-    user_writes::{Follows, UserWrite, UserWrites, WriteId},
+    user_writes::{UserWrite, UserWrites, WriteId, WriteResolution},
     view::Job,
 };
 
@@ -102,7 +102,7 @@
             Ok(spec) => spec,
             Err(e) => return self.refuse(conn, 400, &e.to_string()),
         };
-        if self.program < Level::PIPELINES {
+        if self.program < FormatLevel::PIPELINES {
             spec.awaits.clear();
         }
         let id = spec.id.clone();
@@ -126,7 +126,7 @@
             log::debug!("{id}: refused: {why}");
             return self.refuse(conn, 422, why);
         }
-        if !spec.awaits.is_empty() && self.level() < Level::PIPELINES {
+        if !spec.awaits.is_empty() && self.level() < FormatLevel::PIPELINES {
             // An old program would start it at once.
             return self.come_back(conn, "not all controllers can keep jobs that await others");
         }
@@ -167,19 +167,19 @@
             spec.awaits
         );
         let limits = self.limits();
-        let at_ms = self.day.as_millis() as u64;
+        let accepted_ms = self.day.as_millis() as u64;
         let record = JobRecord {
             phase: Phase::Open,
             tasks: spec.tasks,
-            at_ms,
-            chunk: chunk_size(self.level(), limits.value_kb),
+            accepted_ms,
+            chunk_size: max_chunk_tasks(self.level(), limits.value_kb),
             spec: Some((*spec).clone()),
-            more: 0,
+            spec_overflow_count: 0,
             done_ms: None,
             service: false,
         };
         let records = match record.split(&id, self.level(), limits) {
-            Ok(records) if records.len() > 1 && self.level() < Level::PIPELINES => {
+            Ok(records) if records.len() > 1 && self.level() < FormatLevel::PIPELINES => {
                 // An old program could not make it whole again.
                 return self.come_back(conn, "not all controllers can keep so long a job");
             }
@@ -201,7 +201,7 @@
                 .collect(),
         };
         if json_len(&txn) > MAX_TXN {
-            return self.refuse(conn, 422, &TooLarge::Lists.to_string());
+            return self.refuse(conn, 422, &JobTooLarge::Lists.to_string());
         }
         let present = self.view.admission.as_ref();
         let present = present.map(|r| (r.version, &r.record));
@@ -229,7 +229,7 @@
             wish: Wish::Submit,
             since: self.now,
             spec: Some(spec),
-            at_ms: Some(at_ms),
+            at_ms: Some(accepted_ms),
         };
         let spec = ask.spec.clone();
         if !self.write_for_user(ask, txn) {
@@ -298,7 +298,7 @@
     fn write_for_user(&mut self, ask: Ask, txn: Txn) -> bool {
         let id = (ask.job.clone(), ask.conn);
         if self.admission.writes.len() >= MOST_WAITING
-            || !self.txn(txn.clone(), Purpose::User(id), Urgency::User)
+            || !self.send_txn(txn.clone(), Purpose::User(id), Urgency::User)
         {
             self.come_back(ask.conn, "too many requests at once");
             return false;
@@ -318,7 +318,7 @@
             let Some(txn) = self.admission.writes.txn(&id).cloned() else {
                 continue;
             };
-            if self.txn(txn, Purpose::User(id.clone()), Urgency::Later) {
+            if self.send_txn(txn, Purpose::User(id.clone()), Urgency::Background) {
                 self.admission.writes.sent(self.now, &id);
             }
         }
@@ -327,18 +327,18 @@
     /// A request for a user's write has come to an outcome.
     pub(crate) fn user_written(&mut self, id: &WriteId, outcome: Outcome) {
         match self.admission.writes.answered(id, outcome) {
-            Follows::Nothing => {}
-            Follows::Confirmed(ask) => self.tell_written(&ask),
+            WriteResolution::Nothing => {}
+            WriteResolution::Confirmed(ask) => self.tell_written(&ask),
             // Known already: by a retry that came in elsewhere, or by this write's
             // own first request.
-            Follows::Conflict(ask, _) if ask.wish == Wish::Submit => {
+            WriteResolution::Conflict(ask, _) if ask.wish == Wish::Submit => {
                 let since = self.now;
                 self.admission.asks.push(Ask { since, ..ask });
             }
-            Follows::Conflict(ask, revision) => {
+            WriteResolution::Conflict(ask, revision) => {
                 self.admission.cancels.push((ask, revision));
             }
-            Follows::Failed(mut write) => {
+            WriteResolution::Failed(mut write) => {
                 if !write.is_in_doubt() {
                     // Surely not executed.
                     write.ask.at_ms = None;
@@ -347,7 +347,7 @@
             }
         }
         self.cancels_progress();
-        self.read_for_asks();
+        self.refresh_view();
     }
 
     /// Lets somebody else answer a user who can't be answered here. A submission whose
@@ -365,13 +365,13 @@
         let Some(job) = self.view.jobs.get(id) else {
             return;
         };
-        let (at_ms, is_cancelled) = (job.at_ms, job.phase == Phase::Cancelled);
+        let (at_ms, is_cancelled) = (job.accepted_ms, job.phase == Phase::Cancelled);
         let shows = |ask: &Ask| match ask.wish {
             Wish::Submit => ask.has_written(at_ms),
             Wish::Abort => is_cancelled,
             Wish::Poll => false,
         };
-        for ask in self.admission.writes.take_shown(id, shows) {
+        for ask in self.admission.writes.take_confirmed(id, shows) {
             self.tell_written(&ask);
         }
     }
@@ -476,7 +476,7 @@
             spec,
             at_ms: None,
         });
-        self.read_for_asks();
+        self.refresh_view();
     }
 
     /// A read begun after they asked has ended.
@@ -504,7 +504,7 @@
                 (None, _) => self.refuse(ask.conn, 404, "no such job"),
                 (Some(true), Wish::Abort) => self.cancel(ask),
                 (Some(_), _) => {
-                    let at_ms = self.view.jobs.get(&ask.job).map(|j| j.at_ms);
+                    let at_ms = self.view.jobs.get(&ask.job).map(|j| j.accepted_ms);
                     let is_ours = at_ms.is_some_and(|at_ms| ask.has_written(at_ms));
                     self.tell(ask.conn, &ask.job, if is_ours { 201 } else { 200 });
                 }
@@ -591,12 +591,12 @@
         for ask in given_up {
             self.give_up(&ask, "the state service did not answer in time");
         }
-        self.read_for_asks();
+        self.refresh_view();
     }
 }
 
 fn status_of(id: &JobId, job: &Job) -> JobStatus {
-    let running = job.handed_total();
+    let running = job.assigned_total();
     let phase = match job.phase {
         Phase::Done => JobPhase::Done,
         Phase::Cancelled => JobPhase::Cancelled,
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -56,7 +56,7 @@
         }
         let Some(term) = term else { return };
         if !self.invariants.may_hold(id, term) {
-            return self.leave_membership();
+            return self.rejoin();
         }
         log::info!("block {id}: taken under term {term}");
         let held = Held { term, lost: 0 };
@@ -65,7 +65,12 @@
             self.reachability
                 .block_acquired(self.now, id, &block.record.zone);
         }
-        let names = self.view.in_block.get(&id).cloned().unwrap_or_default();
+        let names = self
+            .view
+            .machines_by_block
+            .get(&id)
+            .cloned()
+            .unwrap_or_default();
         for name in names {
             self.machine_changed(&name);
         }
@@ -504,7 +509,13 @@
             return Some(Nowhere::BlockProven { silent_until: None });
         }
         let mut silent_until = None;
-        for name in self.view.in_block.get(&block).into_iter().flatten() {
+        for name in self
+            .view
+            .machines_by_block
+            .get(&block)
+            .into_iter()
+            .flatten()
+        {
             let machine = self.machines.get(name).filter(|m| m.settled())?;
             silent_until = silent_until.max(machine.lease.over_since());
         }
@@ -524,9 +535,9 @@
             self.expire(&name, at);
         }
         // The watch under way was sent before these leases were over.
-        self.store.proof_wanted = !silent.unproven.is_empty() && self.in_contact();
-        if self.store.proof_wanted {
-            self.read_for_asks();
+        self.store.needs_fresh_read = !silent.unproven.is_empty() && self.in_contact();
+        if self.store.needs_fresh_read {
+            self.refresh_view();
         }
         // A block without machines hears no report that would settle it.
         let lost = self.held.iter().filter(|(_, h)| h.lost > 0);
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -33,12 +33,12 @@
     peers::{NonMemberPeers, PeerLink, PeerState},
     reachability::Reachability,
     recorder::{Busy, News},
-    records::{BlockId, Key, Level},
+    records::{BlockId, FormatLevel, Key},
     relay::Relay,
     slots::Slot,
     snapshot::SnapshotPart,
     sockets::{Close, OutboundKind, SocketId, Sockets},
-    store::{Outcome, Purpose, Store},
+    store::{Outcome, Purpose, StoreClient},
     team_use::TeamUse,
     tuning::Tuning,
     upgrade::Upgrade,
@@ -228,7 +228,7 @@
         doubtful: bool,
     },
     Peer(String, u64),
-    Level(String),
+    FormatLevel(String),
     Reach,
     Carried(ConnId),
     ForwardedReport(ConnId),
@@ -256,7 +256,7 @@
         match self {
             Self::Orders { .. } | Self::Inspect { .. } => OutboundKind::Orders,
             Self::Peer(..)
-            | Self::Level(_)
+            | Self::FormatLevel(_)
             | Self::Reach
             | Self::Carried(_)
             | Self::ForwardedReport(_) => OutboundKind::Peers,
@@ -284,7 +284,7 @@
     /// The limits of the state service that are to come.
     pub(crate) lowered: StateLimits,
     /// The newest form of records that this program knows.
-    pub(crate) program: Level,
+    pub(crate) program: FormatLevel,
     pub(crate) upgrade: Upgrade,
     pub(crate) sockets: Sockets,
     pub(crate) intake: Intake,
@@ -301,7 +301,7 @@
     next_call: CallId,
     pub(crate) calls: HashMap<CallId, (Pending, Duration)>,
     pub(crate) view: View,
-    pub(crate) store: Store,
+    pub(crate) store: StoreClient,
     pub(crate) invariants: Invariants,
     pub(crate) admission: Admission,
     /// Our shares of what may be let in.
@@ -362,14 +362,14 @@
             .collect();
         Self {
             incarnation: rng.u64(1..1 << 53),
-            store: Store::new(&settings),
+            store: StoreClient::new(&settings),
             fleet: Fleet::new(&settings),
             sockets: Sockets::new(&settings),
             intake: Intake::default(),
             unsettled: false,
             settled_at: Duration::ZERO,
             lowered: settings.params.state.lowered(),
-            program: Level::OWN,
+            program: FormatLevel::SUPPORTED,
             upgrade: Upgrade::default(),
             tuning,
             rng,
@@ -413,7 +413,7 @@
     /// A stand-in for a program that knows no newer form than `level`: what it
     /// can't read it does not see, as the program in production does not.
     #[cfg(feature = "sabotage")]
-    pub fn of_level(settings: Settings, seed: u64, level: Level) -> Self {
+    pub fn of_level(settings: Settings, seed: u64, level: FormatLevel) -> Self {
         Self {
             program: level,
             ..Self::new(settings, seed)
@@ -526,7 +526,7 @@
 
     fn pass(&mut self, now: Now) {
         if now.steady > self.now + STALLED {
-            self.stood_still(now.steady);
+            self.record_pause(now.steady);
         }
         self.now = self.now.max(now.steady);
         self.day = now.day;
@@ -607,22 +607,22 @@
                 }
             }
             (Side::Internal, (Some("reach"), None, ..), Method::Post)
-                if self.program >= Level::PIPELINES =>
+                if self.program >= FormatLevel::PIPELINES =>
             {
                 self.receive_reach_message(conn, &body);
             }
             (Side::Internal, (Some("carry"), None, ..), Method::Post)
-                if self.program >= Level::PIPELINES =>
+                if self.program >= FormatLevel::PIPELINES =>
             {
                 self.receive_relayed_request(conn, &body);
             }
             (Side::Internal, (Some("forward"), None, ..), Method::Post)
-                if self.program >= Level::PIPELINES =>
+                if self.program >= FormatLevel::PIPELINES =>
             {
                 self.receive_forwarded_report(conn, &body);
             }
             (Side::Internal, (Some("level"), None, ..), Method::Get)
-                if self.program >= Level::PIPELINES =>
+                if self.program >= FormatLevel::PIPELINES =>
             {
                 self.tell_level(conn);
             }
@@ -652,11 +652,11 @@
             self.store.answered = self.now;
         }
         match pending {
-            Pending::NewHold => self.hold_granted(&reply, sent),
-            Pending::TouchHold => self.hold_touched(&reply, sent),
-            Pending::Snapshot(part) => self.snapshot_read(part, sent, &reply),
-            Pending::Watch { after } => self.watched(after, sent, &reply),
-            Pending::Read { after, asks } => self.read_done(after, sent, asks, &reply),
+            Pending::NewHold => self.lease_grant_answered(&reply, sent),
+            Pending::TouchHold => self.lease_renewal_answered(&reply, sent),
+            Pending::Snapshot(part) => self.snapshot_answered(part, sent, &reply),
+            Pending::Watch { after } => self.watch_answered(after, sent, &reply),
+            Pending::Read { after, asks } => self.read_answered(after, sent, asks, &reply),
             Pending::Txn(purpose, txn) => {
                 let outcome = self.txn_outcome(&reply);
                 self.txn_done(purpose, txn, outcome);
@@ -669,7 +669,7 @@
                 ..
             } => self.orders_done(&machine, &starts, term, &reply),
             Pending::Peer(peer, version) => self.peer_message_answered(&peer, version, &reply),
-            Pending::Level(node) => self.level_told(&node, &reply),
+            Pending::FormatLevel(node) => self.level_told(&node, &reply),
             Pending::Reach => {}
             Pending::Carried(conn) => self.relay_answered(conn, &reply),
             Pending::ForwardedReport(conn) => self.forward_answered(conn, &reply),
@@ -680,11 +680,11 @@
     fn txn_done(&mut self, purpose: Purpose, txn: Txn, outcome: Outcome) {
         match purpose {
             Purpose::Member => self.member_written(outcome),
-            Purpose::Lead => self.lead_written(outcome),
+            Purpose::Leadership => self.lead_written(outcome),
             Purpose::User(id) => self.user_written(&id, outcome),
             Purpose::Chunk(id, part) => self.chunk_written(id, part, txn, outcome),
-            Purpose::Lead2(what) => self.duty_written(what, outcome),
-            Purpose::Lists => self.lists_written(&txn, outcome),
+            Purpose::LeaderWrite(what) => self.duty_written(what, outcome),
+            Purpose::Lists => self.machine_lists_written(&txn, outcome),
             Purpose::Upgrade(step) => self.upgrade_written(step, outcome),
         }
     }
@@ -699,7 +699,7 @@
                 self.answer_waiting_strays();
             }
             Key::Machines(..) => {
-                for name in std::mem::take(&mut self.view.news) {
+                for name in std::mem::take(&mut self.view.changed_machines) {
                     self.machine_changed(&name);
                 }
             }
@@ -712,7 +712,11 @@
                 let level = self.view.level();
                 log::info!("the records are of level {} from now on", level.0);
             }
-            Key::Settings | Key::More(..) | Key::Level(_) | Key::Lowered | Key::Admission => {}
+            Key::Settings
+            | Key::SpecOverflow(..)
+            | Key::FormatLevel(_)
+            | Key::LoweredLimits
+            | Key::Admission => {}
         }
         if let Some(leader) = &mut self.leader {
             leader.plan_due = true;
--- a/crates/core/src/fixtures.rs
+++ b/crates/core/src/fixtures.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     controller::Controller,
-    records::{BlockRecord, Key, Level, ListedMachine, MachineList},
+    records::{BlockRecord, FormatLevel, Key, ListedMachine, MachineList},
 };
 
 /// Controller n-0 of one zone, before it has read any record. `members` are the others,
@@ -44,7 +44,7 @@
         spot: false,
         addr: "10.1.0.1:9000".into(),
     };
-    MachineList::new(Level::FIRST, "a".into(), vec![machine])
+    MachineList::new(FormatLevel::FIRST, "a".into(), vec![machine])
 }
 
 /// Shows records to a controller, each with its version.
--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -32,7 +32,7 @@
     call::{Answer, ConnId, Reply},
     controller::{Controller, Pending},
     reachability::StrayAction,
-    records::{BlockId, Level, Term},
+    records::{BlockId, FormatLevel, Term},
 };
 use holder::Inbox;
 pub(crate) use origin::{Fallback, Outstanding};
@@ -122,7 +122,7 @@
             return false;
         }
         // Whoever is behind would get to the answer too late.
-        let may = self.level() >= Level::PIPELINES
+        let may = self.level() >= FormatLevel::PIPELINES
             && self.intake.is_empty()
             && self.forwarding.outbox.has_room()
             && self.is_peer_fresh(to);
--- a/crates/core/src/handout.rs
+++ b/crates/core/src/handout.rs
@@ -27,7 +27,7 @@
     controller::Controller,
     drain::Progress,
     floors::Flow,
-    records::{BlockId, Key, Phase, Place, Term, pairs_at_most},
+    records::{BlockId, Key, Phase, TaskStatus, Term, max_block_terms},
     rooms::{Room, Rooms},
     serving::{Queued, latest_starts, most_share, waited_s},
     store::Urgency,
@@ -177,7 +177,7 @@
             .view
             .active
             .iter()
-            .filter_map(|id| self.view.jobs.get(id).map(|j| (j.since_ms, id, j)))
+            .filter_map(|id| self.view.jobs.get(id).map(|j| (j.ready_ms, id, j)))
             .filter(|(_, _, job)| job.phase == Phase::Open)
             .collect();
         open.sort_by_key(|(at, id, _)| (*at, *id));
@@ -204,7 +204,7 @@
                     flow: flow.clone(),
                     work_s: most_share(&need, &plan.fleet) * spec.estimate_s,
                     done: job.done,
-                    handed: job.handed_total(),
+                    handed: job.assigned_total(),
                     length_s: spec.estimate_s,
                 };
                 progress.insert(id.clone(), seen);
@@ -229,9 +229,9 @@
                     guaranteed,
                     priority: self.view.priority(id, spec),
                     order_ms: latest.map_or(at, |at| at.as_millis() as u64),
-                    waited_s: waited_s(self.day, job.since_ms),
+                    waited_s: waited_s(self.day, job.ready_ms),
                     latest_s: latest_starts(aims, job, spec, self.day, takes_s),
-                    begun: job.handed_total() > 0,
+                    begun: job.assigned_total() > 0,
                     length_s,
                     starved_turn: false,
                 });
@@ -313,11 +313,11 @@
         };
         let Some(spec) = job.spec.clone() else { return };
         let share = self.team_share(&spec.team).unwrap_or_default();
-        let job_at = job.since_ms as f64 / 1e3;
+        let job_at = job.ready_ms as f64 / 1e3;
         let need = spec.amounts();
         let doubt = self.in_doubt(id, job);
         let mut in_zone: BTreeMap<String, u32> = BTreeMap::new();
-        for (block, n) in &job.handed {
+        for (block, n) in &job.assigned {
             if let Some(b) = self.view.blocks.get(block) {
                 *in_zone.entry(b.record.zone.clone()).or_default() += n;
             }
@@ -355,7 +355,7 @@
         let mut full = false;
         let mut limited = false;
         let limits = self.limits();
-        let most_pairs = |count| pairs_at_most(self.level(), limits.value_bytes(), count);
+        let most_pairs = |count| max_block_terms(self.level(), limits.value_bytes(), count);
         // The other conditions are on the leader, the chunk and the job.
         let most_blocks = limits.txn_conds().saturating_sub(3);
         for part in 0..job.chunk_count() {
@@ -363,7 +363,7 @@
                 break;
             }
             // A job of 100,000 tasks has hundreds of chunks that are done.
-            let waits = |c: &Chunk| c.places.contains(&Place::Waiting);
+            let waits = |c: &Chunk| c.task_statuses.contains(&TaskStatus::Waiting);
             if self.busy.contains_key(&(id.clone(), part))
                 || !job.chunks.get(&part).is_none_or(waits)
             {
@@ -390,7 +390,7 @@
                 if may_hand == 0 {
                     break;
                 }
-                if job.place(index) != Place::Waiting {
+                if job.task_status(index) != TaskStatus::Waiting {
                     continue;
                 }
                 let used = plan.used.entry(spec.team.clone()).or_default();
@@ -507,7 +507,7 @@
         let Some(lead) = self.leader_cond() else {
             return;
         };
-        let spare = !self.writes_are_rich();
+        let spare = !self.has_spare_writes();
         let Some(job) = self.view.jobs.get(id) else {
             return;
         };
@@ -523,8 +523,8 @@
         }
         let (first, count) = job.chunk_span(part);
         let mut places = match job.chunks.get(&part) {
-            Some(chunk) => chunk.places.clone(),
-            None => vec![Place::Waiting; count],
+            Some(chunk) => chunk.task_statuses.clone(),
+            None => vec![TaskStatus::Waiting; count],
         };
         let key = Key::Chunk(id.clone(), part).path();
         let mut conds = vec![
@@ -544,7 +544,7 @@
             let room = &plan.rooms.list[*at];
             let (block, term) = (room.block, room.term);
             if let Some(place) = places.get_mut((index - first) as usize) {
-                *place = Place::Handed { block, term };
+                *place = TaskStatus::Assigned { block, term };
             }
             handed.push((*index, block));
             if blocks.insert(block) {
@@ -584,10 +584,10 @@
 /// The blocks, with their terms, that tasks of a chunk are handed to.
 fn handed_to(job: &Job, part: u32) -> BTreeSet<(BlockId, Term)> {
     let chunk = job.chunks.get(&part);
-    let places = chunk.into_iter().flat_map(|c| &c.places);
+    let places = chunk.into_iter().flat_map(|c| &c.task_statuses);
     places
         .filter_map(|place| match place {
-            Place::Handed { block, term } => Some((*block, *term)),
+            TaskStatus::Assigned { block, term } => Some((*block, *term)),
             _ => None,
         })
         .collect()
--- a/crates/core/src/invariants.rs
+++ b/crates/core/src/invariants.rs
@@ -54,7 +54,7 @@
     },
     /// A task was handed to us again under the term under which we started it, with
     /// no proof in between that it has ended.
-    HandedAgain {
+    AssignedAgain {
         /// The task.
         task: TaskId,
         /// The machine that it was started on.
@@ -89,7 +89,7 @@
                 f,
                 "attempt {attempt} of {task} was about to start, as {evidence}, for which the block is not proven to be ours"
             ),
-            Self::HandedAgain {
+            Self::AssignedAgain {
                 task,
                 machine,
                 attempt,
@@ -113,7 +113,7 @@
 
 impl Invariants {
     /// Notes a violation.
-    pub fn violated(&mut self, violation: &Violation) {
+    pub fn report(&mut self, violation: &Violation) {
         self.violations += 1;
         log::error!("invariant violated: {violation}");
     }
@@ -135,14 +135,14 @@
     pub fn may_hold(&mut self, block: BlockId, term: Term) -> bool {
         let is_new = self.lost_terms.get(&block).is_none_or(|lost| term > *lost);
         if !is_new {
-            self.violated(&Violation::TermRegained { block, term });
+            self.report(&Violation::TermRegained { block, term });
         }
         is_new
     }
 
     /// A task that we started is no longer among ours, and nothing proves its end.
     pub fn started_task_dropped(&mut self, task: &TaskId, block: BlockId, bound: Bound) {
-        self.violated(&Violation::StartedTaskDropped {
+        self.report(&Violation::StartedTaskDropped {
             task: task.clone(),
             machine: bound.machine.clone(),
             attempt: bound.attempt,
@@ -151,9 +151,9 @@
     }
 
     /// Where a task that is handed to us may be already, if we started it before.
-    pub fn take_started(&mut self, task: &TaskId) -> Option<Bound> {
+    pub fn take_dropped(&mut self, task: &TaskId) -> Option<Bound> {
         let (_, bound) = self.dropped.remove(task)?;
-        self.violated(&Violation::HandedAgain {
+        self.report(&Violation::AssignedAgain {
             task: task.clone(),
             machine: bound.machine.clone(),
             attempt: bound.attempt,
--- a/crates/core/src/invariants/tests.rs
+++ b/crates/core/src/invariants/tests.rs
@@ -28,17 +28,17 @@
 fn a_started_task_that_was_dropped_is_remembered_until_its_term_is_over() {
     let mut invariants = Invariants::default();
     let [one, other]: [TaskId; 2] = ["j-1/0", "j-1/1"].map(|t| t.parse().expect("a task"));
-    assert!(invariants.take_started(&one).is_none());
+    assert!(invariants.take_dropped(&one).is_none());
     assert_eq!(invariants.violations(), 0);
     invariants.started_task_dropped(&one, 1, bound());
     invariants.started_task_dropped(&other, 2, bound());
-    let again = invariants.take_started(&one).map(|b| b.attempt);
+    let again = invariants.take_dropped(&one).map(|b| b.attempt);
     assert_eq!(again, Some(7));
     assert!(
-        invariants.take_started(&one).is_none(),
+        invariants.take_dropped(&one).is_none(),
         "it is a slot again"
     );
     invariants.term_lost(2, 5);
-    assert!(invariants.take_started(&other).is_none());
+    assert!(invariants.take_dropped(&other).is_none());
     assert_eq!(invariants.violations(), 3);
 }
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -17,7 +17,7 @@
     controller::Controller,
     gate::{Demands, Steward},
     lists::ListWrite,
-    records::{BlockId, BlockRecord, Key, Level, Phase, to_list, to_map},
+    records::{BlockId, BlockRecord, FormatLevel, Key, Phase, to_list, to_map},
     rooms::Rooms,
     serving::Serving,
     store::{Outcome, Purpose, Urgency},
@@ -130,7 +130,7 @@
         });
         let version = mine.map(|l| l.version);
         if version == self.leader.as_ref().map(|l| l.version) {
-            return self.share_budget();
+            return self.update_request_budgets();
         }
         match version {
             Some(version) => {
@@ -171,7 +171,7 @@
                 }
             }
         }
-        self.share_budget();
+        self.update_request_budgets();
     }
 
     /// A report of a machine that has no record.
@@ -243,7 +243,7 @@
         }
         self.lease_blocks(tidy);
         self.move_unreachable_blocks();
-        self.keep_lists();
+        self.update_machine_lists();
         self.finish();
         if tidy {
             self.admit();
@@ -256,7 +256,7 @@
         let at = self.now + REDO;
         let known = |l: &Leader| l.duties.contains_key(&duty);
         if self.leader.as_ref().is_none_or(known)
-            || !self.txn(txn, Purpose::Lead2(duty.clone()), urgency)
+            || !self.send_txn(txn, Purpose::LeaderWrite(duty.clone()), urgency)
         {
             return false;
         }
@@ -295,7 +295,7 @@
         let mut loads = self.loads();
         for (id, version, zone) in orphans {
             if let Some(holder) = self.best_holder(&zone, &loads, None) {
-                let size = self.view.count_in(&id) + 1;
+                let size = self.view.machine_count(&id) + 1;
                 *loads.entry(holder.clone()).or_default() += size;
                 self.lease_block(id, version, zone, &holder, &LeaseReason::HolderGone);
             }
@@ -351,7 +351,7 @@
         let mut loads = BTreeMap::new();
         for (id, block) in &self.view.blocks {
             if self.view.holder_is_up(&block.record) {
-                let size = self.view.count_in(id) + 1;
+                let size = self.view.machine_count(id) + 1;
                 *loads.entry(block.record.holder.clone()).or_default() += size;
             }
         }
@@ -434,7 +434,7 @@
                 let member = self.view.members.get(node);
                 member.is_some_and(|m| m.record.zone == block.record.zone)
             };
-            let size = self.view.count_in(id) + 1;
+            let size = self.view.machine_count(id) + 1;
             let load = load_of(holder);
             let node = self.view.members.keys().find(|node| {
                 let gap = load.saturating_sub(load_of(node));
@@ -491,7 +491,7 @@
             return;
         };
         // An old program knows no such record and goes on as before.
-        if self.level() < Level::PIPELINES {
+        if self.level() < FormatLevel::PIPELINES {
             return;
         }
         let Some(lead) = self.leader_cond() else {
@@ -551,7 +551,7 @@
             phase => phase,
         };
         let busy = |part: &u32| self.busy.contains_key(&(id.clone(), *part));
-        if job.handed_total() > 0 || job.chunks.keys().any(busy) {
+        if job.assigned_total() > 0 || job.chunks.keys().any(busy) {
             return None;
         }
         let mut conds = vec![Cond {
@@ -564,8 +564,8 @@
         }
         let chunks = job.chunks.iter();
         let chunks = chunks.map(|(part, chunk)| (Key::Chunk(id.clone(), *part), chunk.version));
-        let pieces = job.pieces.iter();
-        let pieces = pieces.map(|(k, piece)| (Key::More(id.clone(), *k), piece.version));
+        let pieces = job.spec_overflow.iter();
+        let pieces = pieces.map(|(k, piece)| (Key::SpecOverflow(id.clone(), *k), piece.version));
         let most = self.limits().txn_ops;
         for (key, version) in chunks.chain(pieces).take(most - changes.len()) {
             let key = key.path();
@@ -626,7 +626,7 @@
             }
         }
         for (ids, conds, changes) in batches {
-            self.compact(ids, conds, changes, Urgency::Tidy);
+            self.compact(ids, conds, changes, Urgency::Cleanup);
         }
     }
 }
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -14,7 +14,7 @@
     controller::{Controller, Pending, route},
     leader::{Duty, LeaseReason},
     reachability::{BlockStatus, StrayAction},
-    records::{BlockId, Level},
+    records::{BlockId, FormatLevel},
     store::Urgency,
 };
 
@@ -151,7 +151,7 @@
         for machine in ask {
             self.inspect(machine);
         }
-        if self.level() < Level::PIPELINES {
+        if self.level() < FormatLevel::PIPELINES {
             return;
         }
         let node = &self.settings.node;
@@ -175,7 +175,7 @@
         // Whoever is behind gets to the peer's answer, or to its absence, too late: a
         // poll carried on with 0.3 s left was answered after its 2 s.
         let behind = !self.intake.is_empty();
-        if peers.is_empty() || behind || self.level() < Level::PIPELINES {
+        if peers.is_empty() || behind || self.level() < FormatLevel::PIPELINES {
             return self.come_back(conn, why);
         }
         let peer = peers[self.rng.usize(0..peers.len())].clone();
@@ -259,7 +259,7 @@
                 id: *id,
                 term: b.version,
                 holder: &b.record.holder,
-                machines: self.view.count_in(id),
+                machines: self.view.machine_count(id),
             })
             .collect();
         let us = &self.settings.node;
@@ -284,7 +284,7 @@
             let Some(holder) = holder else { continue };
             let reason = LeaseReason::Unreachable(found.why);
             if self.lease_block(found.block, block.version, zone.clone(), &holder, &reason) {
-                let size = self.view.count_in(&found.block) + 1;
+                let size = self.view.machine_count(&found.block) + 1;
                 *loads.entry(holder).or_default() += size;
                 self.reachability.moved(now, &from, &zone, found.unheard);
             }
--- a/crates/core/src/lists.rs
+++ b/crates/core/src/lists.rs
@@ -20,7 +20,7 @@
 use crate::{
     controller::Controller,
     recorder::Step,
-    records::{BlockId, BlockRecord, Key, Level, ListedMachine, MachineList},
+    records::{BlockId, BlockRecord, FormatLevel, Key, ListedMachine, MachineList},
     store::{Outcome, Purpose, Urgency},
 };
 
@@ -62,7 +62,7 @@
         let machines = self.view.machines.len() + waiting;
         let blocks = self.settings.peers_and_me() * self.tuning.blocks_each;
         let mut most = self.tuning.block_most;
-        if self.level() < Level::PIPELINES {
+        if self.level() < FormatLevel::PIPELINES {
             let fits = self.limits().value_kb * 1024.0 / ENTRY_BYTES;
             most = most.min(fits as usize);
         }
@@ -73,7 +73,7 @@
 
     /// Takes machines that have reported into blocks of their zone, and
     /// removes those that are surely gone.
-    pub(crate) fn keep_lists(&mut self) {
+    pub(crate) fn update_machine_lists(&mut self) {
         let now = self.now;
         let revision = self.view.revision;
         let Some(leader) = &mut self.leader else {
@@ -91,7 +91,7 @@
             let mut gone = self.fleet.gone.keys();
             since >= GATHER_GONE && gone.any(|name| self.view.machines.contains_key(name))
         } else {
-            since >= GATHER || self.writes_are_rich()
+            since >= GATHER || self.has_spare_writes()
         };
         if !due {
             return;
@@ -115,7 +115,7 @@
             let key = Key::Machines(id, piece).path();
             txn.conds.push(Cond {
                 key: key.clone(),
-                version: self.view.list_version(id, piece),
+                version: self.view.machine_list_version(id, piece),
             });
             txn.changes.push(Change::Put {
                 key,
@@ -127,7 +127,7 @@
     }
 
     fn send_lists(&mut self, txn: Txn, in_doubt: bool) {
-        if self.txn(txn.clone(), Purpose::Lists, Urgency::Safety)
+        if self.send_txn(txn.clone(), Purpose::Lists, Urgency::Safety)
             && let Some(leader) = &mut self.leader
         {
             leader.lists_at = self.now;
@@ -149,7 +149,7 @@
         let Some((txn, impossible)) = write.map(|w| (w.txn.clone(), w.impossible)) else {
             return;
         };
-        if !impossible && self.fits(&txn) {
+        if !impossible && self.txn_fits(&txn) {
             return self.send_lists(txn, true);
         }
         let first = txn.changes.first().and_then(|change| match change {
@@ -159,7 +159,7 @@
             return;
         };
         let key = Key::Machines(id, piece).path();
-        let version = self.view.list_version(id, piece);
+        let version = self.view.machine_list_version(id, piece);
         if txn
             .conds
             .iter()
@@ -188,7 +188,7 @@
     }
 
     fn list_fits(&self, id: BlockId, machines: &[ListedMachine]) -> bool {
-        self.level() < Level::PIPELINES
+        self.level() < FormatLevel::PIPELINES
             || json_len(&self.list_value(id, machines.to_vec())) <= self.limits().value_bytes()
     }
 
@@ -200,7 +200,7 @@
     /// The number of a list that a block does not have yet.
     fn next_piece(&self, id: BlockId, lists: &Lists) -> u32 {
         let all = (id, 0)..=(id, u32::MAX);
-        let known = self.view.lists.range(all.clone()).next_back();
+        let known = self.view.machine_lists.range(all.clone()).next_back();
         let planned = lists.range(all).next_back();
         let last = known.map(|(at, _)| at.1).max(planned.map(|(at, _)| at.1));
         last.map_or(0, |last| last + 1)
@@ -263,8 +263,8 @@
             // How many a block has by the lists as they will be.
             let count = |id: &BlockId| {
                 let planned = lists.range((*id, 0)..=(*id, u32::MAX));
-                planned.fold(self.view.count_in(id), |n, (at, list)| {
-                    let before = self.view.lists.get(at).map_or(0, |l| l.names.len());
+                planned.fold(self.view.machine_count(id), |n, (at, list)| {
+                    let before = self.view.machine_lists.get(at).map_or(0, |l| l.names.len());
                     (n + list.len()).saturating_sub(before)
                 })
             };
@@ -321,7 +321,7 @@
     }
 
     fn list_of(&self, id: BlockId, piece: u32) -> Vec<ListedMachine> {
-        let listing = self.view.lists.get(&(id, piece));
+        let listing = self.view.machine_lists.get(&(id, piece));
         let machine = |name: &String| {
             let record = self.view.machines.get(name)?;
             Some(ListedMachine {
@@ -335,7 +335,7 @@
         names.filter_map(machine).collect()
     }
 
-    pub(crate) fn lists_written(&mut self, txn: &Txn, outcome: Outcome) {
+    pub(crate) fn machine_lists_written(&mut self, txn: &Txn, outcome: Outcome) {
         let now = self.now;
         let Some(leader) = &mut self.leader else {
             return;
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -145,7 +145,7 @@
             log::debug!("{task}: attempt {attempt} is not started on {name}: {why:?}");
             if let NoStart::NoTenure(evidence) = why {
                 let task = task.clone();
-                self.invariants.violated(&Violation::StartWithoutTenure {
+                self.invariants.report(&Violation::StartWithoutTenure {
                     task,
                     attempt,
                     evidence,
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -110,7 +110,7 @@
     }
 
     fn choose(&self, slot: &Slot) -> Option<(String, u64, u64)> {
-        let names = self.view.in_block.get(&slot.block)?;
+        let names = self.view.machines_by_block.get(&slot.block)?;
         let spec = &slot.spec;
         let candidates: Vec<_> = names
             .iter()
--- a/crates/core/src/recorder.rs
+++ b/crates/core/src/recorder.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     controller::Controller,
-    records::{ChunkRecord, JobRecord, Key, Level, Phase, Place},
+    records::{ChunkRecord, FormatLevel, JobRecord, Key, Phase, TaskStatus},
     slots::State,
     store::{Outcome, Purpose, Urgency},
     view::Job,
@@ -112,7 +112,7 @@
                     true => todo.push((2, since, id, part)),
                     false => self.look_again(id, part, since + GATHER_NEAR_LIMIT),
                 }
-            } else if now >= since + GATHER_MORE || self.writes_are_rich() {
+            } else if now >= since + GATHER_MORE || self.has_spare_writes() {
                 todo.push((3, since, id, part));
             } else {
                 self.look_again(id, part, since + GATHER_MORE);
@@ -124,7 +124,7 @@
             let urgency = match rank {
                 0 | 1 => Urgency::Safety,
                 2 => Urgency::Quota,
-                _ => Urgency::Later,
+                _ => Urgency::Background,
             };
             match self.chunk_news(&id, part) {
                 Wanted::Nothing => {
@@ -198,14 +198,14 @@
         };
         let limits = self.limits();
         let (first, _) = job.chunk_span(part);
-        let mut places = chunk.places.clone();
+        let mut places = chunk.task_statuses.clone();
         let mut done = 0;
         let mut blocks = Vec::new();
         // The other conditions are on the chunk and the job; what goes beyond
         // the limit goes with the next write.
         let most_blocks = limits.txn_conds().saturating_sub(2);
         for (i, place) in places.iter_mut().enumerate() {
-            let Place::Handed { block, term } = *place else {
+            let TaskStatus::Assigned { block, term } = *place else {
                 continue;
             };
             let task = id.task(first + i as u32);
@@ -219,10 +219,10 @@
             }
             match slot.state {
                 State::Done => {
-                    *place = Place::Done;
+                    *place = TaskStatus::Done;
                     done += 1;
                 }
-                State::Leaving => *place = Place::Waiting,
+                State::Leaving => *place = TaskStatus::Waiting,
                 _ => continue,
             }
             if !known {
@@ -283,7 +283,7 @@
             phase,
             ..job.record()
         };
-        if self.level() >= Level::PIPELINES {
+        if self.level() >= FormatLevel::PIPELINES {
             record.service = job.service;
             let now = self.day.as_millis() as u64;
             record.done_ms = (phase == Phase::Done).then_some(now);
@@ -302,16 +302,16 @@
         &self,
         key: String,
         first: u32,
-        mut places: Vec<Place>,
+        mut places: Vec<TaskStatus>,
     ) -> Option<Change> {
         let (level, most) = (self.level(), self.limits().value_bytes());
-        let pack = |places: &[Place]| {
+        let pack = |places: &[TaskStatus]| {
             let value = ChunkRecord::pack(level, first, places)?.to_value();
-            (level < Level::PIPELINES || json_len(&value) <= most).then_some(value)
+            (level < FormatLevel::PIPELINES || json_len(&value) <= most).then_some(value)
         };
         let value = pack(&places).or_else(|| {
             for place in &mut places {
-                if let Place::Handed { block, term } = place
+                if let TaskStatus::Assigned { block, term } = place
                     && self
                         .view
                         .blocks
@@ -343,7 +343,7 @@
         urgency: Urgency,
     ) -> bool {
         let base = self.view.chunk_version(id, part);
-        if !self.txn(txn.clone(), Purpose::Chunk(id.clone(), part), urgency) {
+        if !self.send_txn(txn.clone(), Purpose::Chunk(id.clone(), part), urgency) {
             return false;
         }
         let busy = Busy {
@@ -411,7 +411,7 @@
             .map(|(key, b)| {
                 (
                     key.clone(),
-                    b.impossible || !self.fits(&b.txn),
+                    b.impossible || !self.txn_fits(&b.txn),
                     b.txn.clone(),
                 )
             })
@@ -428,7 +428,7 @@
                 }
             }
             let purpose = Purpose::Chunk(id.clone(), part);
-            if self.txn(txn.clone(), purpose, Urgency::Safety)
+            if self.send_txn(txn.clone(), purpose, Urgency::Safety)
                 && let Some(busy) = self.busy.get_mut(&(id, part))
             {
                 busy.step = Step::Sent;
@@ -442,8 +442,8 @@
         let job = self.view.jobs.get(id)?;
         let (first, count) = job.chunk_span(part);
         let places = match job.chunks.get(&part) {
-            Some(chunk) => chunk.places.clone(),
-            None => vec![Place::Waiting; count],
+            Some(chunk) => chunk.task_statuses.clone(),
+            None => vec![TaskStatus::Waiting; count],
         };
         let key = Key::Chunk(id.clone(), part).path();
         let cond = Cond {
--- a/crates/core/src/recorder/tests.rs
+++ b/crates/core/src/recorder/tests.rs
@@ -73,26 +73,26 @@
         value,
         version,
     };
-    let handed = |i: u32| Place::Handed {
+    let handed = |i: u32| TaskStatus::Assigned {
         block: i % 60,
         term: 900_000 + u64::from(i),
     };
     let mut places: Vec<_> = (0..256).map(handed).collect();
-    let record = |places: &[Place]| ChunkRecord::pack(Level::FIRST, 0, places);
+    let record = |places: &[TaskStatus]| ChunkRecord::pack(FormatLevel::FIRST, 0, places);
     let old = record(&places).expect("it fits").to_value();
     assert!(json_len(&old) > 4096);
     let job = JobRecord {
         phase: Phase::Open,
         tasks: 256,
-        at_ms: 1,
-        chunk: 256,
+        accepted_ms: 1,
+        chunk_size: 256,
         spec: Some(spec()),
-        more: 0,
+        spec_overflow_count: 0,
         done_ms: None,
         service: false,
     };
     let (chunk, format) = (Key::Chunk(id.clone(), 0), Key::Format);
-    let level = Level::PIPELINES;
+    let level = FormatLevel::PIPELINES;
     for event in [
         put(&Key::Job(id.clone()), to_list(&job), 2),
         put(&chunk, old, 3),
@@ -101,7 +101,7 @@
         controller.view.apply(event);
     }
     // Sent before the switch and never answered; then refused.
-    places[7] = Place::Waiting;
+    places[7] = TaskStatus::Waiting;
     let value = record(&places).expect("it fits").to_value();
     let txn = Txn {
         conds: vec![Cond {
@@ -114,7 +114,7 @@
             lease: None,
         }],
     };
-    assert!(!controller.fits(&txn));
+    assert!(!controller.txn_fits(&txn));
     let key = (id.clone(), 0);
     let busy = Busy {
         base: 3,
@@ -135,7 +135,7 @@
     let [(call, txn)] = &sent(&outputs)[..] else {
         panic!("one write");
     };
-    assert!(controller.fits(txn), "{}", json_len(txn));
+    assert!(controller.txn_fits(txn), "{}", json_len(txn));
     assert!(
         txn.conds
             .iter()
@@ -155,11 +155,11 @@
     controller.view.apply(put(&chunk, value.clone(), 5));
     controller.busy_progress();
     assert!(controller.busy.is_empty());
-    let whole = |place: Place| match place {
-        Place::Handed { block, .. } => block,
+    let whole = |place: TaskStatus| match place {
+        TaskStatus::Assigned { block, .. } => block,
         _ => panic!("handed as before"),
     };
-    let places = &controller.view.jobs[&id].chunks[&0].places;
+    let places = &controller.view.jobs[&id].chunks[&0].task_statuses;
     let blocks: Vec<_> = places.iter().copied().map(whole).collect();
     assert_eq!(blocks, (0..256).map(|i| i % 60).collect::<Vec<_>>());
 }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// The prefix of all keys.
-pub const ROOT: &str = "oliveshift/";
+pub const KEY_PREFIX: &str = "oliveshift/";
 
 /// A block of machines; names the range of tasks' place, never a process.
 pub type BlockId = u32;
@@ -19,15 +19,15 @@
 /// docs/design.md, "Two versions at once".
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Level(pub u32);
+pub struct FormatLevel(pub u32);
 
-impl Level {
+impl FormatLevel {
     /// The first form: jobs do not await others.
     pub const FIRST: Self = Self(1);
     /// Jobs that await others, records that fit 2 KiB.
     pub const PIPELINES: Self = Self(2);
     /// What this program reads and writes.
-    pub const OWN: Self = Self::PIPELINES;
+    pub const SUPPORTED: Self = Self::PIPELINES;
 }
 
 /// A key, taken apart.
@@ -44,7 +44,7 @@
     /// A job.
     Job(JobId),
     /// What of a job's description does not fit its record.
-    More(JobId, u32),
+    SpecOverflow(JobId, u32),
     /// Part of a job's tasks.
     Chunk(JobId, u32),
     /// The operators' settings.
@@ -52,9 +52,9 @@
     /// The format in which all controllers write.
     Format,
     /// The format that a controller is able to read and write.
-    Level(String),
+    FormatLevel(String),
     /// The lower limits of the state service hold.
-    Lowered,
+    LoweredLimits,
     /// What may be let in.
     Admission,
 }
@@ -63,19 +63,19 @@
     /// The key as the state service has it.
     pub fn path(&self) -> String {
         match self {
-            Self::Leader => format!("{ROOT}leader"),
-            Self::Member(name) => format!("{ROOT}member/{name}"),
-            Self::Block(id) => format!("{ROOT}block/{id}"),
-            Self::Machines(id, 0) => format!("{ROOT}machines/{id}"),
-            Self::Machines(id, piece) => format!("{ROOT}machines/{id}/{piece}"),
-            Self::Job(id) => format!("{ROOT}job/{id}"),
-            Self::More(id, piece) => format!("{ROOT}more/{id}/{piece}"),
-            Self::Chunk(id, part) => format!("{ROOT}part/{id}/{part}"),
-            Self::Settings => format!("{ROOT}settings"),
-            Self::Format => format!("{ROOT}format"),
-            Self::Level(name) => format!("{ROOT}level/{name}"),
-            Self::Lowered => format!("{ROOT}lowered"),
-            Self::Admission => format!("{ROOT}admission"),
+            Self::Leader => format!("{KEY_PREFIX}leader"),
+            Self::Member(name) => format!("{KEY_PREFIX}member/{name}"),
+            Self::Block(id) => format!("{KEY_PREFIX}block/{id}"),
+            Self::Machines(id, 0) => format!("{KEY_PREFIX}machines/{id}"),
+            Self::Machines(id, piece) => format!("{KEY_PREFIX}machines/{id}/{piece}"),
+            Self::Job(id) => format!("{KEY_PREFIX}job/{id}"),
+            Self::SpecOverflow(id, piece) => format!("{KEY_PREFIX}more/{id}/{piece}"),
+            Self::Chunk(id, part) => format!("{KEY_PREFIX}part/{id}/{part}"),
+            Self::Settings => format!("{KEY_PREFIX}settings"),
+            Self::Format => format!("{KEY_PREFIX}format"),
+            Self::FormatLevel(name) => format!("{KEY_PREFIX}level/{name}"),
+            Self::LoweredLimits => format!("{KEY_PREFIX}lowered"),
+            Self::Admission => format!("{KEY_PREFIX}admission"),
         }
     }
 
@@ -85,25 +85,25 @@
             let (id, number) = rest.split_once('/')?;
             Some((id.parse().ok()?, number.parse().ok()?))
         }
-        let rest = path.strip_prefix(ROOT)?;
+        let rest = path.strip_prefix(KEY_PREFIX)?;
         Some(match rest.split_once('/') {
             None => match rest {
                 "leader" => Self::Leader,
                 "settings" => Self::Settings,
                 "format" => Self::Format,
-                "lowered" => Self::Lowered,
+                "lowered" => Self::LoweredLimits,
                 "admission" => Self::Admission,
                 _ => return None,
             },
             Some(("member", name)) => Self::Member(name.to_owned()),
-            Some(("level", name)) => Self::Level(name.to_owned()),
+            Some(("level", name)) => Self::FormatLevel(name.to_owned()),
             Some(("block", id)) => Self::Block(id.parse().ok()?),
             Some(("machines", rest)) => match rest.parse() {
                 Ok(id) => Self::Machines(id, 0),
                 Err(_) => numbered(rest).map(|(id, piece)| Self::Machines(id, piece))?,
             },
             Some(("job", id)) => Self::Job(id.parse().ok()?),
-            Some(("more", rest)) => numbered(rest).map(|(id, k)| Self::More(id, k))?,
+            Some(("more", rest)) => numbered(rest).map(|(id, k)| Self::SpecOverflow(id, k))?,
             Some(("part", rest)) => numbered(rest).map(|(id, k)| Self::Chunk(id, k))?,
             Some(_) => return None,
         })
@@ -114,14 +114,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormatRecord {
     /// The level of which all controllers are.
-    pub level: Level,
+    pub level: FormatLevel,
 }
 
 /// `level/NAME`: what a controller is able to read and write. Outlives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LevelRecord {
     /// Its level.
-    pub level: Level,
+    pub level: FormatLevel,
     /// The incarnation that this was found out of; 0: an operator's word that
     /// the controller never comes back.
     pub incarnation: u64,
@@ -193,8 +193,8 @@
 
 impl MachineList {
     /// A list in the form of a level.
-    pub fn new(level: Level, zone: String, machines: Vec<ListedMachine>) -> Self {
-        if level < Level::PIPELINES {
+    pub fn new(level: FormatLevel, zone: String, machines: Vec<ListedMachine>) -> Self {
+        if level < FormatLevel::PIPELINES {
             return Self::Long(LongList { zone, machines });
         }
         let mut kinds: BTreeMap<String, [Vec<_>; 2]> = BTreeMap::new();
@@ -281,15 +281,17 @@
     /// How many tasks it has.
     pub tasks: u32,
     /// When it was accepted, in ms of the time of day: orders the queue.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub accepted_ms: u64,
     /// How many tasks a chunk record holds.
-    pub chunk: u32,
+    #[serde(rename = "chunk")]
+    pub chunk_size: u32,
     /// The description; left out once nothing of the job is anywhere.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
     /// How many records `more/ID/K` continue the description.
-    #[serde(default, skip_serializing_if = "is_default")]
-    pub more: u32,
+    #[serde(rename = "more", default, skip_serializing_if = "is_default")]
+    pub spec_overflow_count: u32,
     /// When it was done, in ms of the time of day: those that await it count
     /// from then.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -306,7 +308,7 @@
 /// `more/ID/K`: what of a description does not fit its record, in the order of
 /// the numbers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct MoreRecord {
+pub struct SpecOverflowRecord {
     /// Machine types allowed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub types: Vec<String>,
@@ -317,7 +319,7 @@
 
 /// Why a job can't be recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum TooLarge {
+pub enum JobTooLarge {
     /// Its names alone are too long.
     #[error("the job's names are too long to be kept")]
     Names,
@@ -329,8 +331,8 @@
 impl JobRecord {
     /// The value in the store. At the first level it is a list, which must not
     /// have one field more than programs of that level know.
-    pub fn to_value(&self, level: Level) -> Value {
-        if level < Level::PIPELINES {
+    pub fn to_value(&self, level: FormatLevel) -> Value {
+        if level < FormatLevel::PIPELINES {
             to_list(self)
         } else {
             to_map(self)
@@ -342,9 +344,9 @@
     pub fn split(
         mut self,
         id: &JobId,
-        level: Level,
+        level: FormatLevel,
         limits: &StateLimits,
-    ) -> Result<Vec<(Key, Value)>, TooLarge> {
+    ) -> Result<Vec<(Key, Value)>, JobTooLarge> {
         let most = limits.value_bytes();
         let whole = self.to_value(level);
         if json_len(&whole) <= most {
@@ -354,20 +356,20 @@
         if let Some(spec) = &mut self.spec {
             let types = spec.types.as_mut().map(std::mem::take);
             let awaits = pack_ids(&std::mem::take(&mut spec.awaits));
-            pieces = MoreRecord::pieces(types.unwrap_or_default(), &awaits, most);
+            pieces = SpecOverflowRecord::pieces(types.unwrap_or_default(), &awaits, most);
         }
-        self.more = pieces.len() as u32;
+        self.spec_overflow_count = pieces.len() as u32;
         let short = self.to_value(level);
         if json_len(&short) > most {
-            return Err(TooLarge::Names);
+            return Err(JobTooLarge::Names);
         }
         let mut records = vec![(Key::Job(id.clone()), short)];
         records.extend(pieces.iter().enumerate().map(|(k, piece)| {
-            let key = Key::More(id.clone(), k as u32);
+            let key = Key::SpecOverflow(id.clone(), k as u32);
             (key, to_map(piece))
         }));
         if records.len() > limits.txn_ops {
-            return Err(TooLarge::Lists);
+            return Err(JobTooLarge::Lists);
         }
         Ok(records)
     }
@@ -375,7 +377,7 @@
     /// Makes a description whole again.
     pub fn join<'a>(
         mut spec: JobSpec,
-        pieces: impl IntoIterator<Item = &'a MoreRecord>,
+        pieces: impl IntoIterator<Item = &'a SpecOverflowRecord>,
     ) -> Option<JobSpec> {
         let mut awaits = String::new();
         for piece in pieces {
@@ -392,7 +394,7 @@
 
     /// The same without what nobody needs of a job that is cancelled, as the
     /// record may have been written when larger ones were allowed.
-    pub fn trimmed(mut self, level: Level, most: usize) -> Self {
+    pub fn trimmed(mut self, level: FormatLevel, most: usize) -> Self {
         if json_len(&self.to_value(level)) > most
             && let Some(spec) = &mut self.spec
         {
@@ -409,7 +411,7 @@
     }
 }
 
-impl MoreRecord {
+impl SpecOverflowRecord {
     /// Cuts lists into records of at most so many bytes.
     fn pieces(types: Vec<String>, awaits: &str, most: usize) -> Vec<Self> {
         let mut pieces = vec![Self::default()];
@@ -518,12 +520,12 @@
 
 /// Where a task is, as recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Place {
+pub enum TaskStatus {
     /// Nowhere.
     #[default]
     Waiting,
     /// Possibly on one of the block's machines.
-    Handed {
+    Assigned {
         /// The block.
         block: BlockId,
         /// The block's term at hand-out.
@@ -581,8 +583,8 @@
     b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz!#$%&'()*,-/:;<=>?@[]^_`{|}~";
 
 /// How many tasks a chunk may hold for the store to take its record.
-pub fn chunk_size(level: Level, value_kb: f64) -> u32 {
-    if level >= Level::PIPELINES {
+pub fn max_chunk_tasks(level: FormatLevel, value_kb: f64) -> u32 {
+    if level >= FormatLevel::PIPELINES {
         return CHUNK;
     }
     let fits = (value_kb.min(48.0) * 1024.0 - 200.0) / RANGE_BYTES;
@@ -591,8 +593,8 @@
 
 /// To how many blocks under as many terms the tasks of a chunk may be handed
 /// for the store to take its record, whatever the numbers are.
-pub fn pairs_at_most(level: Level, value_bytes: usize, count: usize) -> usize {
-    if level < Level::PIPELINES {
+pub fn max_block_terms(level: FormatLevel, value_bytes: usize, count: usize) -> usize {
+    if level < FormatLevel::PIPELINES {
         return usize::MAX;
     }
     let fits = value_bytes.saturating_sub(LETTERS_BYTES + count) / PAIR_BYTES;
@@ -602,8 +604,8 @@
 impl ChunkRecord {
     /// Packs the places of the tasks from `first` on, in the form of a level.
     /// None if the letters do not suffice.
-    pub fn pack(level: Level, first: u32, places: &[Place]) -> Option<Self> {
-        if level < Level::PIPELINES {
+    pub fn pack(level: FormatLevel, first: u32, places: &[TaskStatus]) -> Option<Self> {
+        if level < FormatLevel::PIPELINES {
             Some(Self::ranges(first, places))
         } else {
             Self::letters(places)
@@ -627,7 +629,7 @@
         }
     }
 
-    fn ranges(first: u32, all: &[Place]) -> Self {
+    fn ranges(first: u32, all: &[TaskStatus]) -> Self {
         let mut ranges = Ranges::default();
         let mut at = 0;
         while at < all.len() {
@@ -635,9 +637,9 @@
             let run = all[at..].iter().take_while(|p| **p == place).count();
             let (from, to) = (first + at as u32, first + (at + run) as u32);
             match place {
-                Place::Waiting => {}
-                Place::Done => ranges.done.push((from, to)),
-                Place::Handed { block, term } => {
+                TaskStatus::Waiting => {}
+                TaskStatus::Done => ranges.done.push((from, to)),
+                TaskStatus::Assigned { block, term } => {
                     ranges.handed.push((from, to, block, term));
                 }
             }
@@ -646,13 +648,13 @@
         Self::Ranges(ranges)
     }
 
-    fn letters(places: &[Place]) -> Option<Self> {
+    fn letters(places: &[TaskStatus]) -> Option<Self> {
         let Letters { mut to, mut tasks } = Letters::default();
         for place in places {
             let letter = match place {
-                Place::Waiting => WAITING,
-                Place::Done => DONE,
-                Place::Handed { block, term } => {
+                TaskStatus::Waiting => WAITING,
+                TaskStatus::Done => DONE,
+                TaskStatus::Assigned { block, term } => {
                     let pair = (*block, *term);
                     let at = to.iter().position(|p| *p == pair).unwrap_or_else(|| {
                         to.push(pair);
@@ -668,8 +670,8 @@
 
     /// Unpacks the places of `count` tasks from `first` on. A letter that
     /// stands for nothing can't be read: none.
-    pub fn unpack(&self, first: u32, count: usize) -> Option<Vec<Place>> {
-        let mut places = vec![Place::Waiting; count];
+    pub fn unpack(&self, first: u32, count: usize) -> Option<Vec<TaskStatus>> {
+        let mut places = vec![TaskStatus::Waiting; count];
         let mut fill = |from: u32, to: u32, place| {
             for at in from.max(first)..to {
                 if let Some(p) = places.get_mut((at - first) as usize) {
@@ -682,21 +684,21 @@
         match self {
             Self::Ranges(Ranges { done, handed }) => {
                 for &(from, to, block, term) in handed {
-                    fill(from, to, Place::Handed { block, term });
+                    fill(from, to, TaskStatus::Assigned { block, term });
                 }
                 for &(from, to) in done {
-                    fill(from, to, Place::Done);
+                    fill(from, to, TaskStatus::Done);
                 }
             }
             Self::Letters(Letters { to, tasks }) => {
                 for (place, letter) in places.iter_mut().zip(tasks.bytes()) {
                     *place = match letter {
-                        WAITING => Place::Waiting,
-                        DONE => Place::Done,
+                        WAITING => TaskStatus::Waiting,
+                        DONE => TaskStatus::Done,
                         letter => {
                             let at = LETTERS.iter().position(|l| *l == letter)?;
                             let &(block, term) = to.get(at)?;
-                            Place::Handed { block, term }
+                            TaskStatus::Assigned { block, term }
                         }
                     };
                 }
@@ -742,16 +744,16 @@
 
     #[test]
     fn chunks_survive_packing() {
-        let mut places = vec![Place::Waiting; 12];
-        places[3] = Place::Done;
-        places[4] = Place::Done;
+        let mut places = vec![TaskStatus::Waiting; 12];
+        places[3] = TaskStatus::Done;
+        places[4] = TaskStatus::Done;
         for (i, p) in places.iter_mut().enumerate().skip(6) {
-            *p = Place::Handed {
+            *p = TaskStatus::Assigned {
                 block: (i / 9) as u32,
                 term: 7,
             };
         }
-        for level in [Level::FIRST, Level::PIPELINES] {
+        for level in [FormatLevel::FIRST, FormatLevel::PIPELINES] {
             let packed = ChunkRecord::pack(level, 256, &places).expect("it fits");
             let back = ChunkRecord::from_value(packed.to_value()).expect("its own form");
             assert_eq!(back.unpack(256, 12), Some(places.clone()), "{level:?}");
@@ -767,13 +769,13 @@
     fn the_worst_chunk_fits_the_store() {
         for kb in [2.0, 16.0, 32.0] {
             let most = (kb * 1024.0) as usize;
-            let worst = |term: u64| Place::Handed {
+            let worst = |term: u64| TaskStatus::Assigned {
                 block: u32::MAX,
                 term: (1 << 53) - term,
             };
-            for level in [Level::FIRST, Level::PIPELINES] {
-                let count = chunk_size(level, kb) as usize;
-                let pairs = pairs_at_most(level, most, count).min(count);
+            for level in [FormatLevel::FIRST, FormatLevel::PIPELINES] {
+                let count = max_chunk_tasks(level, kb) as usize;
+                let pairs = max_block_terms(level, most, count).min(count);
                 let places: Vec<_> = (0..count).map(|i| worst((i % pairs) as u64)).collect();
                 let first = 100_000 - count as u32;
                 let record = ChunkRecord::pack(level, first, &places).expect("it fits");
@@ -835,10 +837,10 @@
         JobRecord {
             phase,
             tasks: 3,
-            at_ms: 1_800_000_000_123,
-            chunk: 256,
+            accepted_ms: 1_800_000_000_123,
+            chunk_size: 256,
             spec,
-            more: 0,
+            spec_overflow_count: 0,
             done_ms: None,
             service: false,
         }
@@ -884,7 +886,7 @@
             incarnation: 7,
         };
         check("93a465617374a36e2d3107", block, to_list, from_value);
-        let list = |machines| MachineList::new(Level::FIRST, "east".into(), machines);
+        let list = |machines| MachineList::new(FormatLevel::FIRST, "east".into(), machines);
         let lists = [
             (
                 "92a4656173749294a9766d2d303030303031a5736d616c6cc2ad31302e312e302e313a3930303094\
@@ -930,22 +932,22 @@
             ),
         ];
         for (gold, job) in jobs {
-            let to = |job: &JobRecord| job.to_value(Level::FIRST);
+            let to = |job: &JobRecord| job.to_value(FormatLevel::FIRST);
             check(gold, job, to, from_value);
         }
         let places = [
-            Place::Done,
-            Place::Handed { block: 4, term: 41 },
-            Place::Handed { block: 5, term: 42 },
+            TaskStatus::Done,
+            TaskStatus::Assigned { block: 4, term: 41 },
+            TaskStatus::Assigned { block: 5, term: 42 },
         ];
-        let chunk = ChunkRecord::pack(Level::FIRST, 0, &places).expect("it fits");
+        let chunk = ChunkRecord::pack(FormatLevel::FIRST, 0, &places).expect("it fits");
         let gold = "9291920001929401020429940203052a";
         check(gold, chunk, ChunkRecord::to_value, ChunkRecord::from_value);
     }
 
     #[test]
     fn the_second_levels_records_come_back() {
-        let second = Level::PIPELINES;
+        let second = FormatLevel::PIPELINES;
         let list = MachineList::new(second, "east".into(), machines());
         let back = MachineList::from_value(list.to_value()).map(MachineList::into_parts);
         let (zone, mut back) = back.expect("its own form");
@@ -991,7 +993,7 @@
             ..spec()
         };
         let record = job(Phase::Open, Some(long.clone()));
-        let split = record.split(&long.id, Level::PIPELINES, &limits);
+        let split = record.split(&long.id, FormatLevel::PIPELINES, &limits);
         let records = split.expect("it fits");
         assert!(records.len() > 2);
         for (key, value) in &records {
@@ -999,13 +1001,14 @@
         }
         let mut values = records.into_iter().map(|(_, value)| value);
         let first: JobRecord = values.next().and_then(from_value).expect("a job");
-        let pieces: Vec<MoreRecord> = values.map(|v| from_value(v).expect("a piece")).collect();
-        assert_eq!(first.more as usize, pieces.len());
+        let pieces: Vec<SpecOverflowRecord> =
+            values.map(|v| from_value(v).expect("a piece")).collect();
+        assert_eq!(first.spec_overflow_count as usize, pieces.len());
         let whole = JobRecord::join(first.spec.expect("a description"), &pieces);
         assert_eq!(whole, Some(long.clone()));
 
-        let short = job(Phase::Cancelled, Some(long.clone())).trimmed(Level::PIPELINES, 2048);
-        assert!(json_len(&short.to_value(Level::PIPELINES)) <= 2048);
+        let short = job(Phase::Cancelled, Some(long.clone())).trimmed(FormatLevel::PIPELINES, 2048);
+        assert!(json_len(&short.to_value(FormatLevel::PIPELINES)) <= 2048);
         let too_many = JobSpec {
             awaits: (0..20_000)
                 .map(|i| id(&format!("j-{:09}", i * 49_999)))
@@ -1014,15 +1017,15 @@
         };
         let split = |spec: JobSpec| {
             let id = spec.id.clone();
-            job(Phase::Open, Some(spec)).split(&id, Level::PIPELINES, &limits)
+            job(Phase::Open, Some(spec)).split(&id, FormatLevel::PIPELINES, &limits)
         };
-        assert_eq!(split(too_many), Err(TooLarge::Lists));
+        assert_eq!(split(too_many), Err(JobTooLarge::Lists));
         let unkeepable = JobSpec {
             class: "\u{1}".repeat(200),
             image: "\u{1}".repeat(200),
             ..spec()
         };
-        assert_eq!(split(unkeepable), Err(TooLarge::Names));
+        assert_eq!(split(unkeepable), Err(JobTooLarge::Names));
     }
 
     #[test]
@@ -1035,12 +1038,12 @@
             Key::Machines(4, 0),
             Key::Machines(4, 2),
             Key::Job(id.clone()),
-            Key::More(id.clone(), 1),
+            Key::SpecOverflow(id.clone(), 1),
             Key::Chunk(id, 9),
             Key::Settings,
             Key::Format,
-            Key::Level("grove-1".into()),
-            Key::Lowered,
+            Key::FormatLevel("grove-1".into()),
+            Key::LoweredLimits,
             Key::Admission,
         ] {
             assert_eq!(Key::parse(&key.path()), Some(key));
--- a/crates/core/src/rooms.rs
+++ b/crates/core/src/rooms.rs
@@ -21,7 +21,7 @@
     controller::Controller,
     machine_status::MachineStatus,
     placement::kept,
-    records::{BlockId, Place, Term},
+    records::{BlockId, TaskStatus, Term},
 };
 
 /// How often all machines are looked at, for what time alone changes.
@@ -253,8 +253,8 @@
     ) -> Vec<(TaskId, Rc<JobSpec>)> {
         let here = |task: &&TaskId| {
             let job = self.view.jobs.get(&task.job);
-            let place = job.map(|j| j.place(task.index));
-            fresh || matches!(place, Some(Place::Handed { block: b, .. }) if b == block)
+            let place = job.map(|j| j.task_status(task.index));
+            fresh || matches!(place, Some(TaskStatus::Assigned { block: b, .. }) if b == block)
         };
         let tasks = seen.tasks.iter().filter(here);
         tasks
--- a/crates/core/src/serving.rs
+++ b/crates/core/src/serving.rs
@@ -90,8 +90,8 @@
     if spec.priority == Priority::Production {
         return Vec::new();
     }
-    let waited = waited_s(day, job.since_ms);
-    let held_up = job.since_ms.saturating_sub(job.at_ms) as f64 / 1e3;
+    let waited = waited_s(day, job.ready_ms);
+    let held_up = job.ready_ms.saturating_sub(job.accepted_ms) as f64 / 1e3;
     let latest = aims.filter_map(|aim| match aim.kind.as_str() {
         "wait" => aim.within_s,
         "finished" => Some(aim.within_s? - takes_s),
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -11,7 +11,7 @@
 use crate::{
     attempt::Nowhere,
     controller::Controller,
-    records::{BlockId, Phase, Place, Term},
+    records::{BlockId, Phase, TaskStatus, Term},
 };
 
 /// A task handed to one of our blocks.
@@ -203,11 +203,13 @@
             leader.complete.insert(id.clone());
         }
         let cancelled = job.phase == Phase::Cancelled;
-        let places: Vec<Place> = (0..count as u32).map(|i| job.place(first + i)).collect();
+        let places: Vec<TaskStatus> = (0..count as u32)
+            .map(|i| job.task_status(first + i))
+            .collect();
         for (i, place) in places.into_iter().enumerate() {
             let task = id.task(first + i as u32);
             let ours = match place {
-                Place::Handed { block, term } if self.held.contains_key(&block) => {
+                TaskStatus::Assigned { block, term } if self.held.contains_key(&block) => {
                     Some((block, term))
                 }
                 _ => None,
@@ -277,7 +279,7 @@
 
     /// Where a task that is handed to us is by our own start, if that may be so.
     fn started_before(&mut self, task: &TaskId) -> Option<Bound> {
-        let bound = self.invariants.take_started(task)?;
+        let bound = self.invariants.take_dropped(task)?;
         let machine = self.machines.get(&bound.machine)?;
         let may_be_there = machine.session == bound.session && !machine.lease.is_over();
         may_be_there.then_some(bound)
@@ -383,7 +385,7 @@
         }
         let slot = self.slots.get(task)?;
         let was = slot.bound().map(|b| (b.machine.as_str(), b.attempt));
-        let names = self.view.in_block.get(&slot.block)?;
+        let names = self.view.machines_by_block.get(&slot.block)?;
         names.iter().find_map(|name| {
             let machine = self.machines.get(name).filter(|m| !m.lease.is_over())?;
             let entry = machine.tasks.iter().find(|t| {
@@ -430,8 +432,8 @@
             .slots
             .keys()
             .filter(|t| {
-                let place = self.view.jobs.get(&t.job).map(|j| j.place(t.index));
-                !matches!(place, Some(Place::Handed { .. }))
+                let place = self.view.jobs.get(&t.job).map(|j| j.task_status(t.index));
+                !matches!(place, Some(TaskStatus::Assigned { .. }))
             })
             .cloned()
             .collect();
@@ -450,7 +452,7 @@
             let Some(job) = self.view.jobs.get(id) else {
                 continue;
             };
-            if job.handed.keys().any(|b| fits(*b)) {
+            if job.assigned.keys().any(|b| fits(*b)) {
                 chunks.extend(job.chunks.keys().map(|part| (id.clone(), *part)));
             }
         }
--- a/crates/core/src/slots/tests.rs
+++ b/crates/core/src/slots/tests.rs
@@ -5,7 +5,7 @@
     controller::Input,
     controller::Now,
     fixtures::{self, job_spec},
-    records::{ChunkRecord, JobRecord, Key, Level, to_list},
+    records::{ChunkRecord, FormatLevel, JobRecord, Key, to_list},
 };
 
 #[test]
@@ -99,16 +99,16 @@
         let job = JobRecord {
             phase: Phase::Open,
             tasks: 1,
-            at_ms: 1,
-            chunk: 256,
+            accepted_ms: 1,
+            chunk_size: 256,
             spec: Some(spec),
-            more: 0,
+            spec_overflow_count: 0,
             done_ms: None,
             service: false,
         };
         // Handed under term 4; the block has been leased anew since.
-        let handed = [Place::Handed { block: 0, term: 4 }];
-        let chunk = ChunkRecord::pack(Level::FIRST, 0, &handed).expect("it fits");
+        let handed = [TaskStatus::Assigned { block: 0, term: 4 }];
+        let chunk = ChunkRecord::pack(FormatLevel::FIRST, 0, &handed).expect("it fits");
         let records = [
             (Key::Machines(0, 0), list.to_value(), 5),
             (Key::Job(id.clone()), to_list(&job), 6),
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -7,7 +7,7 @@
 
 use oliveshift_wire::state::{Event, Events, Page};
 
-use crate::{records::ROOT, view::View};
+use crate::{records::KEY_PREFIX, view::View};
 
 /// Most records on one page.
 const PAGE: usize = 1000;
@@ -60,16 +60,16 @@
     pub fn next_request(&self) -> (SnapshotPart, String) {
         match &self.stage {
             Stage::FirstPage => {
-                let path = format!("/kv?starts={ROOT}&most={PAGE}");
+                let path = format!("/kv?starts={KEY_PREFIX}&most={PAGE}");
                 (SnapshotPart::Page, path)
             }
             Stage::PageAfter(key) => {
-                let path = format!("/kv?starts={ROOT}&after={key}&most={PAGE}");
+                let path = format!("/kv?starts={KEY_PREFIX}&after={key}&most={PAGE}");
                 (SnapshotPart::Page, path)
             }
             Stage::Changes => {
                 let after = self.view.revision;
-                let path = format!("/changes?starts={ROOT}&after={after}");
+                let path = format!("/changes?starts={KEY_PREFIX}&after={after}");
                 (SnapshotPart::Changes, path)
             }
         }
@@ -124,7 +124,7 @@
             self.consistent_at,
             self.view.revision
         );
-        self.view.news.clear();
+        self.view.changed_machines.clear();
         self.view
     }
 }
--- a/crates/core/src/snapshot/tests.rs
+++ b/crates/core/src/snapshot/tests.rs
@@ -5,7 +5,7 @@
 
 fn page(revision: u64, more: bool, keys: &[(&str, u64)]) -> Page {
     let item = |(key, version): &(&str, u64)| Item {
-        key: format!("{ROOT}{key}"),
+        key: format!("{KEY_PREFIX}{key}"),
         value: Value::from(1),
         version: *version,
     };
@@ -32,7 +32,7 @@
     read.take_page(page(7, false, &[("lowered", 3)]), any);
     assert!(read.is_consistent(7));
     let view = read.into_view();
-    assert_eq!((view.revision, view.lowered), (7, 3));
+    assert_eq!((view.revision, view.lowered_limits_version), (7, 3));
 }
 
 /// Later pages show what was written after the first one: until all changes since
@@ -44,7 +44,10 @@
     assert!(!read.has_all_pages());
     let (part, path) = read.next_request();
     assert_eq!(part, SnapshotPart::Page);
-    assert!(path.contains(&format!("after={ROOT}admission&")), "{path}");
+    assert!(
+        path.contains(&format!("after={KEY_PREFIX}admission&")),
+        "{path}"
+    );
     read.take_page(page(9, false, &[("lowered", 8)]), any);
     assert!(read.has_all_pages() && !read.is_consistent(0));
     let (part, path) = read.next_request();
@@ -53,12 +56,12 @@
     // Of a moment before the last page.
     read.take_changes(changes(8, Vec::new()), any);
     assert!(!read.is_consistent(0));
-    let key = format!("{ROOT}lowered");
+    let key = format!("{KEY_PREFIX}lowered");
     let gone = Event::Delete { key, version: 10 };
     read.take_changes(changes(10, vec![gone]), any);
     assert!(read.is_consistent(10));
     let view = read.into_view();
-    assert_eq!((view.revision, view.lowered), (10, 0));
+    assert_eq!((view.revision, view.lowered_limits_version), (10, 0));
 }
 
 /// What is in use may have gone further meanwhile, by what was read for users.
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -17,7 +17,7 @@
     invariants::Violation,
     leader::Duty,
     lease::Tenure,
-    records::{Key, ROOT},
+    records::{KEY_PREFIX, Key},
     snapshot::{SnapshotPart, SnapshotRead},
     upgrade,
     user_writes::WriteId,
@@ -52,10 +52,10 @@
 #[derive(Debug)]
 pub(crate) enum Purpose {
     Member,
-    Lead,
+    Leadership,
     User(WriteId),
     Chunk(JobId, u32),
-    Lead2(Duty),
+    LeaderWrite(Duty),
     Lists,
     Upgrade(upgrade::Step),
 }
@@ -64,13 +64,13 @@
     fn name(&self) -> &'static str {
         match self {
             Self::Member => "member",
-            Self::Lead => "lead",
+            Self::Leadership => "lead",
             Self::User(_) => "user",
             Self::Chunk(..) => "chunk",
-            Self::Lead2(Duty::Lease(_)) => "lease",
-            Self::Lead2(Duty::Tidy(_)) => "tidy",
-            Self::Lead2(Duty::Admit) => "admit",
-            Self::Lead2(Duty::Resign) => "resign",
+            Self::LeaderWrite(Duty::Lease(_)) => "lease",
+            Self::LeaderWrite(Duty::Tidy(_)) => "tidy",
+            Self::LeaderWrite(Duty::Admit) => "admit",
+            Self::LeaderWrite(Duty::Resign) => "resign",
             Self::Lists => "lists",
             Self::Upgrade(_) => "upgrade",
         }
@@ -117,8 +117,8 @@
     Handout,
     Quota,
     Read,
-    Later,
-    Tidy,
+    Background,
+    Cleanup,
 }
 
 impl Urgency {
@@ -135,15 +135,15 @@
             Self::Safety => 0.05,
             Self::Handout => 0.15,
             Self::Quota => 0.2,
-            Self::Later => 0.5,
-            Self::Tidy => 0.5,
+            Self::Background => 0.5,
+            Self::Cleanup => 0.5,
         }
     }
 }
 
 /// The state of our dealings.
 #[derive(Debug)]
-pub(crate) struct Store {
+pub(crate) struct StoreClient {
     /// Requests a second that we may make.
     rps: f64,
     requests: Budget,
@@ -171,14 +171,14 @@
     read_at: Duration,
     failures: u32,
     /// When we last went on after standing still.
-    woke: Duration,
+    resumed_at: Duration,
     /// The end of a lease waits for proof that its block is still ours.
-    pub proof_wanted: bool,
+    pub needs_fresh_read: bool,
     /// The lower limits hold.
-    pub lowered: bool,
+    pub lowered_limits_active: bool,
 }
 
-impl Store {
+impl StoreClient {
     pub fn new(settings: &Settings) -> Self {
         let nodes = settings.peers_and_me() as f64;
         Self {
@@ -201,14 +201,14 @@
             read_pending: false,
             read_at: Duration::ZERO,
             failures: 0,
-            woke: Duration::ZERO,
-            proof_wanted: false,
-            lowered: false,
+            resumed_at: Duration::ZERO,
+            needs_fresh_read: false,
+            lowered_limits_active: false,
         }
     }
 }
 
-impl Store {
+impl StoreClient {
     /// Until when our blocks were surely ours.
     pub fn tenure(&self) -> Tenure {
         Tenure::proven_until(self.contact)
@@ -218,7 +218,10 @@
 impl Controller {
     /// How old our contact is; none: never had, or not since we stood still.
     pub(crate) fn contact_age(&self) -> Option<Duration> {
-        let contact = self.store.contact.filter(|at| *at >= self.store.woke)?;
+        let contact = self
+            .store
+            .contact
+            .filter(|at| *at >= self.store.resumed_at)?;
         Some(self.now.saturating_sub(contact))
     }
 
@@ -226,11 +229,11 @@
     /// clock ran on: what was true then has to be proven anew before we answer
     /// or order anything. Without it a controller that woke up within the contact
     /// limit went on under terms that were others' by then.
-    pub(crate) fn stood_still(&mut self, now: Duration) {
+    pub(crate) fn record_pause(&mut self, now: Duration) {
         if self.store.ready {
             log::info!("stood still for {:.1?}", now.saturating_sub(self.now));
         }
-        self.store.woke = now;
+        self.store.resumed_at = now;
     }
 
     /// Whether our view is recent enough to act for the controllers towards
@@ -272,7 +275,7 @@
     /// Shares the limits among the controllers that are up: one that is not
     /// writes nothing. The leader writes more than the others, so its share is
     /// larger.
-    pub(crate) fn share_budget(&mut self) {
+    pub(crate) fn update_request_budgets(&mut self) {
         let most = self.settings.peers_and_me();
         let nodes = self.view.members.len().clamp(most.min(2), most) as f64;
         let part = LEADER_REQUESTS / (nodes - 1.0 + LEADER_REQUESTS);
@@ -284,7 +287,7 @@
             let each = SHARE / (nodes - 1.0);
             (each * (1.0 - part), each * (1.0 - LEADER_SHARE))
         };
-        let limits = if self.store.lowered {
+        let limits = if self.store.lowered_limits_active {
             &self.lowered
         } else {
             &self.settings.params.state
@@ -319,7 +322,7 @@
             self.store.watch_pending = true;
             let after = self.view.revision;
             let ms = WATCH.as_millis();
-            let path = format!("/changes?starts={ROOT}&after={after}&block_ms={ms}");
+            let path = format!("/changes?starts={KEY_PREFIX}&after={after}&block_ms={ms}");
             self.state_call(Method::Get, path, Vec::new(), Pending::Watch { after });
         }
     }
@@ -351,7 +354,7 @@
     }
 
     /// A part of all records, asked for at some time, has been answered.
-    pub(crate) fn snapshot_read(&mut self, part: SnapshotPart, sent: Duration, reply: &Reply) {
+    pub(crate) fn snapshot_answered(&mut self, part: SnapshotPart, sent: Duration, reply: &Reply) {
         self.store.snapshot_pending = false;
         let taken = match part {
             SnapshotPart::Page => self.take_page(reply),
@@ -466,7 +469,7 @@
         self.store.watch_at = self.now + wait;
     }
 
-    pub(crate) fn watched(&mut self, after: u64, sent: Duration, reply: &Reply) {
+    pub(crate) fn watch_answered(&mut self, after: u64, sent: Duration, reply: &Reply) {
         self.store.watch_pending = false;
         match self.take_events(after, sent, reply) {
             Taken::Changes | Taken::TooOld => {
@@ -502,7 +505,7 @@
             return Taken::Nothing;
         };
         if events.revision < after {
-            self.invariants.violated(&Violation::RevisionWentBack {
+            self.invariants.report(&Violation::RevisionWentBack {
                 known: after,
                 seen: events.revision,
             });
@@ -562,9 +565,12 @@
     }
 
     /// Reads on for those who wait for an answer no older than their request.
-    pub(crate) fn read_for_asks(&mut self) {
-        let stood_still = self.store.contact.is_none_or(|at| at < self.store.woke);
-        let doubts = stood_still || self.store.proof_wanted;
+    pub(crate) fn refresh_view(&mut self) {
+        let stood_still = self
+            .store
+            .contact
+            .is_none_or(|at| at < self.store.resumed_at);
+        let doubts = stood_still || self.store.needs_fresh_read;
         if self.store.read_pending
             || (self.admission.asks.is_empty() && !doubts)
             || self.now < self.store.read_at
@@ -577,15 +583,21 @@
             return;
         }
         self.store.read_pending = true;
-        self.store.proof_wanted = false;
+        self.store.needs_fresh_read = false;
         self.store.read_at = self.now + self.gap(READ_GAP, READ_SHARE);
         let asks = std::mem::take(&mut self.admission.asks);
         let after = self.view.revision;
-        let path = format!("/changes?starts={ROOT}&after={after}");
+        let path = format!("/changes?starts={KEY_PREFIX}&after={after}");
         self.state_call(Method::Get, path, Vec::new(), Pending::Read { after, asks });
     }
 
-    pub(crate) fn read_done(&mut self, after: u64, sent: Duration, asks: Vec<Ask>, reply: &Reply) {
+    pub(crate) fn read_answered(
+        &mut self,
+        after: u64,
+        sent: Duration,
+        asks: Vec<Ask>,
+        reply: &Reply,
+    ) {
         self.store.read_pending = false;
         let fresh = self.take_events(after, sent, reply) == Taken::Changes;
         if fresh {
@@ -594,17 +606,17 @@
             self.store.watch_at = self.store.watch_at.max(sent + gap);
         }
         self.asks_read(asks, fresh);
-        self.read_for_asks();
+        self.refresh_view();
     }
 
     /// Whether writes need not be spared.
-    pub(crate) fn writes_are_rich(&mut self) -> bool {
+    pub(crate) fn has_spare_writes(&mut self) -> bool {
         self.store.writes.is_rich(self.now)
     }
 
     /// Whether a transaction keeps to the sizes that the service takes, or
     /// will take.
-    pub(crate) fn fits(&self, txn: &Txn) -> bool {
+    pub(crate) fn txn_fits(&self, txn: &Txn) -> bool {
         let limits = self.limits();
         let most = limits.value_bytes();
         let small = |change: &Change| match change {
@@ -618,7 +630,7 @@
     }
 
     /// Sends a transaction if the budget allows; false: try again later.
-    pub(crate) fn txn(&mut self, txn: Txn, purpose: Purpose, urgency: Urgency) -> bool {
+    pub(crate) fn send_txn(&mut self, txn: Txn, purpose: Purpose, urgency: Urgency) -> bool {
         let puts = txn.changes.len() as f64;
         if urgency == Urgency::Session {
             self.store.requests.force(self.now, 1.0);
--- a/crates/core/src/store/session.rs
+++ b/crates/core/src/store/session.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    pub(crate) fn hold_granted(&mut self, reply: &Reply, sent: Duration) {
+    pub(crate) fn lease_grant_answered(&mut self, reply: &Reply, sent: Duration) {
         self.store.hold_pending = false;
         self.store.touch_at = self.now + Duration::from_millis(300);
         if let Reply::Answer { status: 200, body } = reply
@@ -45,7 +45,7 @@
         }
     }
 
-    pub(crate) fn hold_touched(&mut self, reply: &Reply, sent: Duration) {
+    pub(crate) fn lease_renewal_answered(&mut self, reply: &Reply, sent: Duration) {
         self.store.hold_pending = false;
         match reply {
             Reply::Answer { status: 404, .. } => {
@@ -62,7 +62,7 @@
 
     /// Lets our lease run out, so that the leader gives our blocks away under new
     /// terms; a new lease is taken at once.
-    pub(crate) fn leave_membership(&mut self) {
+    pub(crate) fn rejoin(&mut self) {
         log::info!("we leave and join anew");
         self.store.hold = None;
         self.store.touch_at = self.now;
@@ -92,7 +92,7 @@
                 lease: Some(hold),
             }],
         };
-        self.store.member_pending = self.txn(txn, Purpose::Member, Urgency::Session);
+        self.store.member_pending = self.send_txn(txn, Purpose::Member, Urgency::Session);
     }
 
     fn member_record(&self) -> MemberRecord {
@@ -154,7 +154,7 @@
                 lease: Some(hold),
             }],
         };
-        self.store.lead_pending = self.txn(txn, Purpose::Lead, Urgency::Session);
+        self.store.lead_pending = self.send_txn(txn, Purpose::Leadership, Urgency::Session);
     }
 
     pub(crate) fn lead_written(&mut self, outcome: Outcome) {
--- a/crates/core/src/store/tests.rs
+++ b/crates/core/src/store/tests.rs
@@ -129,10 +129,22 @@
     let changes = call(&outputs, "/changes", false);
     // It was answered before the last page was.
     let outputs = controller.handle(now(1150), Input::Reply(changes, events(12)));
-    assert_eq!((controller.view.revision, controller.view.lowered), (12, 0));
+    assert_eq!(
+        (
+            controller.view.revision,
+            controller.view.lowered_limits_version
+        ),
+        (12, 0)
+    );
     let changes = call(&outputs, "/changes", false);
     controller.handle(now(1160), Input::Reply(changes, events(13)));
-    assert_eq!((controller.view.revision, controller.view.lowered), (13, 9));
+    assert_eq!(
+        (
+            controller.view.revision,
+            controller.view.lowered_limits_version
+        ),
+        (13, 9)
+    );
     assert_eq!(controller.store.contact, Some(now(1150).steady));
     #[cfg(feature = "sabotage")]
     {
@@ -186,7 +198,13 @@
     };
     let reply = answer(200, encode(&events));
     controller.handle(now(1020), Input::Reply(watch, reply));
-    assert_eq!((controller.view.revision, controller.view.lowered), (8, 0));
+    assert_eq!(
+        (
+            controller.view.revision,
+            controller.view.lowered_limits_version
+        ),
+        (8, 0)
+    );
 }
 
 /// A state service that has lost data is no contact: what we know may be undone.
--- a/crates/core/src/team_use.rs
+++ b/crates/core/src/team_use.rs
@@ -39,7 +39,7 @@
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
-            *used.entry(&spec.team).or_default() += spec.cpus * f64::from(job.handed_total());
+            *used.entry(&spec.team).or_default() += spec.cpus * f64::from(job.assigned_total());
         }
         let is_near = |team: &&Team| {
             let used = used.get(team.name.as_str()).copied().unwrap_or(0.0);
--- a/crates/core/src/upgrade.rs
+++ b/crates/core/src/upgrade.rs
@@ -18,7 +18,7 @@
 use crate::{
     call::{ConnId, Method, Output, Reply, Target},
     controller::{Controller, Pending},
-    records::{ChunkRecord, FormatRecord, Key, Level, LevelRecord, MachineList, to_map},
+    records::{ChunkRecord, FormatLevel, FormatRecord, Key, LevelRecord, MachineList, to_map},
     store::{Outcome, Purpose, Urgency},
 };
 
@@ -32,11 +32,11 @@
 #[derive(Debug)]
 pub(crate) enum Step {
     /// A controller's level; with the operator who waits for it.
-    Level(String, Option<ConnId>),
+    FormatLevel(String, Option<ConnId>),
     /// The switch to our level.
     Format,
     /// The lower limits hold.
-    Lowered,
+    LoweredLimits,
 }
 
 /// Where the upgrade stands.
@@ -56,7 +56,7 @@
 
 impl Controller {
     /// The form in which we write.
-    pub fn level(&self) -> Level {
+    pub fn level(&self) -> FormatLevel {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::SwitchEarly) {
             return self.program;
@@ -71,7 +71,7 @@
         if self.sabotage == Some(crate::Sabotage::NoLowering) {
             return &self.settings.params.state;
         }
-        if self.level() >= Level::PIPELINES {
+        if self.level() >= FormatLevel::PIPELINES {
             &self.lowered
         } else {
             &self.settings.params.state
@@ -79,7 +79,7 @@
     }
 
     pub(crate) fn upgrade_tick(&mut self) {
-        if !self.store.ready || self.program < Level::PIPELINES {
+        if !self.store.ready || self.program < FormatLevel::PIPELINES {
             return;
         }
         let format = self.view.level();
@@ -97,7 +97,7 @@
         if format == self.program {
             return self.note_lowered();
         }
-        if self.view.is_unused() {
+        if self.view.is_empty() {
             return self.found();
         }
         self.write_own_level();
@@ -110,7 +110,7 @@
     /// Whether the first write to an empty store is awaited: nothing else is
     /// written before.
     pub(crate) fn is_founding(&self) -> bool {
-        self.upgrade.founding && self.view.is_unused()
+        self.upgrade.founding && self.view.is_empty()
     }
 
     /// An empty store begins at our level. An old program that is up has its
@@ -134,7 +134,7 @@
             level: self.program,
         };
         let txn = put(conds, Key::Format, &record);
-        self.txn(txn, Purpose::Upgrade(Step::Format), Urgency::Session)
+        self.send_txn(txn, Purpose::Upgrade(Step::Format), Urgency::Session)
     }
 
     fn all_nodes(&self) -> Vec<String> {
@@ -163,7 +163,7 @@
     }
 
     fn write_level(&mut self, node: String, incarnation: u64, asker: Option<ConnId>) -> bool {
-        let key = Key::Level(node.clone());
+        let key = Key::FormatLevel(node.clone());
         let conds = vec![Cond {
             key: key.path(),
             version: self.view.level_version(&node),
@@ -172,9 +172,9 @@
             level: self.program,
             incarnation,
         };
-        let step = Step::Level(node, asker);
+        let step = Step::FormatLevel(node, asker);
         let txn = put(conds, key, &record);
-        self.txn(txn, Purpose::Upgrade(step), Urgency::Session)
+        self.send_txn(txn, Purpose::Upgrade(step), Urgency::Session)
     }
 
     /// Writes the switch once all controllers are proven to be of our level.
@@ -192,7 +192,7 @@
         };
         let proofs = nodes.into_iter().map(|node| Cond {
             version: self.view.level_version(&node),
-            key: Key::Level(node).path(),
+            key: Key::FormatLevel(node).path(),
         });
         let conds = [lead, format].into_iter().chain(proofs);
         let conds = conds.take(self.limits().txn_conds()).collect();
@@ -210,7 +210,7 @@
         let mut nodes = self.all_nodes();
         nodes.retain(|n| *n != self.settings.node && !self.is_proven(n));
         for node in nodes {
-            let (path, pending) = ("/level".to_owned(), Pending::Level(node.clone()));
+            let (path, pending) = ("/level".to_owned(), Pending::FormatLevel(node.clone()));
             let to = Target::Peer(node);
             self.call(to, Method::Get, path, Vec::new(), TIMEOUT, pending);
         }
@@ -254,8 +254,8 @@
                     );
                 }
             }
-            Step::Lowered | Step::Level(_, None) => {}
-            Step::Level(node, Some(conn)) => match outcome {
+            Step::LoweredLimits | Step::FormatLevel(_, None) => {}
+            Step::FormatLevel(node, Some(conn)) => match outcome {
                 Outcome::Done(_) => {
                     log::info!("{node} never comes back, by an operator's word");
                     self.answer(conn, 200, json(&WriteOff { without: node }));
@@ -272,33 +272,33 @@
     /// are to come, they have come.
     pub(crate) fn rate_refused(&mut self) {
         let lower = self.lowered.write_rps < self.settings.params.state.write_rps;
-        if lower && !self.store.lowered && self.level() >= Level::PIPELINES {
+        if lower && !self.store.lowered_limits_active && self.level() >= FormatLevel::PIPELINES {
             log::info!("the state service takes fewer writes now");
-            self.store.lowered = true;
-            self.share_budget();
+            self.store.lowered_limits_active = true;
+            self.update_request_budgets();
         }
     }
 
     /// Lets everybody know of lower limits at once, later starts included.
     fn note_lowered(&mut self) {
-        if self.view.lowered > 0 && !self.store.lowered {
-            self.store.lowered = true;
-            self.share_budget();
+        if self.view.lowered_limits_version > 0 && !self.store.lowered_limits_active {
+            self.store.lowered_limits_active = true;
+            self.update_request_budgets();
         }
-        let told = !self.store.lowered || self.view.lowered > 0;
+        let told = !self.store.lowered_limits_active || self.view.lowered_limits_version > 0;
         if told || self.now < self.upgrade.lowered_at {
             return;
         }
         self.upgrade.lowered_at = self.now + AGAIN;
         let conds = vec![Cond {
-            key: Key::Lowered.path(),
+            key: Key::LoweredLimits.path(),
             version: 0,
         }];
         let record = FormatRecord {
             level: self.program,
         };
-        let txn = put(conds, Key::Lowered, &record);
-        self.txn(txn, Purpose::Upgrade(Step::Lowered), Urgency::Safety);
+        let txn = put(conds, Key::LoweredLimits, &record);
+        self.send_txn(txn, Purpose::Upgrade(Step::LoweredLimits), Urgency::Safety);
     }
 
     /// An operator asks how far the upgrade is.
@@ -360,8 +360,8 @@
 /// Whether a program of a level can read a change: one of the first level
 /// knows neither the newer keys nor the newer forms. This program is always of the
 /// newest level but where tests stand in for an older one.
-pub(crate) fn can_read(program: Level, event: &Event) -> bool {
-    if program >= Level::PIPELINES {
+pub(crate) fn can_read(program: FormatLevel, event: &Event) -> bool {
+    if program >= FormatLevel::PIPELINES {
         return true;
     }
     let value = match event {
@@ -369,7 +369,13 @@
         Event::Delete { .. } => None,
     };
     match Key::parse(event.key()) {
-        Some(Key::More(..) | Key::Format | Key::Level(_) | Key::Lowered | Key::Admission) => false,
+        Some(
+            Key::SpecOverflow(..)
+            | Key::Format
+            | Key::FormatLevel(_)
+            | Key::LoweredLimits
+            | Key::Admission,
+        ) => false,
         Some(Key::Machines(_, piece)) => {
             let list = value.and_then(MachineList::from_value);
             piece == 0 && !matches!(list, Some(MachineList::Short(_)))
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -17,7 +17,7 @@
 use crate::{
     controller::Controller,
     handout::Plan,
-    records::{BlockId, Place},
+    records::{BlockId, TaskStatus},
     rooms::Rooms,
     view::Job,
 };
@@ -156,7 +156,7 @@
         let mut tasks = Vec::new();
         let parts = (id.clone(), 0)..=(id.clone(), u32::MAX);
         for (_, busy) in self.busy.range(parts) {
-            let new = |(index, _): &&(u32, u32)| job.place(*index) == Place::Waiting;
+            let new = |(index, _): &&(u32, u32)| job.task_status(*index) == TaskStatus::Waiting;
             tasks.extend(busy.handed.iter().filter(new).copied());
         }
         tasks
@@ -165,12 +165,12 @@
 
 /// The tasks of a job that are handed to blocks, by the records.
 fn handed_tasks<'a>(id: &'a JobId, job: &'a Job) -> impl Iterator<Item = (TaskId, BlockId)> + 'a {
-    let chunks = job.chunks.iter().filter(|_| !job.handed.is_empty());
+    let chunks = job.chunks.iter().filter(|_| !job.assigned.is_empty());
     chunks.flat_map(move |(part, chunk)| {
         let (first, _) = job.chunk_span(*part);
-        let places = (first..).zip(&chunk.places);
+        let places = (first..).zip(&chunk.task_statuses);
         places.filter_map(move |(index, place)| match place {
-            Place::Handed { block, .. } => Some((id.task(index), *block)),
+            TaskStatus::Assigned { block, .. } => Some((id.task(index), *block)),
             _ => None,
         })
     })
--- a/crates/core/src/user_writes.rs
+++ b/crates/core/src/user_writes.rs
@@ -55,7 +55,7 @@
 
 /// What follows from an answer to a write.
 #[derive(Debug)]
-pub(crate) enum Follows {
+pub(crate) enum WriteResolution {
     /// Nothing: others are under way, or its user has been answered.
     Nothing,
     /// The store has it.
@@ -108,29 +108,29 @@
     }
 
     /// A request for a write has come to an outcome.
-    pub fn answered(&mut self, id: &WriteId, outcome: Outcome) -> Follows {
+    pub fn answered(&mut self, id: &WriteId, outcome: Outcome) -> WriteResolution {
         let Some(write) = self.waiting.get_mut(id) else {
-            return Follows::Nothing;
+            return WriteResolution::Nothing;
         };
         write.in_flight = write.in_flight.saturating_sub(1);
         write.in_doubt |= outcome == Outcome::Unknown;
         let is_settled = matches!(outcome, Outcome::Done(_) | Outcome::Conflict(_));
         if write.in_flight > 0 && !is_settled {
-            return Follows::Nothing;
+            return WriteResolution::Nothing;
         }
         let Some(write) = self.waiting.remove(id) else {
-            return Follows::Nothing;
+            return WriteResolution::Nothing;
         };
         match outcome {
-            Outcome::Done(_) => Follows::Confirmed(write.ask),
-            Outcome::Conflict(revision) => Follows::Conflict(write.ask, revision),
-            _ => Follows::Failed(write),
+            Outcome::Done(_) => WriteResolution::Confirmed(write.ask),
+            Outcome::Conflict(revision) => WriteResolution::Conflict(write.ask, revision),
+            _ => WriteResolution::Failed(write),
         }
     }
 
     /// The record of a job has changed: takes the asks that it confirms. `shows`
     /// tells whether it shows what a wish was for.
-    pub fn take_shown(&mut self, job: &JobId, shows: impl Fn(&Ask) -> bool) -> Vec<Ask> {
+    pub fn take_confirmed(&mut self, job: &JobId, shows: impl Fn(&Ask) -> bool) -> Vec<Ask> {
         let all = (job.clone(), ConnId::MIN)..=(job.clone(), ConnId::MAX);
         let shown = self.waiting.range(all).filter(|(_, w)| shows(&w.ask));
         let shown: Vec<_> = shown.map(|(id, _)| id.clone()).collect();
--- a/crates/core/src/user_writes/tests.rs
+++ b/crates/core/src/user_writes/tests.rs
@@ -46,10 +46,10 @@
     // Some of them may still be answered.
     for _ in 0..2 {
         let follows = writes.answered(&id, Outcome::Unknown);
-        assert!(matches!(follows, Follows::Nothing));
+        assert!(matches!(follows, WriteResolution::Nothing));
     }
     match writes.answered(&id, Outcome::Refused) {
-        Follows::Failed(write) => assert!(write.is_in_doubt()),
+        WriteResolution::Failed(write) => assert!(write.is_in_doubt()),
         other => panic!("{other:?}"),
     }
 }
@@ -59,7 +59,7 @@
     let mut writes = UserWrites::default();
     writes.add(submission(7, 1));
     match writes.answered(&id(7), Outcome::Refused) {
-        Follows::Failed(write) => assert!(!write.is_in_doubt()),
+        WriteResolution::Failed(write) => assert!(!write.is_in_doubt()),
         other => panic!("{other:?}"),
     }
 }
@@ -71,11 +71,14 @@
     let mut writes = UserWrites::default();
     writes.add(submission(7, 1));
     writes.add(submission(8, 2));
-    let shown = writes.take_shown(&job(), |ask| ask.has_written(1));
+    let shown = writes.take_confirmed(&job(), |ask| ask.has_written(1));
     let conns: Vec<_> = shown.iter().map(|ask| ask.conn).collect();
     assert_eq!(conns, [7], "the other one has not written this record");
     let late = writes.answered(&id(7), Outcome::Done(5));
-    assert!(matches!(late, Follows::Nothing), "it is answered once");
+    assert!(
+        matches!(late, WriteResolution::Nothing),
+        "it is answered once"
+    );
     let conflict = writes.answered(&id(8), Outcome::Conflict(5));
-    assert!(matches!(conflict, Follows::Conflict(ask, 5) if ask.conn == 8));
+    assert!(matches!(conflict, WriteResolution::Conflict(ask, 5) if ask.conn == 8));
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -17,8 +17,9 @@
 use crate::floors::Flow;
 use crate::gate::AdmissionRecord;
 use crate::records::{
-    BlockId, BlockRecord, ChunkRecord, FormatRecord, JobRecord, Key, Level, LevelRecord,
-    ListedMachine, MachineList, MachineRecord, MemberRecord, MoreRecord, Phase, Place, from_value,
+    BlockId, BlockRecord, ChunkRecord, FormatLevel, FormatRecord, JobRecord, Key, LevelRecord,
+    ListedMachine, MachineList, MachineRecord, MemberRecord, Phase, SpecOverflowRecord, TaskStatus,
+    from_value,
 };
 
 /// A job as recorded, with what follows from the jobs that it awaits.
@@ -30,15 +31,15 @@
     /// record says so yet.
     pub phase: Phase,
     /// It is open, and some job that it awaits is not done.
-    pub waits: bool,
+    pub waits_for_dependencies: bool,
     /// How many tasks it has.
     pub tasks: u32,
     /// Tasks in a chunk.
-    pub chunk: u32,
+    pub chunk_size: u32,
     /// When it was accepted.
-    pub at_ms: u64,
+    pub accepted_ms: u64,
     /// When the last job that it awaits was done, or it was accepted.
-    pub since_ms: u64,
+    pub ready_ms: u64,
     /// When it was done, if that is known.
     pub done_ms: Option<u64>,
     /// The description, unless compacted.
@@ -49,15 +50,15 @@
     pub service: bool,
     /// Records that continue the description: how many there are to be, what
     /// is to be continued, and those that there are.
-    pub more: u32,
+    pub spec_overflow_count: u32,
     begun: Option<Box<JobSpec>>,
-    pub pieces: BTreeMap<u32, Piece>,
+    pub spec_overflow: BTreeMap<u32, Piece>,
     /// The chunks that have a record.
     pub chunks: BTreeMap<u32, Chunk>,
     /// Tasks done.
     pub done: u32,
     /// Tasks handed to each block.
-    pub handed: BTreeMap<BlockId, u32>,
+    pub assigned: BTreeMap<BlockId, u32>,
 }
 
 /// A record that continues a description.
@@ -66,7 +67,7 @@
     /// Its version.
     pub version: u64,
     /// What it says, until the description is whole.
-    record: Option<MoreRecord>,
+    record: Option<SpecOverflowRecord>,
 }
 
 /// A chunk as recorded.
@@ -75,46 +76,46 @@
     /// The version of its record.
     pub version: u64,
     /// Where its tasks are.
-    pub places: Vec<Place>,
+    pub task_statuses: Vec<TaskStatus>,
 }
 
 impl Job {
     /// Tasks handed and not done or given back.
-    pub fn handed_total(&self) -> u32 {
-        self.handed.values().sum()
+    pub fn assigned_total(&self) -> u32 {
+        self.assigned.values().sum()
     }
 
     /// Tasks that wait.
     pub fn waiting(&self) -> u32 {
         self.tasks
             .saturating_sub(self.done)
-            .saturating_sub(self.handed_total())
+            .saturating_sub(self.assigned_total())
     }
 
     /// The first task of a chunk and how many it has.
     pub fn chunk_span(&self, part: u32) -> (u32, usize) {
-        let first = part.saturating_mul(self.chunk);
-        let count = self.tasks.saturating_sub(first).min(self.chunk);
+        let first = part.saturating_mul(self.chunk_size);
+        let count = self.tasks.saturating_sub(first).min(self.chunk_size);
         (first, count as usize)
     }
 
     /// The chunk that a task is in.
     pub fn chunk_of(&self, index: u32) -> u32 {
-        index / self.chunk.max(1)
+        index / self.chunk_size.max(1)
     }
 
     /// How many chunks there are.
     pub fn chunk_count(&self) -> u32 {
-        self.tasks.div_ceil(self.chunk.max(1))
+        self.tasks.div_ceil(self.chunk_size.max(1))
     }
 
     /// Where a task is.
-    pub fn place(&self, index: u32) -> Place {
+    pub fn task_status(&self, index: u32) -> TaskStatus {
         let part = self.chunk_of(index);
-        let first = part * self.chunk;
+        let first = part * self.chunk_size;
         self.chunks
             .get(&part)
-            .and_then(|c| c.places.get((index - first) as usize))
+            .and_then(|c| c.task_statuses.get((index - first) as usize))
             .copied()
             .unwrap_or_default()
     }
@@ -124,7 +125,7 @@
         self.phase != Phase::Open
             && self.spec.is_none()
             && self.chunks.is_empty()
-            && self.pieces.is_empty()
+            && self.spec_overflow.is_empty()
     }
 
     /// Whether all its tasks are recorded as done while it is not.
@@ -137,10 +138,10 @@
         JobRecord {
             phase: self.phase,
             tasks: self.tasks,
-            at_ms: self.at_ms,
-            chunk: self.chunk,
+            accepted_ms: self.accepted_ms,
+            chunk_size: self.chunk_size,
             spec: None,
-            more: 0,
+            spec_overflow_count: 0,
             done_ms: self.done_ms,
             service: false,
         }
@@ -159,18 +160,20 @@
         let Some(chunk) = self.chunks.get(&part) else {
             return;
         };
-        for place in &chunk.places {
+        for place in &chunk.task_statuses {
             match place {
-                Place::Waiting => {}
-                Place::Done if add => self.done += 1,
-                Place::Done => self.done = self.done.saturating_sub(1),
-                Place::Handed { block, .. } if add => *self.handed.entry(*block).or_default() += 1,
-                Place::Handed { block, .. } => {
-                    let left = self.handed.get(block).map_or(0, |n| n.saturating_sub(1));
+                TaskStatus::Waiting => {}
+                TaskStatus::Done if add => self.done += 1,
+                TaskStatus::Done => self.done = self.done.saturating_sub(1),
+                TaskStatus::Assigned { block, .. } if add => {
+                    *self.assigned.entry(*block).or_default() += 1
+                }
+                TaskStatus::Assigned { block, .. } => {
+                    let left = self.assigned.get(block).map_or(0, |n| n.saturating_sub(1));
                     if left == 0 {
-                        self.handed.remove(block);
+                        self.assigned.remove(block);
                     } else {
-                        self.handed.insert(*block, left);
+                        self.assigned.insert(*block, left);
                     }
                 }
             }
@@ -210,11 +213,11 @@
     /// The machines.
     pub machines: BTreeMap<String, MachineRecord>,
     /// The machines of each block.
-    pub in_block: BTreeMap<BlockId, BTreeSet<String>>,
+    pub machines_by_block: BTreeMap<BlockId, BTreeSet<String>>,
     /// Each block's lists of machines.
-    pub lists: BTreeMap<(BlockId, u32), Listing>,
+    pub machine_lists: BTreeMap<(BlockId, u32), Listing>,
     /// Machines that the last changes have brought or taken.
-    pub news: Vec<String>,
+    pub changed_machines: Vec<String>,
     /// The jobs.
     pub jobs: HashMap<JobId, Job>,
     /// Jobs on which something is left to do now: those that wait for others
@@ -231,7 +234,7 @@
     /// What may be let in.
     pub admission: Option<Versioned<AdmissionRecord>>,
     /// The version of the record that the lower limits hold; 0: none.
-    pub lowered: u64,
+    pub lowered_limits_version: u64,
     /// What is broken on purpose.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<crate::Sabotage>,
@@ -255,35 +258,39 @@
             Key::Leader => self.leader.as_ref().map_or(0, |r| r.version),
             Key::Member(name) => self.members.get(name).map_or(0, |r| r.version),
             Key::Block(id) => self.blocks.get(id).map_or(0, |r| r.version),
-            Key::Machines(id, piece) => self.list_version(*id, *piece),
+            Key::Machines(id, piece) => self.machine_list_version(*id, *piece),
             Key::Job(id) => self.jobs.get(id).map_or(0, |j| j.version),
-            Key::More(id, piece) => {
-                let pieces = self.jobs.get(id).map(|j| &j.pieces);
-                pieces.and_then(|p| p.get(piece)).map_or(0, |p| p.version)
+            Key::SpecOverflow(id, piece) => {
+                let spec_overflow = self.jobs.get(id).map(|j| &j.spec_overflow);
+                spec_overflow
+                    .and_then(|p| p.get(piece))
+                    .map_or(0, |p| p.version)
             }
             Key::Chunk(id, part) => self.chunk_version(id, *part),
             Key::Settings => self.settings.as_ref().map_or(0, |r| r.version),
             Key::Format => self.format.as_ref().map_or(0, |r| r.version),
-            Key::Level(name) => self.level_version(name),
-            Key::Lowered => self.lowered,
+            Key::FormatLevel(name) => self.level_version(name),
+            Key::LoweredLimits => self.lowered_limits_version,
             Key::Admission => self.admission.as_ref().map_or(0, |r| r.version),
         }
     }
 
     /// Whether nothing has ever been recorded.
-    pub fn is_unused(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.leader.is_none()
             && self.format.is_none()
             && self.members.is_empty()
             && self.levels.is_empty()
             && self.blocks.is_empty()
-            && self.lists.is_empty()
+            && self.machine_lists.is_empty()
             && self.jobs.is_empty()
     }
 
     /// The version of one of a block's lists; 0: none.
-    pub fn list_version(&self, id: BlockId, piece: u32) -> u64 {
-        self.lists.get(&(id, piece)).map_or(0, |l| l.version)
+    pub fn machine_list_version(&self, id: BlockId, piece: u32) -> u64 {
+        self.machine_lists
+            .get(&(id, piece))
+            .map_or(0, |l| l.version)
     }
 
     /// The version of what is recorded of a controller's level; 0: nothing.
@@ -292,9 +299,9 @@
     }
 
     /// The format in which all write.
-    pub fn level(&self) -> Level {
+    pub fn level(&self) -> FormatLevel {
         let format = self.format.as_ref();
-        format.map_or(Level::FIRST, |f| f.record.level)
+        format.map_or(FormatLevel::FIRST, |f| f.record.level)
     }
 
     /// The version of a chunk's record; 0: none.
@@ -334,10 +341,10 @@
                 let record: JobRecord = from_value(value)?;
                 self.put_job(id, record, version);
             }
-            Key::More(id, piece) => {
+            Key::SpecOverflow(id, piece) => {
                 let record = Some(from_value(value)?);
                 let job = self.jobs.get_mut(id)?;
-                job.pieces.insert(*piece, Piece { version, record });
+                job.spec_overflow.insert(*piece, Piece { version, record });
                 self.make_whole(id);
                 self.refresh(id);
             }
@@ -345,9 +352,15 @@
                 let record = ChunkRecord::from_value(value)?;
                 let job = self.jobs.get_mut(id)?;
                 let (first, count) = job.chunk_span(*part);
-                let places = record.unpack(first, count)?;
+                let task_statuses = record.unpack(first, count)?;
                 job.count(*part, false);
-                job.chunks.insert(*part, Chunk { version, places });
+                job.chunks.insert(
+                    *part,
+                    Chunk {
+                        version,
+                        task_statuses,
+                    },
+                );
                 job.count(*part, true);
                 self.refresh(id);
             }
@@ -361,12 +374,12 @@
                 let record = from_value(value)?;
                 self.format = Some(Versioned { version, record });
             }
-            Key::Level(name) => {
+            Key::FormatLevel(name) => {
                 let record = from_value(value)?;
                 self.levels
                     .insert(name.clone(), Versioned { version, record });
             }
-            Key::Lowered => self.lowered = version,
+            Key::LoweredLimits => self.lowered_limits_version = version,
             Key::Admission => {
                 let record = from_value(value)?;
                 self.admission = Some(Versioned { version, record });
@@ -399,23 +412,26 @@
                 spot: machine.spot,
                 addr: machine.addr,
             };
-            let in_block = self.in_block.entry(id).or_default();
-            if in_block.insert(machine.name.clone()) {
-                self.news.push(machine.name.clone());
+            let machines_by_block = self.machines_by_block.entry(id).or_default();
+            if machines_by_block.insert(machine.name.clone()) {
+                self.changed_machines.push(machine.name.clone());
             }
             self.machines.insert(machine.name, record);
         }
-        self.in_block.entry(id).or_default();
+        self.machines_by_block.entry(id).or_default();
         let names = listing.names.clone();
-        let old = self.lists.insert((id, piece), listing).unwrap_or_default();
+        let old = self
+            .machine_lists
+            .insert((id, piece), listing)
+            .unwrap_or_default();
         for name in old.names.difference(&names) {
             let here = |m: &MachineRecord| (m.block, m.piece) == (id, piece);
             if self.machines.get(name).is_some_and(here) {
                 self.machines.remove(name);
-                if let Some(in_block) = self.in_block.get_mut(&id) {
-                    in_block.remove(name);
+                if let Some(machines_by_block) = self.machines_by_block.get_mut(&id) {
+                    machines_by_block.remove(name);
                 }
-                self.news.push(name.clone());
+                self.changed_machines.push(name.clone());
             }
         }
     }
@@ -424,21 +440,21 @@
         let job = self.jobs.entry(id.clone()).or_insert_with(|| Job {
             version: 0,
             phase: Phase::Open,
-            waits: false,
+            waits_for_dependencies: false,
             tasks: record.tasks,
-            chunk: record.chunk,
-            at_ms: record.at_ms,
-            since_ms: record.at_ms,
+            chunk_size: record.chunk_size,
+            accepted_ms: record.accepted_ms,
+            ready_ms: record.accepted_ms,
             done_ms: None,
             spec: None,
             flow: None,
             service: false,
-            more: 0,
+            spec_overflow_count: 0,
             begun: None,
-            pieces: BTreeMap::new(),
+            spec_overflow: BTreeMap::new(),
             chunks: BTreeMap::new(),
             done: 0,
-            handed: BTreeMap::new(),
+            assigned: BTreeMap::new(),
         });
         job.version = version;
         // A job that is cancelled with one before it stays so, whatever its
@@ -448,14 +464,14 @@
         }
         job.done_ms = record.done_ms;
         job.service |= record.service;
-        job.more = record.more;
+        job.spec_overflow_count = record.spec_overflow_count;
         job.begun = None;
         // The description never changes, so one copy serves all versions.
         match record.spec {
             Some(spec) if job.spec.is_none() => {
                 job.service = spec.shape == Shape::Service;
                 job.flow = Some(Flow::of(&spec));
-                if record.phase == Phase::Open && record.more > 0 {
+                if record.phase == Phase::Open && record.spec_overflow_count > 0 {
                     job.begun = Some(Box::new(spec));
                 } else {
                     job.spec = Some(Rc::new(spec));
@@ -468,11 +484,11 @@
             Phase::Open => self.make_whole(id),
             Phase::Done => {
                 let at = Duration::from_millis(job.done_ms.unwrap_or(0));
-                job.waits = false;
+                job.waits_for_dependencies = false;
                 self.graph.done(id, at);
             }
             Phase::Cancelled => {
-                job.waits = false;
+                job.waits_for_dependencies = false;
                 if record.phase == Phase::Cancelled {
                     self.graph.cancelled(id);
                 }
@@ -487,16 +503,19 @@
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.phase == Phase::Open) else {
             return;
         };
-        if let Some(begun) = job.begun.take_if(|_| job.pieces.len() as u32 >= job.more) {
-            let pieces = job.pieces.values_mut().map(|p| p.record.take());
-            let pieces: Vec<_> = pieces.flatten().collect();
-            job.spec = JobRecord::join(*begun, &pieces).map(Rc::new);
+        if let Some(begun) = job
+            .begun
+            .take_if(|_| job.spec_overflow.len() as u32 >= job.spec_overflow_count)
+        {
+            let spec_overflow = job.spec_overflow.values_mut().map(|p| p.record.take());
+            let spec_overflow: Vec<_> = spec_overflow.flatten().collect();
+            job.spec = JobRecord::join(*begun, &spec_overflow).map(Rc::new);
         }
         let Some(spec) = job.spec.clone() else {
-            job.waits = true;
+            job.waits_for_dependencies = true;
             return;
         };
-        let arrived = Duration::from_millis(job.at_ms);
+        let arrived = Duration::from_millis(job.accepted_ms);
         let seconds = |s: f64| Duration::try_from_secs_f64(s).unwrap_or_default();
         let own = Own {
             priority: spec.priority,
@@ -534,10 +553,10 @@
             | (Some(crate::Sabotage::NoChain), Standing::Cancelled) => return,
             _ => {}
         }
-        job.waits = standing == Standing::Waits;
+        job.waits_for_dependencies = standing == Standing::Waits;
         match standing {
             Standing::Waits => {}
-            Standing::Ready(since) => job.since_ms = since.as_millis() as u64,
+            Standing::Ready(since) => job.ready_ms = since.as_millis() as u64,
             Standing::Cancelled => job.phase = Phase::Cancelled,
         }
     }
@@ -553,7 +572,7 @@
     }
 
     fn refresh(&mut self, id: &JobId) {
-        let rests = |job: &Job| job.waits || job.settled();
+        let rests = |job: &Job| job.waits_for_dependencies || job.settled();
         if self.jobs.get(id).is_none_or(rests) {
             self.active.remove(id);
         } else {
@@ -577,15 +596,15 @@
             }
             Key::Machines(id, piece) => {
                 self.put_list(*id, *piece, "", Vec::new(), version);
-                self.lists.remove(&(*id, *piece));
+                self.machine_lists.remove(&(*id, *piece));
             }
             Key::Job(id) => {
                 self.jobs.remove(id);
                 self.refresh(id);
             }
-            Key::More(id, piece) => {
+            Key::SpecOverflow(id, piece) => {
                 if let Some(job) = self.jobs.get_mut(id) {
-                    job.pieces.remove(piece);
+                    job.spec_overflow.remove(piece);
                 }
                 self.refresh(id);
             }
@@ -603,10 +622,10 @@
             }
             Key::Settings => self.settings = None,
             Key::Format => self.format = None,
-            Key::Level(name) => {
+            Key::FormatLevel(name) => {
                 self.levels.remove(name);
             }
-            Key::Lowered => self.lowered = 0,
+            Key::LoweredLimits => self.lowered_limits_version = 0,
             Key::Admission => self.admission = None,
         }
         Some(key)
@@ -618,8 +637,8 @@
     }
 
     /// How many machines a block has.
-    pub fn count_in(&self, id: &BlockId) -> usize {
-        self.in_block.get(id).map_or(0, BTreeSet::len)
+    pub fn machine_count(&self, id: &BlockId) -> usize {
+        self.machines_by_block.get(id).map_or(0, BTreeSet::len)
     }
 
     /// Whether a block's holder is up in the incarnation that was given it.
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -24,7 +24,7 @@
 
 use oliveshift_core::{
     Call, CallId, Controller, Input, Method, Output, Reply, Request, Sabotage, Side, SocketId,
-    records::Level,
+    records::FormatLevel,
 };
 use oliveshift_wire::{
     JobId,
@@ -65,7 +65,7 @@
     /// How fast its steady clock runs.
     clock_rate: f64,
     settings: Settings,
-    level: Level,
+    level: FormatLevel,
     life: u64,
     back_at: Duration,
     started: Duration,
@@ -282,7 +282,11 @@
                 false => 1.0,
             },
             settings: settings(i, size, &timing),
-            level: if rolls { Level::FIRST } else { Level::OWN },
+            level: if rolls {
+                FormatLevel::FIRST
+            } else {
+                FormatLevel::SUPPORTED
+            },
             life: 0,
             back_at: Duration::ZERO,
             started: Duration::ZERO,
@@ -583,7 +587,7 @@
             Event::Copy(call) => self.copy(call),
             Event::CopyOfUser(user, what) => self.user_asks(user, what),
             Event::Upgrade(node) => {
-                self.nodes[node].level = Level::OWN;
+                self.nodes[node].level = FormatLevel::SUPPORTED;
                 if self.nodes[node].controller.is_some() {
                     self.crash(node, RESTART);
                 }
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -5,7 +5,7 @@
 
 use oliveshift_core::{
     Call, CallId, Input, Method, Reply, Request, Side, SocketId, Target,
-    records::{Key, Level},
+    records::{FormatLevel, Key},
     sockets::OutboundKind,
 };
 use oliveshift_wire::{decode, encode, state::Txn, worker::DirectOrders};
@@ -245,7 +245,7 @@
             Target::State => {
                 *self.load.requests.entry(second).or_default() += 1;
                 let aware = self.nodes[node].controller.as_ref();
-                if aware.is_some_and(|c| c.level() < Level::PIPELINES) {
+                if aware.is_some_and(|c| c.level() < FormatLevel::PIPELINES) {
                     self.unaware.insert((node, life, id));
                 }
                 if let Ok(txn) = decode::<Txn>(&call.body) {
