--- a/crates/core/src/fixtures.rs
+++ b/crates/core/src/fixtures.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     controller::Controller,
-    records::{BlockRecord, FormatLevel, Key, ListedMachine, MachineList},
+    records::{BlockRecord, FormatLevel, Key, MachineListEntry, MachineListRecord},
 };
 
 /// Controller n-0 of one zone, before it has read any record. `members` are the others,
@@ -37,14 +37,14 @@
 }
 
 /// The record of a block's machines: vm-1 alone.
-pub(crate) fn machine_list() -> MachineList {
-    let machine = ListedMachine {
+pub(crate) fn machine_list() -> MachineListRecord {
+    let machine = MachineListEntry {
         name: "vm-1".into(),
         kind: "small".into(),
         spot: false,
         addr: "10.1.0.1:9000".into(),
     };
-    MachineList::new(FormatLevel::FIRST, "a".into(), vec![machine])
+    MachineListRecord::new(FormatLevel::FIRST, "a".into(), vec![machine])
 }
 
 /// Shows records to a controller, each with its version.
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -16,7 +16,7 @@
     call::ConnId,
     controller::Controller,
     gate::{Demands, Steward},
-    lists::ListWrite,
+    machine_lists::MachineListWrite,
     records::{BlockId, BlockRecord, FormatLevel, Key, Phase, to_list, to_map},
     rooms::Rooms,
     serving::Serving,
@@ -76,7 +76,7 @@
     /// The machine on which each task was counted at hand-out.
     pub planned: BTreeMap<TaskId, String>,
     /// The write of machine lists under way.
-    pub lists: Option<ListWrite>,
+    pub lists: Option<MachineListWrite>,
     /// When lists were written last.
     pub lists_at: Duration,
     /// Blocks being made, and in which zone.
--- a/crates/core/src/lists.rs
+++ b/crates/core/src/machine_lists.rs
@@ -20,7 +20,7 @@
 use crate::{
     controller::Controller,
     recorder::Step,
-    records::{BlockId, BlockRecord, FormatLevel, Key, ListedMachine, MachineList},
+    records::{BlockId, BlockRecord, FormatLevel, Key, MachineListEntry, MachineListRecord},
     store::{Outcome, Purpose, Urgency},
 };
 
@@ -41,7 +41,7 @@
 
 /// A write under way.
 #[derive(Debug)]
-pub(crate) struct ListWrite {
+pub(crate) struct MachineListWrite {
     txn: Txn,
     step: Step,
     /// It, or one before it on the same conditions, has got no answer.
@@ -51,7 +51,7 @@
 }
 
 /// Lists to be written: by block and number.
-type Lists = BTreeMap<(BlockId, u32), Vec<ListedMachine>>;
+type Lists = BTreeMap<(BlockId, u32), Vec<MachineListEntry>>;
 
 impl Controller {
     /// How many machines a block may have: enough blocks that each controller
@@ -131,7 +131,7 @@
             && let Some(leader) = &mut self.leader
         {
             leader.lists_at = self.now;
-            leader.lists = Some(ListWrite {
+            leader.lists = Some(MachineListWrite {
                 txn,
                 step: Step::Sent,
                 in_doubt,
@@ -181,13 +181,13 @@
         }
     }
 
-    fn list_value(&self, id: BlockId, machines: Vec<ListedMachine>) -> Value {
+    fn list_value(&self, id: BlockId, machines: Vec<MachineListEntry>) -> Value {
         let zone = self.view.blocks.get(&id).map(|b| b.record.zone.clone());
         let zone = zone.unwrap_or_default();
-        MachineList::new(self.level(), zone, machines).to_value()
+        MachineListRecord::new(self.level(), zone, machines).to_value()
     }
 
-    fn list_fits(&self, id: BlockId, machines: &[ListedMachine]) -> bool {
+    fn list_fits(&self, id: BlockId, machines: &[MachineListEntry]) -> bool {
         self.level() < FormatLevel::PIPELINES
             || json_len(&self.list_value(id, machines.to_vec())) <= self.limits().value_bytes()
     }
@@ -309,8 +309,8 @@
         &self,
         id: BlockId,
         lists: &Lists,
-        machine: ListedMachine,
-    ) -> Option<((BlockId, u32), Vec<ListedMachine>)> {
+        machine: MachineListEntry,
+    ) -> Option<((BlockId, u32), Vec<MachineListEntry>)> {
         (0..=self.next_piece(id, lists)).find_map(|piece| {
             let at = (id, piece);
             let planned = lists.get(&at).cloned();
@@ -320,11 +320,11 @@
         })
     }
 
-    fn list_of(&self, id: BlockId, piece: u32) -> Vec<ListedMachine> {
+    fn list_of(&self, id: BlockId, piece: u32) -> Vec<MachineListEntry> {
         let listing = self.view.machine_lists.get(&(id, piece));
         let machine = |name: &String| {
             let record = self.view.machines.get(name)?;
-            Some(ListedMachine {
+            Some(MachineListEntry {
                 name: name.clone(),
                 kind: record.kind.clone(),
                 spot: record.spot,
@@ -344,13 +344,13 @@
             write.in_doubt |= outcome == Outcome::Unknown;
             write.impossible = outcome == Outcome::Impossible;
             let step = Step::after(outcome, write.in_doubt, now);
-            leader.lists = step.map(|step| ListWrite { step, ..write });
+            leader.lists = step.map(|step| MachineListWrite { step, ..write });
         }
     }
 }
 
-fn listed(report: &Report) -> ListedMachine {
-    ListedMachine {
+fn listed(report: &Report) -> MachineListEntry {
+    MachineListEntry {
         name: report.machine.clone(),
         kind: report.kind.clone(),
         spot: report.spot,
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -152,25 +152,25 @@
 /// `machines/ID`: the machines of a block. A machine is taken out only when it
 /// is surely gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MachineList {
+pub enum MachineListRecord {
     /// The first level's form.
-    Long(LongList),
+    Flat(FlatMachineList),
     /// From the second level on: half of the size.
-    Short(ShortList),
+    Grouped(GroupedMachineList),
 }
 
 /// The first level's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LongList {
+pub struct FlatMachineList {
     /// The zone of the block.
     pub zone: String,
     /// Its machines.
-    pub machines: Vec<ListedMachine>,
+    pub machines: Vec<MachineListEntry>,
 }
 
 /// The second level's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShortList {
+pub struct GroupedMachineList {
     /// The zone of the block.
     pub zone: String,
     /// Its machines by type: ordinary ones, then spot ones, each with name and
@@ -180,7 +180,7 @@
 
 /// A machine of a block. Never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListedMachine {
+pub struct MachineListEntry {
     /// Its name.
     pub name: String,
     /// The machine type.
@@ -191,46 +191,46 @@
     pub addr: String,
 }
 
-impl MachineList {
+impl MachineListRecord {
     /// A list in the form of a level.
-    pub fn new(level: FormatLevel, zone: String, machines: Vec<ListedMachine>) -> Self {
+    pub fn new(level: FormatLevel, zone: String, machines: Vec<MachineListEntry>) -> Self {
         if level < FormatLevel::PIPELINES {
-            return Self::Long(LongList { zone, machines });
+            return Self::Flat(FlatMachineList { zone, machines });
         }
         let mut kinds: BTreeMap<String, [Vec<_>; 2]> = BTreeMap::new();
         for machine in machines {
             let lists = kinds.entry(machine.kind).or_default();
             lists[usize::from(machine.spot)].push((machine.name, machine.addr));
         }
-        Self::Short(ShortList { zone, kinds })
+        Self::Grouped(GroupedMachineList { zone, kinds })
     }
 
     /// The value in the store.
     pub fn to_value(&self) -> Value {
         match self {
-            Self::Long(list) => to_list(list),
-            Self::Short(list) => to_map(list),
+            Self::Flat(list) => to_list(list),
+            Self::Grouped(list) => to_map(list),
         }
     }
 
     /// Reads either form.
     pub fn from_value(value: Value) -> Option<Self> {
         if value.is_map() {
-            from_value(value).map(Self::Short)
+            from_value(value).map(Self::Grouped)
         } else {
-            from_value(value).map(Self::Long)
+            from_value(value).map(Self::Flat)
         }
     }
 
     /// The zone and the machines, whatever the form.
-    pub fn into_parts(self) -> (String, Vec<ListedMachine>) {
+    pub fn into_parts(self) -> (String, Vec<MachineListEntry>) {
         match self {
-            Self::Long(LongList { zone, machines }) => (zone, machines),
-            Self::Short(ShortList { zone, kinds }) => {
+            Self::Flat(FlatMachineList { zone, machines }) => (zone, machines),
+            Self::Grouped(GroupedMachineList { zone, kinds }) => {
                 let mut machines = Vec::new();
                 for (kind, lists) in kinds {
                     for (spot, list) in [false, true].into_iter().zip(lists) {
-                        machines.extend(list.into_iter().map(|(name, addr)| ListedMachine {
+                        machines.extend(list.into_iter().map(|(name, addr)| MachineListEntry {
                             name,
                             kind: kind.clone(),
                             spot,
@@ -540,15 +540,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChunkRecord {
     /// The first level's.
-    Ranges(Ranges),
+    Ranges(TaskRanges),
     /// From the second level on.
-    Letters(Letters),
+    Symbols(TaskSymbols),
 }
 
 /// Ranges of tasks, from and up to, numbered within the job. Tasks in no range
 /// wait. The worst case takes 50 bytes a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ranges {
+pub struct TaskRanges {
     /// Ranges of done tasks.
     pub done: Vec<(u32, u32)>,
     /// Ranges handed to a block under a term.
@@ -558,7 +558,7 @@
 /// A letter for each task, and the blocks and terms that the letters stand
 /// for.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Letters {
+pub struct TaskSymbols {
     /// The blocks and their terms.
     pub to: Vec<(BlockId, Term)>,
     /// What is with each task.
@@ -579,7 +579,7 @@
 /// takes more than one byte in JSON.
 const WAITING: u8 = b'.';
 const DONE: u8 = b'+';
-const LETTERS: &[u8; 90] =
+const BLOCK_SYMBOLS: &[u8; 90] =
     b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz!#$%&'()*,-/:;<=>?@[]^_`{|}~";
 
 /// How many tasks a chunk may hold for the store to take its record.
@@ -598,7 +598,7 @@
         return usize::MAX;
     }
     let fits = value_bytes.saturating_sub(LETTERS_BYTES + count) / PAIR_BYTES;
-    fits.min(LETTERS.len())
+    fits.min(BLOCK_SYMBOLS.len())
 }
 
 impl ChunkRecord {
@@ -616,21 +616,21 @@
     pub fn to_value(&self) -> Value {
         match self {
             Self::Ranges(ranges) => to_list(ranges),
-            Self::Letters(letters) => to_map(letters),
+            Self::Symbols(letters) => to_map(letters),
         }
     }
 
     /// Reads either form.
     pub fn from_value(value: Value) -> Option<Self> {
         if value.is_map() {
-            from_value(value).map(Self::Letters)
+            from_value(value).map(Self::Symbols)
         } else {
             from_value(value).map(Self::Ranges)
         }
     }
 
     fn ranges(first: u32, all: &[TaskStatus]) -> Self {
-        let mut ranges = Ranges::default();
+        let mut ranges = TaskRanges::default();
         let mut at = 0;
         while at < all.len() {
             let place = all[at];
@@ -649,7 +649,7 @@
     }
 
     fn letters(places: &[TaskStatus]) -> Option<Self> {
-        let Letters { mut to, mut tasks } = Letters::default();
+        let TaskSymbols { mut to, mut tasks } = TaskSymbols::default();
         for place in places {
             let letter = match place {
                 TaskStatus::Waiting => WAITING,
@@ -660,12 +660,12 @@
                         to.push(pair);
                         to.len() - 1
                     });
-                    *LETTERS.get(at)?
+                    *BLOCK_SYMBOLS.get(at)?
                 }
             };
             tasks.push(char::from(letter));
         }
-        Some(Self::Letters(Letters { to, tasks }))
+        Some(Self::Symbols(TaskSymbols { to, tasks }))
     }
 
     /// Unpacks the places of `count` tasks from `first` on. A letter that
@@ -682,7 +682,7 @@
             }
         };
         match self {
-            Self::Ranges(Ranges { done, handed }) => {
+            Self::Ranges(TaskRanges { done, handed }) => {
                 for &(from, to, block, term) in handed {
                     fill(from, to, TaskStatus::Assigned { block, term });
                 }
@@ -690,13 +690,13 @@
                     fill(from, to, TaskStatus::Done);
                 }
             }
-            Self::Letters(Letters { to, tasks }) => {
+            Self::Symbols(TaskSymbols { to, tasks }) => {
                 for (place, letter) in places.iter_mut().zip(tasks.bytes()) {
                     *place = match letter {
                         WAITING => TaskStatus::Waiting,
                         DONE => TaskStatus::Done,
                         letter => {
-                            let at = LETTERS.iter().position(|l| *l == letter)?;
+                            let at = BLOCK_SYMBOLS.iter().position(|l| *l == letter)?;
                             let &(block, term) = to.get(at)?;
                             TaskStatus::Assigned { block, term }
                         }
@@ -758,7 +758,7 @@
             let back = ChunkRecord::from_value(packed.to_value()).expect("its own form");
             assert_eq!(back.unpack(256, 12), Some(places.clone()), "{level:?}");
         }
-        let bad = ChunkRecord::Letters(Letters {
+        let bad = ChunkRecord::Symbols(TaskSymbols {
             to: vec![(1, 2)],
             tasks: "+1".into(),
         });
@@ -846,8 +846,8 @@
         }
     }
 
-    fn machines() -> Vec<ListedMachine> {
-        let machine = |name: &str, kind: &str, spot, addr: &str| ListedMachine {
+    fn machines() -> Vec<MachineListEntry> {
+        let machine = |name: &str, kind: &str, spot, addr: &str| MachineListEntry {
             name: name.into(),
             kind: kind.into(),
             spot,
@@ -886,7 +886,7 @@
             incarnation: 7,
         };
         check("93a465617374a36e2d3107", block, to_list, from_value);
-        let list = |machines| MachineList::new(FormatLevel::FIRST, "east".into(), machines);
+        let list = |machines| MachineListRecord::new(FormatLevel::FIRST, "east".into(), machines);
         let lists = [
             (
                 "92a4656173749294a9766d2d303030303031a5736d616c6cc2ad31302e312e302e313a3930303094\
@@ -896,8 +896,8 @@
             ("92a46561737490", Vec::new()),
         ];
         for (gold, machines) in lists {
-            let to = MachineList::to_value;
-            check(gold, list(machines), to, MachineList::from_value);
+            let to = MachineListRecord::to_value;
+            check(gold, list(machines), to, MachineListRecord::from_value);
         }
         let service = JobSpec {
             types: None,
@@ -948,8 +948,9 @@
     #[test]
     fn the_second_levels_records_come_back() {
         let second = FormatLevel::PIPELINES;
-        let list = MachineList::new(second, "east".into(), machines());
-        let back = MachineList::from_value(list.to_value()).map(MachineList::into_parts);
+        let list = MachineListRecord::new(second, "east".into(), machines());
+        let back =
+            MachineListRecord::from_value(list.to_value()).map(MachineListRecord::into_parts);
         let (zone, mut back) = back.expect("its own form");
         back.sort_by(|a, b| a.name.cmp(&b.name));
         assert_eq!((zone.as_str(), back), ("east", machines()));
--- a/crates/core/src/upgrade.rs
+++ b/crates/core/src/upgrade.rs
@@ -18,7 +18,9 @@
 use crate::{
     call::{ConnId, Method, Output, Reply, Target},
     controller::{Controller, Pending},
-    records::{ChunkRecord, FormatLevel, FormatRecord, Key, LevelRecord, MachineList, to_map},
+    records::{
+        ChunkRecord, FormatLevel, FormatRecord, Key, LevelRecord, MachineListRecord, to_map,
+    },
     store::{Outcome, Purpose, Urgency},
 };
 
@@ -377,13 +379,13 @@
             | Key::Admission,
         ) => false,
         Some(Key::Machines(_, piece)) => {
-            let list = value.and_then(MachineList::from_value);
-            piece == 0 && !matches!(list, Some(MachineList::Short(_)))
+            let list = value.and_then(MachineListRecord::from_value);
+            piece == 0 && !matches!(list, Some(MachineListRecord::Grouped(_)))
         }
         Some(Key::Job(_)) => !value.is_some_and(|v| v.is_map()),
         Some(Key::Chunk(..)) => {
             let chunk = value.and_then(ChunkRecord::from_value);
-            !matches!(chunk, Some(ChunkRecord::Letters(_)))
+            !matches!(chunk, Some(ChunkRecord::Symbols(_)))
         }
         _ => true,
     }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -18,8 +18,8 @@
 use crate::gate::AdmissionRecord;
 use crate::records::{
     BlockId, BlockRecord, ChunkRecord, FormatLevel, FormatRecord, JobRecord, Key, LevelRecord,
-    ListedMachine, MachineList, MachineRecord, MemberRecord, Phase, SpecOverflowRecord, TaskStatus,
-    from_value,
+    MachineListEntry, MachineListRecord, MachineRecord, MemberRecord, Phase, SpecOverflowRecord,
+    TaskStatus, from_value,
 };
 
 /// A job as recorded, with what follows from the jobs that it awaits.
@@ -333,7 +333,7 @@
                 self.blocks.insert(*id, Versioned { version, record });
             }
             Key::Machines(id, piece) => {
-                let list = MachineList::from_value(value)?;
+                let list = MachineListRecord::from_value(value)?;
                 let (zone, machines) = list.into_parts();
                 self.put_list(*id, *piece, &zone, machines, version);
             }
@@ -395,7 +395,7 @@
         id: BlockId,
         piece: u32,
         zone: &str,
-        machines: Vec<ListedMachine>,
+        machines: Vec<MachineListEntry>,
         version: u64,
     ) {
         let mut listing = Listing {
