--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -72,7 +72,7 @@
 
 /// The address at which a request came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum Listener {
     /// Users and workers.
     Public,
     /// Controllers and operators.
@@ -87,7 +87,7 @@
     /// The connection that it came in on, if that was told of.
     pub socket: SocketId,
     /// Where it came in.
-    pub side: Side,
+    pub listener: Listener,
     /// The method.
     pub method: Method,
     /// The path, without query.
@@ -117,9 +117,9 @@
     /// Answer one.
     Answer(Answer),
     /// Read from a connection that has something to say.
-    Serve(SocketId),
+    ReadFrom(SocketId),
     /// Close connections.
     Close(Close),
     /// End the program with this line.
-    End(String),
+    Exit(String),
 }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -18,14 +18,13 @@
 use crate::{
     admission::{Admission, Ask},
     blocks::Held,
-    call::{Answer, Call, CallId, ConnId, Method, Output, Reply, Request, Side, Target},
+    call::{Answer, Call, CallId, ConnId, Listener, Method, Output, Reply, Request, Target},
     cloud::CloudCall,
     due::Due,
     fleet::Fleet,
     forwarding::Forwarding,
     futile::Futile,
     gate::Gate,
-    intake::{Class, Intake},
     invariants::Invariants,
     leader::Leader,
     machine::Machine,
@@ -35,6 +34,7 @@
     recorder::{Busy, News},
     records::{BlockId, FormatLevel, Key},
     relay::Relay,
+    request_queue::{RequestClass, RequestQueue},
     slots::Slot,
     snapshot::SnapshotPart,
     sockets::{Close, OutboundKind, SocketId, Sockets},
@@ -60,9 +60,9 @@
     /// Time has passed; expected every few dozen milliseconds.
     Tick,
     /// A connection came in at an address of ours.
-    Opened(SocketId, Side),
+    Opened(SocketId, Listener),
     /// A connection that came in has something to say, which begins like this.
-    /// It is to be read when [`Output::Serve`] says so.
+    /// It is to be read when [`Output::ReadFrom`] says so.
     Arrived(SocketId, Vec<u8>),
     /// A connection that came in has ended.
     Closed(SocketId),
@@ -287,7 +287,7 @@
     pub(crate) program: FormatLevel,
     pub(crate) upgrade: Upgrade,
     pub(crate) sockets: Sockets,
-    pub(crate) intake: Intake,
+    pub(crate) request_queue: RequestQueue,
     /// Something happened since it was last acted upon, and when that was.
     unsettled: bool,
     settled_at: Duration,
@@ -365,7 +365,7 @@
             store: StoreClient::new(&settings),
             fleet: Fleet::new(&settings),
             sockets: Sockets::new(&settings),
-            intake: Intake::default(),
+            request_queue: RequestQueue::default(),
             unsettled: false,
             settled_at: Duration::ZERO,
             lowered: settings.params.state.lowered(),
@@ -443,15 +443,15 @@
             {
                 return vec![Output::Close(Close::Inbound(id))];
             }
-            Input::Opened(id, side) => {
-                let close = self.sockets.connection_opened(self.now, id, side);
+            Input::Opened(id, listener) => {
+                let close = self.sockets.connection_opened(self.now, id, listener);
                 return close.into_iter().map(Output::Close).collect();
             }
             Input::Arrived(id, beginning) => {
-                if self.class(Class::of_beginning(&beginning)) != Class::Report {
-                    return vec![Output::Serve(id)];
+                if self.class(RequestClass::of_prefix(&beginning)) != RequestClass::Report {
+                    return vec![Output::ReadFrom(id)];
                 }
-                self.intake.arrived(self.now, id);
+                self.request_queue.push_connection(self.now, id);
                 return Vec::new();
             }
             Input::Closed(id) => {
@@ -465,8 +465,8 @@
             Input::Request(request) => {
                 self.sockets
                     .request_received(self.now, request.socket, request.conn);
-                let class = self.class(Class::of(&request));
-                self.intake.take(self.now, class, request);
+                let class = self.class(RequestClass::of(&request));
+                self.request_queue.push(self.now, class, request);
                 return Vec::new();
             }
             Input::Tick => self.tick(),
@@ -478,34 +478,35 @@
 
     /// Whether something that came in waits for a turn.
     pub fn is_due(&self) -> bool {
-        self.unsettled || !self.intake.is_empty()
+        self.unsettled || !self.request_queue.is_empty()
     }
 
     /// Whether somebody waits for that turn who goes before workers.
     pub fn is_urgent(&self) -> bool {
-        self.intake.is_urgent()
+        self.request_queue.is_urgent()
     }
 
     /// Answers requests that wait, the most urgent ones if they are many, and
     /// does what all that came in has made possible.
     pub fn turn(&mut self, now: Now) -> Vec<Output> {
         self.pass(now);
-        let turn = self.intake.turn(self.now);
-        let late = turn.late_reports.iter().map(|r| r.socket);
-        for id in late.chain(turn.late_sockets) {
+        let batch = self.request_queue.next_batch(self.now);
+        let late = batch.expired_reports.iter().map(|r| r.socket);
+        for id in late.chain(batch.expired_sockets) {
             self.sockets.connection_closed(id);
             self.close(vec![Close::Inbound(id)]);
         }
-        self.out.extend(turn.serve.into_iter().map(Output::Serve));
-        for request in turn.late_users {
+        self.out
+            .extend(batch.read_from.into_iter().map(Output::ReadFrom));
+        for request in batch.expired_users {
             self.come_back(request.conn, "too much to do");
         }
-        for request in turn.requests {
+        for request in batch.requests {
             self.request(request);
             self.unsettled = true;
         }
         // Acting costs the same for one input and for many.
-        let waits = !self.intake.is_empty() && self.now < self.settled_at + SETTLE_EVERY;
+        let waits = !self.request_queue.is_empty() && self.now < self.settled_at + SETTLE_EVERY;
         if self.unsettled && !waits {
             self.unsettled = false;
             self.settled_at = self.now;
@@ -516,10 +517,10 @@
 
     /// The class that counts, which is not the request's own only if it is
     /// broken on purpose.
-    fn class(&self, class: Class) -> Class {
+    fn class(&self, class: RequestClass) -> RequestClass {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(Sabotage::InOrder) {
-            return Class::User;
+            return RequestClass::User;
         }
         class
     }
@@ -584,58 +585,60 @@
     fn request(&mut self, request: Request) {
         let Request {
             conn,
-            side,
+            listener,
             method,
             path,
             body,
             ..
         } = request;
-        match (side, route(&path), method) {
+        match (listener, route(&path), method) {
             (_, (Some("healthz"), None, ..), Method::Get) => {
                 let status = if self.healthy() { 200 } else { 503 };
                 self.answer(conn, status, Vec::new());
             }
-            (Side::Public, (Some("work"), id, what, more), _) => {
+            (Listener::Public, (Some("work"), id, what, more), _) => {
                 self.relay
                     .store_request(self.now, conn, method, &path, &body);
                 self.serve_user(conn, method, (id, what, more), &body);
             }
-            (Side::Public, (Some("checkin"), None, ..), Method::Post) => self.report(conn, &body),
-            (Side::Internal, (Some("peer"), None, ..), Method::Post) => {
+            (Listener::Public, (Some("checkin"), None, ..), Method::Post) => {
+                self.report(conn, &body)
+            }
+            (Listener::Internal, (Some("peer"), None, ..), Method::Post) => {
                 if let Some(message) = self.decode_peer_message(conn, &body) {
                     self.receive_peer_message(conn, message);
                 }
             }
-            (Side::Internal, (Some("reach"), None, ..), Method::Post)
+            (Listener::Internal, (Some("reach"), None, ..), Method::Post)
                 if self.program >= FormatLevel::PIPELINES =>
             {
                 self.receive_reach_message(conn, &body);
             }
-            (Side::Internal, (Some("carry"), None, ..), Method::Post)
+            (Listener::Internal, (Some("carry"), None, ..), Method::Post)
                 if self.program >= FormatLevel::PIPELINES =>
             {
                 self.receive_relayed_request(conn, &body);
             }
-            (Side::Internal, (Some("forward"), None, ..), Method::Post)
+            (Listener::Internal, (Some("forward"), None, ..), Method::Post)
                 if self.program >= FormatLevel::PIPELINES =>
             {
                 self.receive_forwarded_report(conn, &body);
             }
-            (Side::Internal, (Some("level"), None, ..), Method::Get)
+            (Listener::Internal, (Some("level"), None, ..), Method::Get)
                 if self.program >= FormatLevel::PIPELINES =>
             {
                 self.tell_level(conn);
             }
-            (Side::Internal, (Some("admin"), Some("upgrade"), None, _), Method::Get) => {
+            (Listener::Internal, (Some("admin"), Some("upgrade"), None, _), Method::Get) => {
                 self.upgrade_status(conn);
             }
-            (Side::Internal, (Some("admin"), Some("upgrade"), None, _), Method::Post) => {
+            (Listener::Internal, (Some("admin"), Some("upgrade"), None, _), Method::Post) => {
                 self.write_off(conn, &body);
             }
             (_, (Some("healthz"), None, ..), _)
-            | (Side::Internal, (Some("peer"), None, ..), _)
-            | (Side::Internal, (Some("admin"), Some("upgrade"), None, _), _)
-            | (Side::Public, (Some("checkin"), None, ..), _) => {
+            | (Listener::Internal, (Some("peer"), None, ..), _)
+            | (Listener::Internal, (Some("admin"), Some("upgrade"), None, _), _)
+            | (Listener::Public, (Some("checkin"), None, ..), _) => {
                 self.refuse(conn, 405, "method not allowed");
             }
             _ => self.refuse(conn, 404, "no such path"),
--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -123,7 +123,7 @@
         }
         // Whoever is behind would get to the answer too late.
         let may = self.level() >= FormatLevel::PIPELINES
-            && self.intake.is_empty()
+            && self.request_queue.is_empty()
             && self.forwarding.outbox.has_room()
             && self.is_peer_fresh(to);
         if !may {
--- a/crates/core/src/forwarding/origin.rs
+++ b/crates/core/src/forwarding/origin.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     call::{ConnId, Reply},
-    intake::REPORT_PATIENCE,
     reachability::StrayAction,
+    request_queue::REPORT_TIMEOUT,
 };
 
 /// How many forwarded reports may be without an answer at a time.
@@ -134,7 +134,7 @@
         self.unregistered
             .retain(|_, first| now <= *first + COMES_AGAIN);
         match self.unregistered.get(machine) {
-            Some(first) => now > *first + REPORT_PATIENCE,
+            Some(first) => now > *first + REPORT_TIMEOUT,
             None => {
                 self.unregistered.insert(machine.to_owned(), now);
                 false
--- a/crates/core/src/forwarding/tests.rs
+++ b/crates/core/src/forwarding/tests.rs
@@ -107,7 +107,7 @@
 /// A worker gives up after 4 s: both tries and the answer have to fit.
 #[test]
 fn both_tries_fit_into_the_patience_of_a_worker() {
-    let patience = crate::intake::REPORT_PATIENCE;
+    let patience = crate::request_queue::REPORT_TIMEOUT;
     assert!((HOLDER_TIMEOUT * 2).max(LEADER_TIMEOUT * 2) + ms(1000) < patience);
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -22,7 +22,6 @@
 mod futile;
 pub mod gate;
 mod handout;
-mod intake;
 mod invariants;
 mod leader;
 mod lease;
@@ -38,6 +37,7 @@
 mod recorder;
 pub mod records;
 mod relay;
+mod request_queue;
 mod rooms;
 mod serving;
 mod slots;
@@ -53,9 +53,9 @@
 mod user_writes;
 mod view;
 
-pub use call::{Answer, Call, CallId, ConnId, Method, Output, Reply, Request, Side, Target};
+pub use call::{Answer, Call, CallId, ConnId, Listener, Method, Output, Reply, Request, Target};
 #[cfg(feature = "sabotage")]
 pub use controller::Sabotage;
 pub use controller::{Controller, Input, Now};
-pub use intake::is_report;
+pub use request_queue::is_report;
 pub use sockets::{Close, SocketId};
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -174,7 +174,7 @@
         };
         // Whoever is behind gets to the peer's answer, or to its absence, too late: a
         // poll carried on with 0.3 s left was answered after its 2 s.
-        let behind = !self.intake.is_empty();
+        let behind = !self.request_queue.is_empty();
         if peers.is_empty() || behind || self.level() < FormatLevel::PIPELINES {
             return self.come_back(conn, why);
         }
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -14,9 +14,9 @@
 
 use crate::{
     controller::Controller,
-    intake::REPORT_PATIENCE,
     machine::Machine,
     records::Term,
+    request_queue::REPORT_TIMEOUT,
     slots::{Bound, Slot, State},
 };
 
@@ -168,7 +168,7 @@
     /// Until then a worker that is cut off from its holder alone has come to somebody
     /// else, after its patience with its holder and a pause, and this has been told.
     pub(crate) fn early_limit(&self) -> Duration {
-        let comes_round = self.settings.report_period() * 5 / 4 + REPORT_PATIENCE + ROUND_PAUSE;
+        let comes_round = self.settings.report_period() * 5 / 4 + REPORT_TIMEOUT + ROUND_PAUSE;
         comes_round.max(self.silence_limit() * 3 / 2)
     }
 
--- a/crates/core/src/intake.rs
+++ b/crates/core/src/request_queue.rs
@@ -19,33 +19,33 @@
 use std::{collections::VecDeque, time::Duration};
 
 use crate::{
-    call::{Method, Request, Side},
+    call::{Listener, Method, Request},
     sockets::SocketId,
 };
 
 /// So many users, and so many reports, are taken at a turn.
-const AT_A_TURN: usize = 8;
+const MAX_PER_BATCH: usize = 8;
 /// A worker gives a report up after this.
-pub(crate) const REPORT_PATIENCE: Duration = Duration::from_secs(4);
+pub(crate) const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
 /// A user gives up asking how a job is after this, and
-const POLL_PATIENCE: Duration = Duration::from_secs(2);
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// anything else after this.
-const USER_PATIENCE: Duration = Duration::from_secs(5);
+const USER_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Who asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Class {
+pub(crate) enum RequestClass {
     /// The load balancer, other controllers, operators.
-    First,
+    Priority,
     /// Users, and whoever else it may be.
     User,
     /// Workers that report, by way of a peer or not.
     Report,
 }
 
-impl Class {
+impl RequestClass {
     /// Who sent a request that begins like this.
-    pub fn of_beginning(bytes: &[u8]) -> Self {
+    pub fn of_prefix(bytes: &[u8]) -> Self {
         match is_report(bytes) {
             true => Self::Report,
             false => Self::User,
@@ -55,9 +55,9 @@
     /// Who sent this request.
     pub fn of(request: &Request) -> Self {
         let path = request.path.trim_start_matches('/');
-        match (request.side, path) {
-            (Side::Internal, "forward") => Self::Report,
-            (Side::Internal, _) | (_, "healthz") => Self::First,
+        match (request.listener, path) {
+            (Listener::Internal, "forward") => Self::Report,
+            (Listener::Internal, _) | (_, "healthz") => Self::Priority,
             (_, "checkin") => Self::Report,
             _ => Self::User,
         }
@@ -71,18 +71,18 @@
 
 /// A request, and when it came.
 #[derive(Debug)]
-struct Waiting {
+struct QueuedRequest {
     since: Duration,
     request: Request,
 }
 
-impl Waiting {
-    fn is_late(&self, now: Duration, class: Class) -> bool {
+impl QueuedRequest {
+    fn is_late(&self, now: Duration, class: RequestClass) -> bool {
         let patience = match (class, self.request.method) {
-            (Class::First, _) => return false,
-            (Class::Report, _) => REPORT_PATIENCE,
-            (Class::User, Method::Get) => POLL_PATIENCE,
-            (Class::User, _) => USER_PATIENCE,
+            (RequestClass::Priority, _) => return false,
+            (RequestClass::Report, _) => REPORT_TIMEOUT,
+            (RequestClass::User, Method::Get) => POLL_TIMEOUT,
+            (RequestClass::User, _) => USER_REQUEST_TIMEOUT,
         };
         now >= self.since + patience
     }
@@ -90,49 +90,49 @@
 
 /// What is to be done at a turn.
 #[derive(Debug, Default)]
-pub(crate) struct Turn {
+pub(crate) struct Batch {
     /// To be answered, in this order.
     pub requests: Vec<Request>,
     /// Users to be told to come back.
-    pub late_users: Vec<Request>,
+    pub expired_users: Vec<Request>,
     /// Reports that nobody waits for any more.
-    pub late_reports: Vec<Request>,
+    pub expired_reports: Vec<Request>,
     /// New connections of workers to be read.
-    pub serve: Vec<SocketId>,
+    pub read_from: Vec<SocketId>,
     /// Those that nobody waits at any more.
-    pub late_sockets: Vec<SocketId>,
+    pub expired_sockets: Vec<SocketId>,
 }
 
 /// All requests that wait.
 #[derive(Debug, Default)]
-pub(crate) struct Intake {
-    first: VecDeque<Waiting>,
-    users: VecDeque<Waiting>,
-    reports: VecDeque<Waiting>,
+pub(crate) struct RequestQueue {
+    priority: VecDeque<QueuedRequest>,
+    users: VecDeque<QueuedRequest>,
+    reports: VecDeque<QueuedRequest>,
     /// New connections over which reports come, not read yet.
     arrived: VecDeque<(Duration, SocketId)>,
 }
 
-impl Intake {
+impl RequestQueue {
     /// A report comes over a new connection.
-    pub fn arrived(&mut self, now: Duration, id: SocketId) {
+    pub fn push_connection(&mut self, now: Duration, id: SocketId) {
         self.arrived.push_back((now, id));
     }
 
     /// A request came in.
-    pub fn take(&mut self, now: Duration, class: Class, request: Request) {
+    pub fn push(&mut self, now: Duration, class: RequestClass, request: Request) {
         let since = now;
         let queue = match class {
-            Class::First => &mut self.first,
-            Class::User => &mut self.users,
-            Class::Report => &mut self.reports,
+            RequestClass::Priority => &mut self.priority,
+            RequestClass::User => &mut self.users,
+            RequestClass::Report => &mut self.reports,
         };
-        queue.push_back(Waiting { since, request });
+        queue.push_back(QueuedRequest { since, request });
     }
 
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.first.is_empty()
+        self.priority.is_empty()
             && self.users.is_empty()
             && self.reports.is_empty()
             && self.arrived.is_empty()
@@ -140,46 +140,46 @@
 
     /// Whether somebody waits who goes before workers.
     pub fn is_urgent(&self) -> bool {
-        !self.first.is_empty() || !self.users.is_empty()
+        !self.priority.is_empty() || !self.users.is_empty()
     }
 
     /// Takes out what is to be done now.
-    pub fn turn(&mut self, now: Duration) -> Turn {
-        let mut turn = Turn::default();
-        let first = self.first.drain(..).map(|w| w.request);
-        turn.requests.extend(first);
-        let mut left = AT_A_TURN;
+    pub fn next_batch(&mut self, now: Duration) -> Batch {
+        let mut batch = Batch::default();
+        let priority = self.priority.drain(..).map(|w| w.request);
+        batch.requests.extend(priority);
+        let mut left = MAX_PER_BATCH;
         while left > 0
             && let Some(waiting) = self.users.pop_front()
         {
-            if waiting.is_late(now, Class::User) {
-                turn.late_users.push(waiting.request);
+            if waiting.is_late(now, RequestClass::User) {
+                batch.expired_users.push(waiting.request);
             } else {
-                turn.requests.push(waiting.request);
+                batch.requests.push(waiting.request);
                 left -= 1;
             }
         }
         while let Some(oldest) = self.reports.front()
-            && oldest.is_late(now, Class::Report)
+            && oldest.is_late(now, RequestClass::Report)
             && let Some(oldest) = self.reports.pop_front()
         {
-            turn.late_reports.push(oldest.request);
+            batch.expired_reports.push(oldest.request);
         }
-        let newest = self.reports.len().saturating_sub(AT_A_TURN);
+        let newest = self.reports.len().saturating_sub(MAX_PER_BATCH);
         let newest = self.reports.drain(newest..).rev().map(|w| w.request);
-        let before = turn.requests.len();
-        turn.requests.extend(newest);
+        let before = batch.requests.len();
+        batch.requests.extend(newest);
         while let Some((since, id)) = self.arrived.front().copied()
-            && now >= since + REPORT_PATIENCE
+            && now >= since + REPORT_TIMEOUT
         {
             self.arrived.pop_front();
-            turn.late_sockets.push(id);
+            batch.expired_sockets.push(id);
         }
-        let left = AT_A_TURN - (turn.requests.len() - before);
+        let left = MAX_PER_BATCH - (batch.requests.len() - before);
         let newest = self.arrived.len().saturating_sub(left);
         let newest = self.arrived.drain(newest..).rev().map(|(_, id)| id);
-        turn.serve.extend(newest);
-        turn
+        batch.read_from.extend(newest);
+        batch
     }
 }
 
@@ -191,7 +191,7 @@
         Request {
             conn,
             socket: SocketId(conn),
-            side: Side::Public,
+            listener: Listener::Public,
             method,
             path: path.into(),
             body: Vec::new(),
@@ -200,31 +200,38 @@
 
     /// A slow model: one list, looked through for each kind at each turn.
     #[derive(Default)]
-    struct Plain(Vec<(u64, Duration, Class, Method)>);
+    struct ReferenceModel(Vec<(u64, Duration, RequestClass, Method)>);
 
-    impl Plain {
-        fn turn(&mut self, now: Duration) -> [Vec<u64>; 3] {
+    impl ReferenceModel {
+        fn batch(&mut self, now: Duration) -> [Vec<u64>; 3] {
             let mut done = [vec![], vec![], vec![]];
-            let limit = |class: Class, method| match (class, method) {
-                (Class::First, _) => Duration::MAX,
-                (Class::Report, _) => Duration::from_secs(4),
+            let limit = |class: RequestClass, method| match (class, method) {
+                (RequestClass::Priority, _) => Duration::MAX,
+                (RequestClass::Report, _) => Duration::from_secs(4),
                 (_, Method::Get) => Duration::from_secs(2),
                 _ => Duration::from_secs(5),
             };
-            let late = |r: &(u64, Duration, Class, Method)| now - r.1 >= limit(r.2, r.3);
-            let of = |class| move |r: &&(u64, Duration, Class, Method)| r.2 == class;
-            done[0].extend(self.0.iter().filter(of(Class::First)).map(|r| r.0));
-            for user in self.0.iter().filter(of(Class::User)) {
-                if done[0].len() - self.0.iter().filter(of(Class::First)).count() == AT_A_TURN {
+            let late = |r: &(u64, Duration, RequestClass, Method)| now - r.1 >= limit(r.2, r.3);
+            let of = |class| move |r: &&(u64, Duration, RequestClass, Method)| r.2 == class;
+            done[0].extend(
+                self.0
+                    .iter()
+                    .filter(of(RequestClass::Priority))
+                    .map(|r| r.0),
+            );
+            for user in self.0.iter().filter(of(RequestClass::User)) {
+                if done[0].len() - self.0.iter().filter(of(RequestClass::Priority)).count()
+                    == MAX_PER_BATCH
+                {
                     break;
                 }
                 done[usize::from(late(user))].push(user.0);
             }
-            type Of<'a> = Vec<&'a (u64, Duration, Class, Method)>;
-            let reports = self.0.iter().filter(of(Class::Report));
+            type Of<'a> = Vec<&'a (u64, Duration, RequestClass, Method)>;
+            let reports = self.0.iter().filter(of(RequestClass::Report));
             let (old, good): (Of, Of) = reports.partition(|r| late(r));
             done[2].extend(old.iter().map(|r| r.0));
-            done[0].extend(good.iter().rev().take(AT_A_TURN).map(|r| r.0));
+            done[0].extend(good.iter().rev().take(MAX_PER_BATCH).map(|r| r.0));
             self.0.retain(|r| done.iter().all(|d| !d.contains(&r.0)));
             done
         }
@@ -232,24 +239,28 @@
 
     #[test]
     fn those_who_have_a_connection_go_first() {
-        let (mut intake, s) = (Intake::default(), Duration::from_secs);
+        let (mut queue, s) = (RequestQueue::default(), Duration::from_secs);
         for n in 0..20 {
-            intake.arrived(s(1), SocketId(n));
+            queue.push_connection(s(1), SocketId(n));
         }
         for n in 0..5 {
-            intake.take(s(2), Class::Report, request(n, Method::Post, "/checkin"));
+            queue.push(
+                s(2),
+                RequestClass::Report,
+                request(n, Method::Post, "/checkin"),
+            );
         }
         let ids = |ids: std::ops::Range<u64>| ids.rev().map(SocketId).collect::<Vec<_>>();
-        let turn = intake.turn(s(2));
-        assert_eq!((turn.requests.len(), turn.serve), (5, ids(17..20)));
-        intake.arrived(s(3), SocketId(20));
-        let turn = intake.turn(s(4));
+        let batch = queue.next_batch(s(2));
+        assert_eq!((batch.requests.len(), batch.read_from), (5, ids(17..20)));
+        queue.push_connection(s(3), SocketId(20));
+        let batch = queue.next_batch(s(4));
         let mut newest = vec![SocketId(20)];
         newest.extend(ids(10..17));
-        assert_eq!((turn.serve, turn.late_sockets), (newest, vec![]));
-        let turn = intake.turn(s(5));
-        assert_eq!((turn.serve, turn.late_sockets.len()), (vec![], 10));
-        assert!(intake.is_empty());
+        assert_eq!((batch.read_from, batch.expired_sockets), (newest, vec![]));
+        let batch = queue.next_batch(s(5));
+        assert_eq!((batch.read_from, batch.expired_sockets.len()), (vec![], 10));
+        assert!(queue.is_empty());
     }
 
     #[test]
@@ -257,7 +268,7 @@
         let mut rng = fastrand::Rng::with_seed(14);
         let (mut late, mut many) = (0, 0);
         for _ in 0..50 {
-            let (mut intake, mut plain) = (Intake::default(), Plain::default());
+            let (mut queue, mut model) = (RequestQueue::default(), ReferenceModel::default());
             let mut now = Duration::ZERO;
             let crowd = rng.usize(1..60);
             for _ in 0..60 {
@@ -270,22 +281,22 @@
                         _ => ("/checkin", Method::Post),
                     };
                     let request = request(conn, method, path);
-                    let class = Class::of(&request);
-                    plain.0.push((conn, now, class, method));
-                    intake.take(now, class, request);
+                    let class = RequestClass::of(&request);
+                    model.0.push((conn, now, class, method));
+                    queue.push(now, class, request);
                     now += Duration::from_millis(rng.u64(0..30));
                 }
-                let turn = intake.turn(now);
+                let batch = queue.next_batch(now);
                 let ids = |r: &[Request]| r.iter().map(|r| r.conn).collect::<Vec<_>>();
                 let got = [
-                    ids(&turn.requests),
-                    ids(&turn.late_users),
-                    ids(&turn.late_reports),
+                    ids(&batch.requests),
+                    ids(&batch.expired_users),
+                    ids(&batch.expired_reports),
                 ];
-                assert_eq!(got, plain.turn(now));
-                assert_eq!(intake.is_empty(), plain.0.is_empty());
+                assert_eq!(got, model.batch(now));
+                assert_eq!(queue.is_empty(), model.0.is_empty());
                 late += got[1].len().min(got[2].len());
-                many += usize::from(got[0].len() > AT_A_TURN);
+                many += usize::from(got[0].len() > MAX_PER_BATCH);
             }
         }
         assert!(late > 10 && many > 100, "{late} {many}");
--- a/crates/core/src/sockets.rs
+++ b/crates/core/src/sockets.rs
@@ -23,8 +23,8 @@
 use oliveshift_wire::settings::Settings;
 
 use crate::{
-    call::{ConnId, Side, Target},
-    intake::REPORT_PATIENCE,
+    call::{ConnId, Listener, Target},
+    request_queue::REPORT_TIMEOUT,
 };
 
 /// Names a connection that came in; one that came later has a larger name.
@@ -205,7 +205,7 @@
     pub fn new(settings: &Settings) -> Self {
         Self {
             shares: Shares::new(settings),
-            reports_within: settings.report_period().mul_f64(1.5) + REPORT_PATIENCE,
+            reports_within: settings.report_period().mul_f64(1.5) + REPORT_TIMEOUT,
             sockets: HashMap::new(),
             users: Silent::new(),
             workers: Silent::new(),
@@ -228,10 +228,15 @@
 
     /// A connection came in. If it can't be had, it is itself among those to
     /// be closed.
-    pub fn connection_opened(&mut self, now: Duration, id: SocketId, side: Side) -> Vec<Close> {
-        let group = match side {
-            Side::Public => Group::Users,
-            Side::Internal => Group::Peers,
+    pub fn connection_opened(
+        &mut self,
+        now: Duration,
+        id: SocketId,
+        listener: Listener,
+    ) -> Vec<Close> {
+        let group = match listener {
+            Listener::Public => Group::Users,
+            Listener::Internal => Group::Peers,
         };
         let mut close = Vec::new();
         if !self.make_room(now, group, &mut close) {
@@ -462,7 +467,7 @@
         let &(since, id) = self.workers.first()?;
         let busy = self.sockets.get(&id).is_some_and(|s| s.busy);
         let limit = if busy {
-            REPORT_PATIENCE
+            REPORT_TIMEOUT
         } else {
             self.reports_within
         };
@@ -543,7 +548,7 @@
 
     /// A connection on which a worker reports and gets its answer.
     fn worker(sockets: &mut Sockets, now: Duration, id: u64, name: &str) -> Vec<Close> {
-        let mut close = sockets.connection_opened(now, SocketId(id), Side::Public);
+        let mut close = sockets.connection_opened(now, SocketId(id), Listener::Public);
         sockets.request_received(now, SocketId(id), id);
         close.extend(sockets.identify_worker(now, id, name));
         sockets.request_answered(now, id);
@@ -570,7 +575,7 @@
         let older = Close::Inbound(SocketId(1));
         assert_eq!(worker(&mut sockets, 2 * S, 2, "vm-1"), [older]);
         // What was held up on an older connection does not end the newer one.
-        sockets.connection_opened(3 * S, SocketId(4), Side::Public);
+        sockets.connection_opened(3 * S, SocketId(4), Listener::Public);
         assert_eq!(worker(&mut sockets, 4 * S, 5, "vm-2"), []);
         sockets.request_received(5 * S, SocketId(4), 4);
         let late = Close::Inbound(SocketId(4));
@@ -593,7 +598,7 @@
             }
             id += 1;
             let probe = SocketId(id);
-            let close = sockets.connection_opened(now, probe, Side::Public);
+            let close = sockets.connection_opened(now, probe, Listener::Public);
             assert!(!close.contains(&Close::Inbound(probe)), "at {now:?}");
             sockets.request_received(now, probe, id);
             sockets.request_answered(now, id);
@@ -730,12 +735,12 @@
                     }
                     continue;
                 }
-                let side = if rng.u8(0..10) == 0 {
-                    Side::Internal
+                let listener = if rng.u8(0..10) == 0 {
+                    Listener::Internal
                 } else {
-                    Side::Public
+                    Listener::Public
                 };
-                let group = if side == Side::Internal {
+                let group = if listener == Listener::Internal {
                     Group::Peers
                 } else {
                     Group::Users
@@ -751,7 +756,7 @@
                     plain.close(victim);
                 }
                 assert_eq!(
-                    sockets.connection_opened(now, SocketId(id), side),
+                    sockets.connection_opened(now, SocketId(id), listener),
                     expected,
                     "{seed}"
                 );
@@ -771,7 +776,7 @@
                     let came = plain.came.len() - 1;
                     sockets.request_received(now, SocketId(id), id);
                     plain.came[came].3 = true;
-                    if side == Side::Public && rng.bool() {
+                    if listener == Listener::Public && rng.bool() {
                         let name = format!("vm-{}", rng.u8(0..60));
                         let older = plain.came.iter().find(|c| c.4.as_ref() == Some(&name));
                         let older = older.map(|c| c.0);
--- a/crates/core/src/upgrade.rs
+++ b/crates/core/src/upgrade.rs
@@ -88,7 +88,7 @@
         if format > self.program {
             if !self.upgrade.ended {
                 self.upgrade.ended = true;
-                self.out.push(Output::End(format!(
+                self.out.push(Output::Exit(format!(
                     "the records are of level {}, this program reads up to level {}: \
                      a newer one has to run here",
                     format.0, self.program.0
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -14,7 +14,7 @@
 use async_io::{Timer, block_on};
 use futures_lite::future::yield_now;
 use oliveshift_core::{
-    Answer, Call, Close, ConnId, Controller, Input, Method, Now, Output, Reply, Request, Side,
+    Answer, Call, Close, ConnId, Controller, Input, Listener, Method, Now, Output, Reply, Request,
     SocketId, Target,
 };
 use oliveshift_wire::settings::Settings;
@@ -96,8 +96,8 @@
     log::info!("{node}: starting, users and workers on {public}, controllers on {internal}");
     let tasks = runtime.clone();
     block_on(tasks.lanes.run(async move {
-        runtime.spawn_listener(public, Side::Public);
-        runtime.spawn_listener(internal, Side::Internal);
+        runtime.spawn_listener(public, Listener::Public);
+        runtime.spawn_listener(internal, Listener::Internal);
         let lanes = &runtime.lanes;
         lanes.urgent(runtime.clone().turns(is_urgent)).detach();
         lanes.other(runtime.clone().turns(is_due)).detach();
@@ -210,7 +210,7 @@
                         false => self.lanes.urgent(make).detach(),
                     }
                 }
-                Output::Serve(id) => {
+                Output::ReadFrom(id) => {
                     if let Some(waiting) = self.lobby.borrow().get(&id) {
                         let _ = waiting.try_send(());
                     }
@@ -219,7 +219,7 @@
                     self.serving.borrow_mut().remove(&id);
                 }
                 Output::Close(Close::Idle(lane, count)) => self.client.close(lane, count),
-                Output::End(why) => {
+                Output::Exit(why) => {
                     log::error!("{why}");
                     self.ended.set(true);
                 }
@@ -271,7 +271,7 @@
     pub async fn request(
         self: &Rc<Self>,
         socket: SocketId,
-        side: Side,
+        listener: Listener,
         method: Method,
         path: String,
         body: Vec<u8>,
@@ -285,7 +285,7 @@
         self.input(Input::Request(Request {
             conn,
             socket,
-            side,
+            listener,
             method,
             path,
             body,
@@ -293,21 +293,21 @@
         receive.recv().await.ok()
     }
 
-    fn spawn_listener(self: &Rc<Self>, addr: SocketAddrV4, side: Side) {
+    fn spawn_listener(self: &Rc<Self>, addr: SocketAddrV4, listener: Listener) {
         let runtime = self.clone();
-        self.lanes.urgent(runtime.listen(addr, side)).detach();
+        self.lanes.urgent(runtime.listen(addr, listener)).detach();
     }
 
-    async fn listen(self: Rc<Self>, addr: SocketAddrV4, side: Side) {
-        let listener = stream::bind(addr).await;
+    async fn listen(self: Rc<Self>, addr: SocketAddrV4, listener: Listener) {
+        let tcp_listener = stream::bind(addr).await;
         loop {
-            let tcp = stream::accept(&listener).await;
+            let tcp = stream::accept(&tcp_listener).await;
             let id = SocketId(self.next_socket.get());
             self.next_socket.set(id.0 + 1);
-            let serve = server::begin(self.clone(), id, tcp, side);
+            let serve = server::begin(self.clone(), id, tcp, listener);
             let serve = self.lanes.urgent(serve);
             self.serving.borrow_mut().insert(id, serve);
-            self.input(Input::Opened(id, side));
+            self.input(Input::Opened(id, listener));
         }
     }
 }
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -8,7 +8,7 @@
 use http_types::{
     Error, Method as HttpMethod, Request as HttpRequest, Response, StatusCode, headers,
 };
-use oliveshift_core::{Method, Side, SocketId, is_report};
+use oliveshift_core::{Listener, Method, SocketId, is_report};
 use oliveshift_wire::{codec::MAX_BODY, encode, job::Refusal};
 
 use crate::{runtime::Runtime, stream::Stream};
@@ -22,10 +22,10 @@
 
 /// Begins to serve a connection. That of a worker that reports waits until it
 /// may be read, and goes on among what is not urgent.
-pub async fn begin(runtime: Rc<Runtime>, id: SocketId, tcp: Async<TcpStream>, side: Side) {
+pub async fn begin(runtime: Rc<Runtime>, id: SocketId, tcp: Async<TcpStream>, listener: Listener) {
     let stream = Stream::new(tcp);
-    if side == Side::Internal {
-        serve(&runtime, id, &stream, side).await;
+    if listener == Listener::Internal {
+        serve(&runtime, id, &stream, listener).await;
         return runtime.served(id);
     }
     // Reading a request costs more than all that is done until then, so
@@ -41,19 +41,19 @@
     if is_report {
         let later = runtime.clone();
         runtime.serve_later(id, async move {
-            serve(&later, id, &stream, side).await;
+            serve(&later, id, &stream, listener).await;
             later.served(id);
         });
     } else {
-        serve(&runtime, id, &stream, side).await;
+        serve(&runtime, id, &stream, listener).await;
         runtime.served(id);
     }
 }
 
 /// Serves one connection until it ends. How long it may be idle or take over
 /// one request is decided where the sockets are counted: then this is dropped.
-async fn serve(runtime: &Rc<Runtime>, id: SocketId, stream: &Stream, side: Side) {
-    let endpoint = |request| answer(runtime, id, stream, request, side);
+async fn serve(runtime: &Rc<Runtime>, id: SocketId, stream: &Stream, listener: Listener) {
+    let endpoint = |request| answer(runtime, id, stream, request, listener);
     let mut server = Server::new(stream.clone(), endpoint);
     loop {
         stream.allow(MAX_HEAD + MAX_BODY);
@@ -86,7 +86,7 @@
     id: SocketId,
     stream: &Stream,
     mut request: HttpRequest,
-    side: Side,
+    listener: Listener,
 ) -> http_types::Result<Response> {
     if request.len().is_some_and(|len| len > MAX_BODY) {
         return Ok(unread(stream, "the body is larger than 64 KiB"));
@@ -123,7 +123,7 @@
     } else {
         "application/msgpack"
     };
-    let answer = runtime.request(id, side, method, path, body).await;
+    let answer = runtime.request(id, listener, method, path, body).await;
     let Some(answer) = answer else {
         return Ok(refusal(StatusCode::ServiceUnavailable, "no answer"));
     };
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -23,7 +23,7 @@
 };
 
 use oliveshift_core::{
-    Call, CallId, Controller, Input, Method, Output, Reply, Request, Sabotage, Side, SocketId,
+    Call, CallId, Controller, Input, Listener, Method, Output, Reply, Request, Sabotage, SocketId,
     records::FormatLevel,
 };
 use oliveshift_wire::{
@@ -662,7 +662,7 @@
             }
             for _ in 0..rate {
                 let id = SocketId(self.id());
-                self.opens(node, id, Side::Public);
+                self.opens(node, id, Listener::Public);
             }
             let conn = self.id();
             let asker = Asker::Probe { asked: now };
--- a/crates/testkit/src/world/machines.rs
+++ b/crates/testkit/src/world/machines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oliveshift_core::{Method, Request, Side, SocketId};
+use oliveshift_core::{Listener, Method, Request, SocketId};
 use oliveshift_wire::{
     decode, encode,
     worker::{Redirect, Report, ReportAnswer},
@@ -181,7 +181,7 @@
         let line = line.filter(|l| self.nodes[node].sockets.is_open(l.2));
         let socket = line.map_or(SocketId(conn), |l| l.2);
         if line.is_none() {
-            if !self.opens(node, socket, Side::Public) {
+            if !self.opens(node, socket, Listener::Public) {
                 return self.is_cut(asker, node);
             }
             let waits = self.workers.get(&name).and_then(|w| w.in_flight);
@@ -196,7 +196,7 @@
         let request = Request {
             conn,
             socket,
-            side: Side::Public,
+            listener: Listener::Public,
             method: Method::Post,
             path: "/checkin".into(),
             body,
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use oliveshift_core::{
-    Call, CallId, Input, Method, Reply, Request, Side, SocketId, Target,
+    Call, CallId, Input, Listener, Method, Reply, Request, SocketId, Target,
     records::{FormatLevel, Key},
     sockets::OutboundKind,
 };
@@ -22,7 +22,7 @@
     Request {
         conn,
         socket,
-        side: Side::Internal,
+        listener: Listener::Internal,
         method: call.method,
         path: call.path,
         body: call.body,
@@ -37,7 +37,7 @@
 
 impl World {
     /// A connection comes in. False if it is refused or closed at once.
-    pub(super) fn opens(&mut self, node: usize, id: SocketId, side: Side) -> bool {
+    pub(super) fn opens(&mut self, node: usize, id: SocketId, listener: Listener) -> bool {
         let frozen = self.frozen(node);
         let sockets = &mut self.nodes[node].sockets;
         if sockets.open() >= self.most_sockets {
@@ -47,7 +47,7 @@
         }
         sockets.opens(id);
         self.sockets.peak = self.sockets.peak.max(sockets.open());
-        self.input(node, Input::Opened(id, side));
+        self.input(node, Input::Opened(id, listener));
         self.nodes[node].sockets.is_open(id)
     }
 
@@ -70,14 +70,14 @@
     ) {
         self.sockets.asked += 1;
         let (life, id) = (self.nodes[node].life, SocketId(conn));
-        if !self.opens(node, id, Side::Public) {
+        if !self.opens(node, id, Listener::Public) {
             return self.is_cut(asker, node);
         }
         self.askers.insert((node, life, conn), (asker, id));
         let request = Request {
             conn,
             socket: id,
-            side: Side::Public,
+            listener: Listener::Public,
             method,
             path,
             body,
@@ -404,7 +404,9 @@
                 let to = number_of(name);
                 let conn = self.id();
                 let socket = SocketId(conn);
-                if self.nodes[to].controller.is_none() || !self.opens(to, socket, Side::Internal) {
+                if self.nodes[to].controller.is_none()
+                    || !self.opens(to, socket, Listener::Internal)
+                {
                     return;
                 }
                 let life = self.nodes[to].life;
@@ -535,7 +537,7 @@
                 self.evidence.forwarded_reports += usize::from(call.path == "/forward");
                 let conn = self.id();
                 let socket = SocketId(conn);
-                if !self.opens(to, socket, Side::Internal) {
+                if !self.opens(to, socket, Listener::Internal) {
                     let reply = Reply::NotSent;
                     return self.at(self.now, Event::Reply(node, life, id, reply));
                 }
--- a/crates/testkit/src/world/processes.rs
+++ b/crates/testkit/src/world/processes.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use oliveshift_core::{Close, Controller, Input, Method, Now, Output, Request, Side, SocketId};
+use oliveshift_core::{Close, Controller, Input, Listener, Method, Now, Output, Request, SocketId};
 
 use super::{Asker, Event, MS, NODES, S, World};
 use crate::{faults::Fault, net::Sockets, rules::Broken};
@@ -26,7 +26,7 @@
         let request = Request {
             conn: self.id(),
             socket: SocketId(0),
-            side: Side::Internal,
+            listener: Listener::Internal,
             method: Method::Post,
             path: "/admin/upgrade".into(),
             body: format!(r#"{{"without":"n-{node}"}}"#).into_bytes(),
@@ -158,7 +158,7 @@
         for output in outputs {
             let at = match &output {
                 Output::Call(_) | Output::Answer(_) => self.gets_to(node, 1),
-                Output::Serve(_) | Output::Close(_) | Output::End(_) => self.now,
+                Output::ReadFrom(_) | Output::Close(_) | Output::Exit(_) => self.now,
             };
             if at > self.now {
                 self.at(at, Event::Leaves(node, life, output));
@@ -171,8 +171,8 @@
     pub(super) fn put_out(&mut self, node: usize, life: u64, output: Output) {
         match output {
             Output::Call(call) => self.send(node, life, call),
-            Output::End(why) => panic!("a controller ends: {why}"),
-            Output::Serve(id) => {
+            Output::Exit(why) => panic!("a controller ends: {why}"),
+            Output::ReadFrom(id) => {
                 // What there was to wait for, it has waited for already.
                 if let Some(request) = self.nodes[node].lobby.remove(&id) {
                     self.take_in(node, Input::Request(request));
