--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -118,7 +118,7 @@
             return self.relay_to_peer(conn, "the state service can not be reached");
         }
         if self.types.is_empty() {
-            return self.come_back(conn, "the machine types are not known yet");
+            return self.refuse_with_retry(conn, "the machine types are not known yet");
         }
         if let Err(why) = self.can_ever_run(&spec) {
             // It may have been accepted under other circumstances by another
@@ -128,7 +128,8 @@
         }
         if !spec.awaits.is_empty() && self.level() < FormatLevel::PIPELINES {
             // An old program would start it at once.
-            return self.come_back(conn, "not all controllers can keep jobs that await others");
+            return self
+                .refuse_with_retry(conn, "not all controllers can keep jobs that await others");
         }
         match self.named(&spec) {
             Named::Accepted => self.accept(conn, Rc::new(spec)),
@@ -167,7 +168,7 @@
             spec.awaits
         );
         let limits = self.limits();
-        let accepted_ms = self.day.as_millis() as u64;
+        let accepted_ms = self.wall_clock.as_millis() as u64;
         let record = JobRecord {
             phase: Phase::Open,
             tasks: spec.tasks,
@@ -181,7 +182,7 @@
         let records = match record.split(&id, self.level(), limits) {
             Ok(records) if records.len() > 1 && self.level() < FormatLevel::PIPELINES => {
                 // An old program could not make it whole again.
-                return self.come_back(conn, "not all controllers can keep so long a job");
+                return self.refuse_with_retry(conn, "not all controllers can keep so long a job");
             }
             Ok(records) => records,
             Err(why) => return self.refuse(conn, 422, &why.to_string()),
@@ -215,7 +216,11 @@
             Verdict::Under(version) => Some(version),
             Verdict::Later(after) => {
                 log::debug!("{id}: refused for now, to come again in {after:?}");
-                return self.come_back_after(conn, "more is open than can be done soon", after);
+                return self.refuse_with_retry_after(
+                    conn,
+                    "more is open than can be done soon",
+                    after,
+                );
             }
         };
         // The share is spent only if the record is still the same.
@@ -248,7 +253,7 @@
     /// Why a job could never run, if so.
     fn can_ever_run(&self, spec: &JobSpec) -> Result<(), &'static str> {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::AcceptsAll) {
+        if self.sabotage == Some(crate::Sabotage::NoAdmissionChecks) {
             return Ok(());
         }
         let Some(team) = self.team_share(&spec.team) else {
@@ -300,7 +305,7 @@
         if self.admission.writes.len() >= MOST_WAITING
             || !self.send_txn(txn.clone(), Purpose::User(id), Urgency::User)
         {
-            self.come_back(ask.conn, "too many requests at once");
+            self.refuse_with_retry(ask.conn, "too many requests at once");
             return false;
         }
         let write = UserWrite::new(self.now, ask, txn);
@@ -355,7 +360,7 @@
     /// already at the user's first attempt, which then takes it for somebody else's.
     fn give_up(&mut self, ask: &Ask, why: &str) {
         match ask.at_ms {
-            Some(_) => self.come_back(ask.conn, why),
+            Some(_) => self.refuse_with_retry(ask.conn, why),
             None => self.relay_to_peer(ask.conn, why),
         }
     }
@@ -426,7 +431,9 @@
             return self.refuse(conn, 404, "no such job");
         };
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::Unanswered) && crate::Sabotage::hits(&id) {
+        if self.sabotage == Some(crate::Sabotage::UnansweredRequests)
+            && crate::Sabotage::affects_job(&id)
+        {
             return;
         }
         #[cfg(feature = "sabotage")]
@@ -499,7 +506,7 @@
                             self.refuse(ask.conn, 422, "it awaits a job that was never accepted");
                         }
                     },
-                    None => self.come_back(ask.conn, "come again"),
+                    None => self.refuse_with_retry(ask.conn, "come again"),
                 },
                 (None, _) => self.refuse(ask.conn, 404, "no such job"),
                 (Some(true), Wish::Abort) => self.cancel(ask),
@@ -544,7 +551,7 @@
             }],
         };
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::Unconfirmed) {
+        if self.sabotage == Some(crate::Sabotage::UnconfirmedCancels) {
             let conn = ask.conn;
             let status = JobStatus {
                 id: id.clone(),
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/assigned_tasks.rs
@@ -9,42 +9,42 @@
 };
 
 use crate::{
-    attempt::Nowhere,
+    attempt::AbsenceProof,
     controller::Controller,
     records::{BlockId, Phase, TaskStatus, Term},
 };
 
 /// A task handed to one of our blocks.
 #[derive(Debug)]
-pub(crate) struct Slot {
+pub(crate) struct AssignedTask {
     pub spec: Rc<JobSpec>,
     pub block: BlockId,
     /// The term at hand-out.
-    pub handed: Term,
-    pub state: State,
+    pub handed_term: Term,
+    pub state: AssignmentState,
     /// Its user has cancelled the job.
     pub cancelled: bool,
     /// Machines on which it has failed.
-    pub avoid: Vec<String>,
+    pub failed_on: Vec<String>,
 }
 
 /// Where it stands.
 #[derive(Debug)]
-pub(crate) enum State {
+pub(crate) enum AssignmentState {
     /// Handed under an earlier term: somewhere in the block, or nowhere.
-    Lost,
+    Unlocated,
     /// Surely nowhere in the block; since when, and when to try again.
     Free {
         since: Duration,
         not_before: Duration,
-        evidence: Nowhere,
+        evidence: AbsenceProof,
     },
     /// Possibly on this machine and on no other.
     Bound(Bound),
     /// Completed, to be recorded.
     Done,
     /// Surely nowhere in the block, to be given back to the leader.
-    Leaving,
+    Returning,
 }
 
 /// A task on a machine.
@@ -53,13 +53,13 @@
     pub machine: String,
     pub attempt: u64,
     /// Why the task was nowhere when it was placed there; none: it was found there.
-    pub evidence: Option<Nowhere>,
+    pub evidence: Option<AbsenceProof>,
     /// The session in which it was started.
     pub session: u64,
     /// Its start went out; with the answer to the report of this number.
-    pub sent: Option<u64>,
+    pub start_sent_with: Option<u64>,
     /// A report has listed it: it need not be started again.
-    pub seen: bool,
+    pub listed: bool,
     /// It has its image and runs.
     pub running: bool,
     /// It has to stop.
@@ -79,13 +79,13 @@
 
 /// What follows when a worker's newest message does not list a bound attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unlisted {
+pub(crate) enum UnlistedAttempt {
     /// Its start may yet arrive.
     Unknown,
     /// The start was lost and has to go out again.
-    Again,
+    Resend,
     /// It is not there and will not be.
-    Gone,
+    Absent,
 }
 
 /// Why and how a task is stopped.
@@ -106,33 +106,33 @@
     /// that report without the task on it. A task that had to stop was taken
     /// to be nowhere then, was started elsewhere, and ran twice when the answer
     /// came, late by a second or more where a controller was behind.
-    pub fn unlisted(&self, seq: u64, origin: Origin) -> Unlisted {
-        let Some(sent) = self.sent else {
-            return Unlisted::Unknown;
+    pub fn unlisted(&self, seq: u64, origin: Origin) -> UnlistedAttempt {
+        let Some(sent) = self.start_sent_with else {
+            return UnlistedAttempt::Unknown;
         };
-        let overtaken = origin == Origin::Orders && sent > 0 && !self.seen;
+        let overtaken = origin == Origin::Orders && sent > 0 && !self.listed;
         if seq <= sent || overtaken {
-            Unlisted::Unknown
-        } else if self.seen || self.stop.is_some() {
-            Unlisted::Gone
+            UnlistedAttempt::Unknown
+        } else if self.listed || self.stop.is_some() {
+            UnlistedAttempt::Absent
         } else {
-            Unlisted::Again
+            UnlistedAttempt::Resend
         }
     }
 }
 
-impl Slot {
+impl AssignedTask {
     /// The machine that it may be on.
     pub fn bound(&self) -> Option<&Bound> {
         match &self.state {
-            State::Bound(bound) => Some(bound),
+            AssignmentState::Bound(bound) => Some(bound),
             _ => None,
         }
     }
 
     pub fn bound_mut(&mut self) -> Option<&mut Bound> {
         match &mut self.state {
-            State::Bound(bound) => Some(bound),
+            AssignmentState::Bound(bound) => Some(bound),
             _ => None,
         }
     }
@@ -151,40 +151,40 @@
             return;
         }
         let tasks: Vec<_> = self
-            .slots
+            .assigned_tasks
             .range(id.task(0)..=id.task(u32::MAX))
             .filter(|(_, slot)| !slot.cancelled)
             .map(|(task, _)| task.clone())
             .collect();
         for task in tasks {
-            self.cancel_slot(&task);
+            self.cancel_task(&task);
         }
     }
 
-    fn cancel_slot(&mut self, task: &TaskId) {
+    fn cancel_task(&mut self, task: &TaskId) {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoStops) {
             return;
         }
-        let Some(slot) = self.slots.get_mut(task) else {
+        let Some(slot) = self.assigned_tasks.get_mut(task) else {
             return;
         };
         slot.cancelled = true;
         match &mut slot.state {
-            State::Free { .. } => self.set_state(task, State::Leaving),
+            AssignmentState::Free { .. } => self.set_task_state(task, AssignmentState::Returning),
             // Its start has not gone out.
-            State::Bound(bound) if bound.sent.is_none() => {
-                self.free(task, Nowhere::NotStarted, Duration::ZERO);
+            AssignmentState::Bound(bound) if bound.start_sent_with.is_none() => {
+                self.release_task(task, AbsenceProof::NotStarted, Duration::ZERO);
             }
-            State::Bound(bound) => {
+            AssignmentState::Bound(bound) => {
                 bound.stop = Some(Stop {
                     grace: Duration::ZERO,
                     sent: false,
                 });
                 let machine = bound.machine.clone();
-                self.to_order.insert(machine);
+                self.order_queue.insert(machine);
             }
-            State::Lost | State::Done | State::Leaving => {}
+            AssignmentState::Unlocated | AssignmentState::Done | AssignmentState::Returning => {}
         }
     }
 
@@ -209,27 +209,30 @@
         for (i, place) in places.into_iter().enumerate() {
             let task = id.task(first + i as u32);
             let ours = match place {
-                TaskStatus::Assigned { block, term } if self.held.contains_key(&block) => {
+                TaskStatus::Assigned { block, term } if self.held_blocks.contains_key(&block) => {
                     Some((block, term))
                 }
                 _ => None,
             };
-            let known = self.slots.get(&task).map(|s| (s.block, s.handed));
+            let known = self
+                .assigned_tasks
+                .get(&task)
+                .map(|s| (s.block, s.handed_term));
             match (ours, known) {
                 (None, None) => {}
-                (None, Some(_)) => self.drop_handed(&task),
+                (None, Some(_)) => self.unassign(&task),
                 (Some(new), Some(old)) if new == old => {}
                 // The same hand-out, its term over and no longer told.
                 (Some((block, 0)), Some((old, _))) if block == old => {
-                    if let Some(slot) = self.slots.get_mut(&task) {
-                        slot.handed = 0;
+                    if let Some(slot) = self.assigned_tasks.get_mut(&task) {
+                        slot.handed_term = 0;
                     }
                 }
                 (Some((block, term)), known) => {
                     if known.is_some() {
-                        self.drop_handed(&task);
+                        self.unassign(&task);
                     }
-                    self.add_slot(task, spec.clone(), block, term, cancelled);
+                    self.assign(task, spec.clone(), block, term, cancelled);
                 }
             }
         }
@@ -237,43 +240,43 @@
 
     fn drop_slots(&mut self, id: &JobId, first: u32, count: usize) {
         let tasks: Vec<_> = self
-            .slots
+            .assigned_tasks
             .range(id.task(first)..id.task(first.saturating_add(count as u32)))
             .map(|(task, _)| task.clone())
             .collect();
         for task in tasks {
-            self.drop_handed(&task);
+            self.unassign(&task);
         }
     }
 
-    fn add_slot(
+    fn assign(
         &mut self,
         task: TaskId,
         spec: Rc<JobSpec>,
         block: BlockId,
-        handed: Term,
+        handed_term: Term,
         cancelled: bool,
     ) {
-        let Some(held) = self.held.get_mut(&block) else {
+        let Some(held) = self.held_blocks.get_mut(&block) else {
             return;
         };
         // Handed under our own term: no earlier holder can have started it.
-        let ours = handed == held.term;
-        held.lost += 1;
-        log::debug!("{task}: handed to block {block} under term {handed}");
-        let slot = Slot {
+        let ours = handed_term == held.term;
+        held.unlocated += 1;
+        log::debug!("{task}: handed to block {block} under term {handed_term}");
+        let slot = AssignedTask {
             spec,
             block,
-            handed,
-            state: State::Lost,
+            handed_term,
+            state: AssignmentState::Unlocated,
             cancelled,
-            avoid: Vec::new(),
+            failed_on: Vec::new(),
         };
-        self.slots.insert(task.clone(), slot);
+        self.assigned_tasks.insert(task.clone(), slot);
         if let Some(bound) = self.started_before(&task) {
-            self.set_state(&task, State::Bound(bound));
+            self.set_task_state(&task, AssignmentState::Bound(bound));
         } else if ours {
-            self.free(&task, Nowhere::HandedUnderOurTerm, Duration::ZERO);
+            self.release_task(&task, AbsenceProof::AssignedUnderOwnTerm, Duration::ZERO);
         }
     }
 
@@ -281,57 +284,57 @@
     fn started_before(&mut self, task: &TaskId) -> Option<Bound> {
         let bound = self.invariants.take_dropped(task)?;
         let machine = self.machines.get(&bound.machine)?;
-        let may_be_there = machine.session == bound.session && !machine.lease.is_over();
+        let may_be_there = machine.session == bound.session && !machine.lease.is_expired();
         may_be_there.then_some(bound)
     }
 
     /// Changes where a task stands, with all that hangs on it.
-    pub(crate) fn set_state(&mut self, task: &TaskId, state: State) {
-        let Some(slot) = self.slots.get_mut(task) else {
+    pub(crate) fn set_task_state(&mut self, task: &TaskId, state: AssignmentState) {
+        let Some(slot) = self.assigned_tasks.get_mut(task) else {
             return;
         };
         let mut touched = Vec::new();
         match &slot.state {
-            State::Bound(bound) => {
+            AssignmentState::Bound(bound) => {
                 if let Some(machine) = self.machines.get_mut(&bound.machine) {
-                    machine.bound.remove(task);
+                    machine.bound_tasks.remove(task);
                 }
                 touched.push(bound.machine.clone());
             }
-            State::Free { .. } => {
+            AssignmentState::Free { .. } => {
                 self.unplaced.remove(task);
             }
-            State::Lost => {
-                if let Some(held) = self.held.get_mut(&slot.block) {
-                    held.lost = held.lost.saturating_sub(1);
+            AssignmentState::Unlocated => {
+                if let Some(held) = self.held_blocks.get_mut(&slot.block) {
+                    held.unlocated = held.unlocated.saturating_sub(1);
                 }
             }
-            State::Done | State::Leaving => {
-                self.over.remove(task);
+            AssignmentState::Done | AssignmentState::Returning => {
+                self.unrecorded.remove(task);
             }
         }
         slot.state = state;
         match &slot.state {
-            State::Bound(bound) => {
+            AssignmentState::Bound(bound) => {
                 if let Some(machine) = self.machines.get_mut(&bound.machine) {
-                    machine.bound.insert(task.clone());
+                    machine.bound_tasks.insert(task.clone());
                     machine.idle_since = None;
                 }
                 touched.push(bound.machine.clone());
             }
-            State::Free { .. } => {
+            AssignmentState::Free { .. } => {
                 self.unplaced.insert(task.clone());
             }
-            State::Done | State::Leaving => {
-                self.over.insert(task.clone());
+            AssignmentState::Done | AssignmentState::Returning => {
+                self.unrecorded.insert(task.clone());
                 if let Some(job) = self.view.jobs.get(&task.job) {
                     let part = job.chunk_of(task.index);
-                    self.note_news(&task.job, part);
+                    self.mark_chunk_dirty(&task.job, part);
                 }
             }
-            State::Lost => {
-                if let Some(held) = self.held.get_mut(&slot.block) {
-                    held.lost += 1;
+            AssignmentState::Unlocated => {
+                if let Some(held) = self.held_blocks.get_mut(&slot.block) {
+                    held.unlocated += 1;
                 }
             }
         }
@@ -344,34 +347,34 @@
     /// wants it any more. A task that an earlier holder was given may have
     /// been moved within the block by that holder, so until every machine of
     /// the block has been proven, it counts as lost instead.
-    pub(crate) fn free(&mut self, task: &TaskId, evidence: Nowhere, wait: Duration) {
-        let Some(slot) = self.slots.get(task) else {
+    pub(crate) fn release_task(&mut self, task: &TaskId, evidence: AbsenceProof, wait: Duration) {
+        let Some(slot) = self.assigned_tasks.get(task) else {
             return;
         };
         log::debug!("{task}: nowhere in block {}: {evidence}", slot.block);
-        let ours = self.held.get(&slot.block).map(|h| h.term) == Some(slot.handed);
+        let ours = self.held_blocks.get(&slot.block).map(|h| h.term) == Some(slot.handed_term);
         if !ours && let Some((machine, session, entry)) = self.listed_elsewhere(task) {
-            self.set_state(task, State::Lost);
-            return self.take_entry(&machine, session, &entry);
+            self.set_task_state(task, AssignmentState::Unlocated);
+            return self.apply_task_entry(&machine, session, &entry);
         }
         // Handed to an earlier holder, it is nowhere only if the whole block is.
         let evidence = match ours {
             true => Some(evidence),
-            false => self.block_proof(slot.block),
+            false => self.block_clearance(slot.block),
         };
         let Some(evidence) = evidence else {
-            return self.set_state(task, State::Lost);
+            return self.set_task_state(task, AssignmentState::Unlocated);
         };
         let state = if slot.cancelled || slot.bound().is_some_and(|b| b.stop.is_some()) {
-            State::Leaving
+            AssignmentState::Returning
         } else {
-            State::Free {
+            AssignmentState::Free {
                 since: self.now,
                 not_before: self.now + wait,
                 evidence,
             }
         };
-        self.set_state(task, state);
+        self.set_task_state(task, state);
     }
 
     /// A machine of the block that has the task under another attempt than the
@@ -380,14 +383,14 @@
     /// that lived, and placed the task again once the old one was gone for sure.
     fn listed_elsewhere(&self, task: &TaskId) -> Option<(String, u64, TaskReport)> {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::FirstFound) {
+        if self.sabotage == Some(crate::Sabotage::FirstReportOnly) {
             return None;
         }
-        let slot = self.slots.get(task)?;
+        let slot = self.assigned_tasks.get(task)?;
         let was = slot.bound().map(|b| (b.machine.as_str(), b.attempt));
         let names = self.view.machines_by_block.get(&slot.block)?;
         names.iter().find_map(|name| {
-            let machine = self.machines.get(name).filter(|m| !m.lease.is_over())?;
+            let machine = self.machines.get(name).filter(|m| !m.lease.is_expired())?;
             let entry = machine.tasks.iter().find(|t| {
                 let lives = t.state != TaskState::Exited || t.why == Some(Why::Done);
                 t.task == *task && lives && was != Some((name.as_str(), t.attempt))
@@ -397,39 +400,39 @@
     }
 
     /// The task has stopped for good: the leader decides where it goes next.
-    pub(crate) fn give_back(&mut self, task: &TaskId, evidence: Nowhere) {
-        self.free(task, evidence, Duration::ZERO);
-        let free = |s: &Slot| matches!(s.state, State::Free { .. });
-        if self.slots.get(task).is_some_and(free) {
-            self.set_state(task, State::Leaving);
+    pub(crate) fn return_to_leader(&mut self, task: &TaskId, evidence: AbsenceProof) {
+        self.release_task(task, evidence, Duration::ZERO);
+        let free = |s: &AssignedTask| matches!(s.state, AssignmentState::Free { .. });
+        if self.assigned_tasks.get(task).is_some_and(free) {
+            self.set_task_state(task, AssignmentState::Returning);
         }
     }
 
     /// The records no longer hand us a task of a block that we hold.
-    fn drop_handed(&mut self, task: &TaskId) {
+    fn unassign(&mut self, task: &TaskId) {
         // Only we may say that it is nowhere or done. If it was started and neither
         // was said, the task may still run: handed to us again under the same term, it
         // would be taken to have never been started.
-        if let Some(slot) = self.slots.get_mut(task)
-            && let Some(bound) = slot.bound_mut().filter(|b| b.sent.is_some())
+        if let Some(slot) = self.assigned_tasks.get_mut(task)
+            && let Some(bound) = slot.bound_mut().filter(|b| b.start_sent_with.is_some())
         {
             let (bound, block) = (bound.clone(), slot.block);
             self.invariants.started_task_dropped(task, block, bound);
         }
-        self.drop_slot(task);
+        self.remove_assigned(task);
     }
 
-    pub(crate) fn drop_slot(&mut self, task: &TaskId) {
-        self.set_state(task, State::Done);
-        self.slots.remove(task);
+    pub(crate) fn remove_assigned(&mut self, task: &TaskId) {
+        self.set_task_state(task, AssignmentState::Done);
+        self.assigned_tasks.remove(task);
         self.unplaced.remove(task);
-        self.over.remove(task);
+        self.unrecorded.remove(task);
     }
 
     /// After a first read made anew: slots follow all records again.
-    pub(crate) fn resync_slots(&mut self) {
+    pub(crate) fn resync_assigned_tasks(&mut self) {
         let gone: Vec<_> = self
-            .slots
+            .assigned_tasks
             .keys()
             .filter(|t| {
                 let place = self.view.jobs.get(&t.job).map(|j| j.task_status(t.index));
@@ -438,7 +441,7 @@
             .cloned()
             .collect();
         for task in gone {
-            self.drop_handed(&task);
+            self.unassign(&task);
         }
         for (id, part) in self.active_chunks(|_| true) {
             self.chunk_changed(&id, part);
--- a/crates/core/src/slots/tests.rs
+++ b/crates/core/src/assigned_tasks/tests.rs
@@ -10,13 +10,13 @@
 
 #[test]
 fn a_start_in_an_answer_may_be_overtaken_by_direct_orders() {
-    let bound = |sent, seen, stops: bool| Bound {
+    let bound = |start_sent_with, listed, stops: bool| Bound {
         machine: "vm-1".into(),
         attempt: 1,
         evidence: None,
         session: 1,
-        sent,
-        seen,
+        start_sent_with,
+        listed,
         running: false,
         stop: stops.then_some(Stop {
             grace: Duration::ZERO,
@@ -29,51 +29,51 @@
             bound(Some(7), false, true),
             8,
             Origin::Orders,
-            Unlisted::Unknown,
+            UnlistedAttempt::Unknown,
         ),
         (
             bound(Some(7), false, true),
             8,
             Origin::Report,
-            Unlisted::Gone,
+            UnlistedAttempt::Absent,
         ),
         (
             bound(Some(7), false, true),
             7,
             Origin::Report,
-            Unlisted::Unknown,
+            UnlistedAttempt::Unknown,
         ),
         (
             bound(Some(7), false, false),
             8,
             Origin::Orders,
-            Unlisted::Unknown,
+            UnlistedAttempt::Unknown,
         ),
         (
             bound(Some(7), false, false),
             8,
             Origin::Report,
-            Unlisted::Again,
+            UnlistedAttempt::Resend,
         ),
         // Listed once, so the answer did arrive.
         (
             bound(Some(7), true, false),
             9,
             Origin::Orders,
-            Unlisted::Gone,
+            UnlistedAttempt::Absent,
         ),
         // Sent directly: its own answer lists it.
         (
             bound(Some(0), false, true),
             8,
             Origin::Orders,
-            Unlisted::Gone,
+            UnlistedAttempt::Absent,
         ),
         (
             bound(None, false, true),
             8,
             Origin::Report,
-            Unlisted::Unknown,
+            UnlistedAttempt::Unknown,
         ),
     ];
     for (bound, seq, origin, expected) in cases {
@@ -118,8 +118,8 @@
         fixtures::show(&mut controller, records);
         let at = Duration::from_secs(1);
         let now = Now {
-            steady: at,
-            day: Duration::from_secs(1_800_000_000),
+            monotonic: at,
+            wall_clock: Duration::from_secs(1_800_000_000),
         };
         controller.handle(now, Input::Tick);
         let task = id.task(0);
@@ -142,15 +142,15 @@
             }],
         };
         // The copy, with the attempt that was stopped since; then what is true.
-        controller.take_report(report(3, 4, 11), Origin::Report);
-        controller.take_report(report(17, 9, 12), Origin::Orders);
-        let slot = &controller.slots[&task];
+        controller.apply_report(report(3, 4, 11), Origin::Report);
+        controller.apply_report(report(17, 9, 12), Origin::Orders);
+        let slot = &controller.assigned_tasks[&task];
         slot.bound().map(|b| (b.machine.clone(), b.attempt))
     };
     assert_eq!(stands(|_| {}), Some(("vm-1".to_owned(), 12)));
     #[cfg(feature = "sabotage")]
     {
-        let first = stands(|c| c.sabotage = Some(crate::Sabotage::FirstFound));
+        let first = stands(|c| c.sabotage = Some(crate::Sabotage::FirstReportOnly));
         assert_eq!(
             first, None,
             "it counts as nowhere, and would be placed again"
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -9,16 +9,16 @@
 use oliveshift_wire::worker::{TaskReport, TaskState, Why};
 
 use crate::{
+    assigned_tasks::{AssignedTask, AssignmentState, Bound},
     lease::Tenure,
     machine::Machine,
-    slots::{Bound, Slot, State},
 };
 
 /// Evidence that a task is on no machine of its block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Nowhere {
+pub(crate) enum AbsenceProof {
     /// It was handed to us under the term that we hold, and we have not started it.
-    HandedUnderOurTerm,
+    AssignedUnderOwnTerm,
     /// The start has surely never left, or was refused.
     NotStarted,
     /// Its worker says that the attempt has ended.
@@ -26,55 +26,55 @@
     /// A message newer than its start, which can no longer arrive, does not list it.
     NotListed,
     /// Its worker has begun another session.
-    SessionOver,
+    SessionEnded,
     /// Its worker's lease was over at this instant, if nobody else had renewed it by
     /// then.
-    LeaseOver { at: Duration },
+    LeaseExpired { at: Duration },
     /// The cloud has confirmed the return of its machine.
-    MachineGone,
+    MachineReturned,
     /// No machine of the block can have it, whoever started it: each has shown our
     /// term or was silent for longer than any lease. The latest such lease was over at
     /// this instant.
-    BlockProven { silent_until: Option<Duration> },
+    BlockCleared { silent_until: Option<Duration> },
 }
 
-impl Nowhere {
+impl AbsenceProof {
     /// The instant until which nobody else may have held the block for this to be
     /// true. None: it rests on what a worker or the cloud has said, or on what only
     /// we can do, and stays true whoever holds the block by now.
     pub fn silent_until(&self) -> Option<Duration> {
         match *self {
-            Self::LeaseOver { at } => Some(at),
-            Self::BlockProven { silent_until } => silent_until,
-            Self::HandedUnderOurTerm
+            Self::LeaseExpired { at } => Some(at),
+            Self::BlockCleared { silent_until } => silent_until,
+            Self::AssignedUnderOwnTerm
             | Self::NotStarted
             | Self::Ended(_)
             | Self::NotListed
-            | Self::SessionOver
-            | Self::MachineGone => None,
+            | Self::SessionEnded
+            | Self::MachineReturned => None,
         }
     }
 
     /// Whether it holds by what proves that the block is ours.
-    pub fn holds(&self, tenure: Tenure) -> bool {
+    pub fn is_valid_under(&self, tenure: Tenure) -> bool {
         self.silent_until().is_none_or(|at| tenure.covers(at))
     }
 }
 
-impl fmt::Display for Nowhere {
+impl fmt::Display for AbsenceProof {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::HandedUnderOurTerm => f.write_str("handed under our term"),
+            Self::AssignedUnderOwnTerm => f.write_str("handed under our term"),
             Self::NotStarted => f.write_str("its start never left"),
             Self::Ended(why) => write!(f, "ended: {why:?}"),
             Self::NotListed => f.write_str("no longer listed"),
-            Self::SessionOver => f.write_str("the session is over"),
-            Self::LeaseOver { at } => write!(f, "the lease was over at {at:.1?}"),
-            Self::MachineGone => f.write_str("the machine is gone"),
-            Self::BlockProven { silent_until: None } => {
+            Self::SessionEnded => f.write_str("the session is over"),
+            Self::LeaseExpired { at } => write!(f, "the lease was over at {at:.1?}"),
+            Self::MachineReturned => f.write_str("the machine is gone"),
+            Self::BlockCleared { silent_until: None } => {
                 f.write_str("all machines of the block are proven")
             }
-            Self::BlockProven {
+            Self::BlockCleared {
                 silent_until: Some(at),
             } => write!(
                 f,
@@ -86,25 +86,25 @@
 
 /// Why an attempt must not be started now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoStart {
+pub(crate) enum StartRefusal {
     /// The records that we go by may be too old.
     NoContact,
     /// It is nowhere only if the block was ours until an instant for which that is not
     /// proven.
-    NoTenure(Nowhere),
+    NoTenure(AbsenceProof),
     /// Earlier holders may still act on the machine.
     NotProven,
     /// The machine's lease has run out.
-    LeaseOver,
+    LeaseExpired,
     /// It was placed in an earlier session of the machine.
     OtherSession,
     /// It has to stop.
-    Stops,
+    MustStop,
 }
 
 /// Why an attempt that has ended must not be forgotten by its worker yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kept {
+pub(crate) enum ForgetRefusal {
     /// It has not ended.
     Alive,
     /// We have not taken its end in.
@@ -122,51 +122,53 @@
     /// The name of the machine.
     pub name: &'a str,
     /// The task, if it is handed to a block that we hold.
-    pub slot: Option<&'a Slot>,
+    pub slot: Option<&'a AssignedTask>,
 }
 
 impl Attempt<'_> {
     /// Whether an attempt that was placed on the machine may be started. `tenure`: until
     /// when the block was surely ours, if the records may be gone by at all.
-    pub fn may_start(&self, bound: &Bound, tenure: Option<Tenure>) -> Result<(), NoStart> {
+    pub fn may_start(&self, bound: &Bound, tenure: Option<Tenure>) -> Result<(), StartRefusal> {
         let Some(tenure) = tenure else {
-            return Err(NoStart::NoContact);
+            return Err(StartRefusal::NoContact);
         };
         if let Some(evidence) = bound.evidence
-            && !evidence.holds(tenure)
+            && !evidence.is_valid_under(tenure)
         {
-            return Err(NoStart::NoTenure(evidence));
+            return Err(StartRefusal::NoTenure(evidence));
         }
-        if !self.machine.proven {
-            return Err(NoStart::NotProven);
+        if !self.machine.term_acknowledged {
+            return Err(StartRefusal::NotProven);
         }
-        if self.machine.lease.is_over() {
-            return Err(NoStart::LeaseOver);
+        if self.machine.lease.is_expired() {
+            return Err(StartRefusal::LeaseExpired);
         }
         if bound.session != self.machine.session {
-            return Err(NoStart::OtherSession);
+            return Err(StartRefusal::OtherSession);
         }
         if bound.stop.is_some() {
-            return Err(NoStart::Stops);
+            return Err(StartRefusal::MustStop);
         }
         Ok(())
     }
 
     /// Whether the worker may forget an attempt that it lists.
-    pub fn may_forget(&self, entry: &TaskReport) -> Result<(), Kept> {
+    pub fn may_forget(&self, entry: &TaskReport) -> Result<(), ForgetRefusal> {
         if entry.state != TaskState::Exited {
-            return Err(Kept::Alive);
+            return Err(ForgetRefusal::Alive);
         }
-        let bound = self.slot.and_then(Slot::bound);
+        let bound = self.slot.and_then(AssignedTask::bound);
         if bound.is_some_and(|b| b.machine == self.name && b.attempt == entry.attempt) {
-            return Err(Kept::StillBound);
+            return Err(ForgetRefusal::StillBound);
         }
-        let done = self.slot.is_some_and(|s| matches!(s.state, State::Done));
+        let done = self
+            .slot
+            .is_some_and(|s| matches!(s.state, AssignmentState::Done));
         if entry.why == Some(Why::Done) && done {
-            return Err(Kept::NotRecorded);
+            return Err(ForgetRefusal::NotRecorded);
         }
         if self.machine.may_start_late(&entry.task, entry.attempt) {
-            return Err(Kept::MayStartLate);
+            return Err(ForgetRefusal::MayStartLate);
         }
         Ok(())
     }
--- a/crates/core/src/attempt/tests.rs
+++ b/crates/core/src/attempt/tests.rs
@@ -3,7 +3,7 @@
 use oliveshift_wire::TaskId;
 
 use super::*;
-use crate::{fixtures::job_spec, records::MachineRecord, slots::Stop};
+use crate::{assigned_tasks::Stop, fixtures::job_spec, records::MachineRecord};
 
 const ATTEMPT: u64 = 7;
 
@@ -22,7 +22,7 @@
     };
     let mut machine = Machine::new(record, 5, Duration::ZERO);
     machine.session = 3;
-    machine.proven = true;
+    machine.term_acknowledged = true;
     machine
 }
 
@@ -32,21 +32,21 @@
         attempt: ATTEMPT,
         evidence: None,
         session: 3,
-        sent: None,
-        seen: false,
+        start_sent_with: None,
+        listed: false,
         running: false,
         stop: None,
     }
 }
 
-fn slot(state: State) -> Slot {
-    Slot {
+fn slot(state: AssignmentState) -> AssignedTask {
+    AssignedTask {
         spec: Rc::new(job_spec()),
         block: 1,
-        handed: 5,
+        handed_term: 5,
         state,
         cancelled: false,
-        avoid: Vec::new(),
+        failed_on: Vec::new(),
     }
 }
 
@@ -74,29 +74,29 @@
         attempt.may_start(&bound, tenure)
     };
     assert_eq!(decides(contact, |_, _| {}), Ok(()));
-    assert_eq!(decides(None, |_, _| {}), Err(NoStart::NoContact));
-    let not_proven = decides(contact, |m, _| m.proven = false);
-    assert_eq!(not_proven, Err(NoStart::NotProven));
-    let expired = decides(contact, |m, _| m.lease.expire(Duration::ZERO));
-    assert_eq!(expired, Err(NoStart::LeaseOver));
+    assert_eq!(decides(None, |_, _| {}), Err(StartRefusal::NoContact));
+    let not_proven = decides(contact, |m, _| m.term_acknowledged = false);
+    assert_eq!(not_proven, Err(StartRefusal::NotProven));
+    let expired = decides(contact, |m, _| m.lease.mark_expired(Duration::ZERO));
+    assert_eq!(expired, Err(StartRefusal::LeaseExpired));
     let other_session = decides(contact, |m, _| m.session = 4);
-    assert_eq!(other_session, Err(NoStart::OtherSession));
+    assert_eq!(other_session, Err(StartRefusal::OtherSession));
     let stops = decides(contact, |_, b| {
         b.stop = Some(Stop {
             grace: Duration::ZERO,
             sent: false,
         });
     });
-    assert_eq!(stops, Err(NoStart::Stops));
+    assert_eq!(stops, Err(StartRefusal::MustStop));
 }
 
 #[test]
 fn only_ends_that_are_recorded_and_can_not_come_again_are_forgotten() {
     let done = || entry(TaskState::Exited, Some(Why::Done));
-    let decides = |entry: TaskReport, slot: Option<Slot>, starts_late: bool| {
+    let decides = |entry: TaskReport, slot: Option<AssignedTask>, starts_late: bool| {
         let mut machine = machine();
         if starts_late {
-            machine.tainted.insert((task(), ATTEMPT));
+            machine.unanswered_starts.insert((task(), ATTEMPT));
         }
         let attempt = Attempt {
             machine: &machine,
@@ -107,12 +107,15 @@
     };
     assert_eq!(decides(done(), None, false), Ok(()));
     let runs = decides(entry(TaskState::Running, None), None, false);
-    assert_eq!(runs, Err(Kept::Alive));
-    let bound = decides(done(), Some(slot(State::Bound(bound()))), false);
-    assert_eq!(bound, Err(Kept::StillBound));
-    let unrecorded = decides(done(), Some(slot(State::Done)), false);
-    assert_eq!(unrecorded, Err(Kept::NotRecorded));
-    assert_eq!(decides(done(), None, true), Err(Kept::MayStartLate));
+    assert_eq!(runs, Err(ForgetRefusal::Alive));
+    let bound = decides(done(), Some(slot(AssignmentState::Bound(bound()))), false);
+    assert_eq!(bound, Err(ForgetRefusal::StillBound));
+    let unrecorded = decides(done(), Some(slot(AssignmentState::Done)), false);
+    assert_eq!(unrecorded, Err(ForgetRefusal::NotRecorded));
+    assert_eq!(
+        decides(done(), None, true),
+        Err(ForgetRefusal::MayStartLate)
+    );
 }
 
 /// Silence is evidence only for as long as nobody else can have held the block; what a
@@ -134,25 +137,25 @@
         attempt.may_start(&bound, Some(Tenure::proven_until(proven)))
     };
     let silence = [
-        Nowhere::LeaseOver { at: at(75) },
-        Nowhere::BlockProven {
+        AbsenceProof::LeaseExpired { at: at(75) },
+        AbsenceProof::BlockCleared {
             silent_until: Some(at(75)),
         },
     ];
     for evidence in silence {
         assert_eq!(decides(evidence, Some(at(75))), Ok(()));
-        let refused = Err(NoStart::NoTenure(evidence));
+        let refused = Err(StartRefusal::NoTenure(evidence));
         assert_eq!(decides(evidence, Some(at(74))), refused);
         assert_eq!(decides(evidence, None), refused);
     }
     let stays_true = [
-        Nowhere::HandedUnderOurTerm,
-        Nowhere::NotStarted,
-        Nowhere::Ended(Why::Error),
-        Nowhere::NotListed,
-        Nowhere::SessionOver,
-        Nowhere::MachineGone,
-        Nowhere::BlockProven { silent_until: None },
+        AbsenceProof::AssignedUnderOwnTerm,
+        AbsenceProof::NotStarted,
+        AbsenceProof::Ended(Why::Error),
+        AbsenceProof::NotListed,
+        AbsenceProof::SessionEnded,
+        AbsenceProof::MachineReturned,
+        AbsenceProof::BlockCleared { silent_until: None },
     ];
     for evidence in stays_true {
         assert_eq!(decides(evidence, Some(at(1))), Ok(()), "{evidence}");
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -9,13 +9,13 @@
 };
 
 use crate::{
-    attempt::Nowhere,
+    assigned_tasks::{AssignmentState, Bound, Origin, Stop, UnlistedAttempt},
+    attempt::AbsenceProof,
     call::ConnId,
     controller::Controller,
     lease::LeaseLimits,
     machine::{Machine, SilentWorkers},
     records::{BlockId, Term},
-    slots::{Bound, Origin, State, Stop, Unlisted},
 };
 
 /// How long a task that failed waits before it is tried again; doubled with
@@ -24,11 +24,11 @@
 
 /// A block that we hold.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldBlock {
     /// The version of its record: the token of its workers.
     pub term: Term,
     /// Tasks whose whereabouts are not known yet.
-    pub lost: u32,
+    pub unlocated: u32,
 }
 
 impl Controller {
@@ -45,7 +45,7 @@
             b.record.holder == self.settings.node && b.record.incarnation == self.incarnation
         });
         let term = mine.map(|b| b.version);
-        let had = self.held.get(&id).map(|h| h.term);
+        let had = self.held_blocks.get(&id).map(|h| h.term);
         if term == had {
             return;
         }
@@ -59,8 +59,8 @@
             return self.rejoin();
         }
         log::info!("block {id}: taken under term {term}");
-        let held = Held { term, lost: 0 };
-        self.held.insert(id, held);
+        let held = HeldBlock { term, unlocated: 0 };
+        self.held_blocks.insert(id, held);
         if let Some(block) = self.view.blocks.get(&id) {
             self.reachability
                 .block_acquired(self.now, id, &block.record.zone);
@@ -81,13 +81,13 @@
 
     fn drop_block(&mut self, id: BlockId) {
         let tasks: Vec<_> = self
-            .slots
+            .assigned_tasks
             .iter()
             .filter(|(_, s)| s.block == id)
             .map(|(t, _)| t.clone())
             .collect();
         for task in tasks {
-            self.drop_slot(&task);
+            self.remove_assigned(&task);
         }
         let names = self.machines.iter().filter(|(_, m)| m.block == id);
         let names: Vec<_> = names.map(|(name, _)| name.clone()).collect();
@@ -95,12 +95,12 @@
             self.machines.remove(&name);
             self.mark_changed(&name);
         }
-        self.held.remove(&id);
+        self.held_blocks.remove(&id);
     }
 
     /// A machine's record has come or gone.
     pub(crate) fn machine_changed(&mut self, name: &str) {
-        self.follow_machine(name);
+        self.sync_machine(name);
         self.mark_changed(name);
         self.room_changed(name);
         // Also when the block is another controller's: a worker that waits for
@@ -109,11 +109,11 @@
     }
 
     /// What a machine's record means for the blocks that we hold.
-    fn follow_machine(&mut self, name: &str) {
+    fn sync_machine(&mut self, name: &str) {
         let record = self.view.machines.get(name).cloned();
         match record {
             Some(record) => {
-                let Some(term) = self.held.get(&record.block).map(|h| h.term) else {
+                let Some(term) = self.held_blocks.get(&record.block).map(|h| h.term) else {
                     return;
                 };
                 if self.machines.contains_key(name) {
@@ -126,15 +126,15 @@
                     machine.note_image(&image, gb, kind);
                 }
                 self.machines.insert(name.to_owned(), machine);
-                self.to_order.insert(name.to_owned());
+                self.order_queue.insert(name.to_owned());
             }
             None => {
                 // The leader removes a record only when the machine is gone.
                 if let Some(machine) = self.machines.remove(name) {
-                    for task in machine.bound {
-                        self.free(&task, Nowhere::MachineGone, Duration::ZERO);
+                    for task in machine.bound_tasks {
+                        self.release_task(&task, AbsenceProof::MachineReturned, Duration::ZERO);
                     }
-                    self.find_lost(machine.block);
+                    self.release_unlocated(machine.block);
                 }
             }
         }
@@ -156,11 +156,11 @@
             .sockets
             .identify_worker(self.now, conn, &report.machine);
         self.close(close);
-        self.known_report(conn, report);
+        self.process_report(conn, report);
     }
 
     /// A report that could be read.
-    pub(crate) fn known_report(&mut self, conn: ConnId, report: Report) {
+    pub(crate) fn process_report(&mut self, conn: ConnId, report: Report) {
         if !self.may_act() {
             return self.refuse(conn, 503, "no contact with the state service");
         }
@@ -168,7 +168,7 @@
             return self.unknown_machine(conn, report);
         };
         let block = record.block;
-        let Some(held) = self.held.get(&block) else {
+        let Some(held) = self.held_blocks.get(&block) else {
             return self.handle_stray_report(conn, report, block);
         };
         let term = held.term;
@@ -183,15 +183,18 @@
         }
         let name = report.machine.clone();
         let (session, seq) = (report.session, report.seq);
-        let newest = self.take_report(report, Origin::Report);
-        let expired = self.machines.get(&name).is_none_or(|m| m.lease.is_over());
+        let newest = self.apply_report(report, Origin::Report);
+        let expired = self
+            .machines
+            .get(&name)
+            .is_none_or(|m| m.lease.is_expired());
         if expired || !newest {
             // Stale: an answer would renew a lease that we count as over, or
             // that a newer message has moved beyond.
             let is_newer = self
                 .machines
                 .get(&name)
-                .is_some_and(|m| !m.lease.is_over() && m.session == session);
+                .is_some_and(|m| !m.lease.is_expired() && m.session == session);
             if !is_newer {
                 return self.refuse(conn, 503, "an old report");
             }
@@ -203,7 +206,7 @@
         };
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.lease.renew(self.now);
-            machine.answered = Some(self.now);
+            machine.last_answer_at = Some(self.now);
         }
         let answer = ReportAnswer {
             token: term,
@@ -218,7 +221,7 @@
 
     /// Takes in what a worker says, whichever way it came. False if something
     /// newer is known already.
-    pub(crate) fn take_report(&mut self, report: Report, origin: Origin) -> bool {
+    pub(crate) fn apply_report(&mut self, report: Report, origin: Origin) -> bool {
         let now = self.now;
         let name = report.machine;
         let Some(machine) = self.machines.get_mut(&name) else {
@@ -227,7 +230,7 @@
         if (report.session, report.seq) <= (machine.session, machine.seq) {
             return false;
         }
-        if machine.lease.is_over() && machine.session != 0 && report.session <= machine.session {
+        if machine.lease.is_expired() && machine.session != 0 && report.session <= machine.session {
             // Sent before its lease ran out and held up: what it lists is gone.
             return false;
         }
@@ -241,26 +244,26 @@
         }
         machine.session = report.session;
         machine.seq = report.seq;
-        machine.heard = Some(now);
-        machine.unanswered = 0;
+        machine.last_message_at = Some(now);
+        machine.unanswered_orders = 0;
         machine.token = report.token;
-        machine.lease.goes_on();
-        machine.taken_at = report
+        machine.lease.resume();
+        machine.reclaimed_at = report
             .notice_s
             .map(|s| now + Duration::from_secs_f64(s.clamp(0.0, 1e6)));
         let proof = report.token == machine.term;
         #[cfg(feature = "sabotage")]
-        let proof = proof || self.sabotage == Some(crate::Sabotage::NoTerms);
-        if proof && !machine.proven {
-            machine.proven = true;
+        let proof = proof || self.sabotage == Some(crate::Sabotage::NoTermCheck);
+        if proof && !machine.term_acknowledged {
+            machine.term_acknowledged = true;
             // Answers of earlier holders renew nothing from here on.
             machine.lease.renew(now);
         }
-        let proven = machine.proven;
+        let proven = machine.term_acknowledged;
         let gone: Vec<TaskId> = if new_session && !first {
-            machine.tainted.clear();
+            machine.unanswered_starts.clear();
             machine.tasks.clear();
-            machine.bound.iter().cloned().collect()
+            machine.bound_tasks.iter().cloned().collect()
         } else {
             Vec::new()
         };
@@ -271,10 +274,10 @@
             );
         }
         for task in gone {
-            self.free(&task, Nowhere::SessionOver, Duration::ZERO);
+            self.release_task(&task, AbsenceProof::SessionEnded, Duration::ZERO);
         }
         for entry in &report.tasks {
-            self.take_entry(&name, report.session, entry);
+            self.apply_task_entry(&name, report.session, entry);
         }
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.tasks = report.tasks;
@@ -283,7 +286,7 @@
         if proven {
             let block = self.machines.get(&name).map(|m| m.block);
             if let Some(block) = block {
-                self.find_lost(block);
+                self.release_unlocated(block);
             }
         }
         let is_busy = self.is_busy(&name);
@@ -294,7 +297,7 @@
                 machine.idle_since = Some(now);
             }
             if !machine.tasks.is_empty() {
-                self.to_order.insert(name.clone());
+                self.order_queue.insert(name.clone());
             }
         }
         self.mark_changed(&name);
@@ -312,30 +315,32 @@
             TaskState::Exited => self.is_unrecorded(&entry.task),
             _ => true,
         };
-        !machine.bound.is_empty() || machine.tasks.iter().any(keeps)
+        !machine.bound_tasks.is_empty() || machine.tasks.iter().any(keeps)
     }
 
     /// Whether a task is done and the records don't show it yet.
     fn is_unrecorded(&self, task: &TaskId) -> bool {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::IdleWithNews) {
+        if self.sabotage == Some(crate::Sabotage::IdleWithUnrecordedEnds) {
             return false;
         }
-        let slot = self.slots.get(task);
-        slot.is_some_and(|slot| matches!(slot.state, State::Done))
+        let slot = self.assigned_tasks.get(task);
+        slot.is_some_and(|slot| matches!(slot.state, AssignmentState::Done))
     }
 
     /// One task on a machine.
-    pub(crate) fn take_entry(&mut self, name: &str, session: u64, entry: &TaskReport) {
+    pub(crate) fn apply_task_entry(&mut self, name: &str, session: u64, entry: &TaskReport) {
         let task = &entry.task;
-        let Some(slot) = self.slots.get_mut(task) else {
+        let Some(slot) = self.assigned_tasks.get_mut(task) else {
             return;
         };
         let spec = slot.spec.clone();
         let here = match &slot.state {
-            State::Bound(b) => b.machine == name && b.attempt == entry.attempt,
+            AssignmentState::Bound(b) => b.machine == name && b.attempt == entry.attempt,
             // Found: what an earlier holder started goes on.
-            State::Lost | State::Free { .. } if entry.state != TaskState::Exited => {
+            AssignmentState::Unlocated | AssignmentState::Free { .. }
+                if entry.state != TaskState::Exited =>
+            {
                 let stop = slot.cancelled.then_some(Stop {
                     grace: Duration::ZERO,
                     sent: false,
@@ -345,16 +350,18 @@
                     attempt: entry.attempt,
                     evidence: None,
                     session,
-                    sent: Some(0),
-                    seen: true,
+                    start_sent_with: Some(0),
+                    listed: true,
                     running: false,
                     stop,
                 };
-                self.set_state(task, State::Bound(bound));
+                self.set_task_state(task, AssignmentState::Bound(bound));
                 true
             }
-            State::Lost | State::Free { .. } if entry.why == Some(Why::Done) => {
-                self.set_state(task, State::Done);
+            AssignmentState::Unlocated | AssignmentState::Free { .. }
+                if entry.why == Some(Why::Done) =>
+            {
+                self.set_task_state(task, AssignmentState::Done);
                 return;
             }
             _ => false,
@@ -372,8 +379,12 @@
             machine.note_image(&spec.image, spec.image_gb, kind.as_ref());
         }
         if entry.state != TaskState::Exited {
-            if let Some(bound) = self.slots.get_mut(task).and_then(|s| s.bound_mut()) {
-                bound.seen = true;
+            if let Some(bound) = self
+                .assigned_tasks
+                .get_mut(task)
+                .and_then(|s| s.bound_mut())
+            {
+                bound.listed = true;
                 if entry.state == TaskState::Running && !bound.running {
                     bound.running = true;
                     log::debug!("{task}: runs on {name}");
@@ -389,22 +400,22 @@
         log::debug!("{task}: ended on {name}: {why:?}");
         let now = self.now;
         let mut wait = Duration::ZERO;
-        let shape = self.slots.get(task).map(|s| s.spec.shape);
+        let shape = self.assigned_tasks.get(task).map(|s| s.spec.shape);
         if shape == Some(Shape::Gang) && why != Why::Done {
             // Its gang has to start anew as a whole: the leader decides.
-            return self.give_back(task, Nowhere::Ended(why));
+            return self.return_to_leader(task, AbsenceProof::Ended(why));
         }
         match why {
             Why::Done => {
                 if let Some(machine) = self.machines.get_mut(name) {
-                    machine.errors = 0;
+                    machine.consecutive_failures = 0;
                 }
-                self.set_state(task, State::Done);
+                self.set_task_state(task, AssignmentState::Done);
                 return;
             }
             Why::Stopped | Why::Peers | Why::Alone => {
                 // It was stopped to make room: the leader decides anew.
-                self.give_back(task, Nowhere::Ended(why));
+                self.return_to_leader(task, AbsenceProof::Ended(why));
                 return;
             }
             Why::Error | Why::Unknown => {
@@ -413,15 +424,15 @@
                     && why == Why::Error
                     && !job_fails
                 {
-                    machine.errors += 1;
-                    machine.error_at = now;
-                    if machine.errors == 2 {
+                    machine.consecutive_failures += 1;
+                    machine.last_failure_at = now;
+                    if machine.consecutive_failures == 2 {
                         log::info!("{name}: task after task fails on it; avoided");
                     }
                 }
-                if let Some(slot) = self.slots.get_mut(task) {
-                    slot.avoid.push(name.to_owned());
-                    let times = slot.avoid.len().min(6) as u32;
+                if let Some(slot) = self.assigned_tasks.get_mut(task) {
+                    slot.failed_on.push(name.to_owned());
+                    let times = slot.failed_on.len().min(6) as u32;
                     wait = RETRY * 2u32.pow(times.saturating_sub(1));
                 }
             }
@@ -432,14 +443,16 @@
                 wait = Duration::from_millis(300);
             }
         }
-        self.free(task, Nowhere::Ended(why), wait);
+        self.release_task(task, AbsenceProof::Ended(why), wait);
     }
 
     /// Whether a job's tasks have failed on several machines: then it is the
     /// job, and no machine is to blame.
     fn job_fails(&self, task: &TaskId) -> bool {
-        let slots = self.slots.range(task.job.task(0)..=task.job.task(u32::MAX));
-        let mut machines: Vec<_> = slots.flat_map(|(_, s)| &s.avoid).collect();
+        let slots = self
+            .assigned_tasks
+            .range(task.job.task(0)..=task.job.task(u32::MAX));
+        let mut machines: Vec<_> = slots.flat_map(|(_, s)| &s.failed_on).collect();
         machines.sort();
         machines.dedup();
         machines.len() >= 2
@@ -457,40 +470,44 @@
         };
         let mut gone = Vec::new();
         let mut again = false;
-        for task in &machine.bound {
-            let Some(bound) = self.slots.get(task).and_then(|s| s.bound()) else {
+        for task in &machine.bound_tasks {
+            let Some(bound) = self.assigned_tasks.get(task).and_then(|s| s.bound()) else {
                 continue;
             };
             if listed(task, bound.attempt) || machine.may_start_late(task, bound.attempt) {
                 continue;
             }
             match bound.unlisted(seq, origin) {
-                Unlisted::Unknown => {}
-                Unlisted::Again => again = true,
-                Unlisted::Gone => gone.push(task.clone()),
+                UnlistedAttempt::Unknown => {}
+                UnlistedAttempt::Resend => again = true,
+                UnlistedAttempt::Absent => gone.push(task.clone()),
             }
         }
         for task in gone {
-            self.free(&task, Nowhere::NotListed, Duration::ZERO);
+            self.release_task(&task, AbsenceProof::NotListed, Duration::ZERO);
         }
         if again {
-            self.to_order.insert(name.to_owned());
+            self.order_queue.insert(name.to_owned());
         }
     }
 
     /// Tasks handed under an earlier term that no machine of the block can
     /// have are nowhere.
-    fn find_lost(&mut self, block: BlockId) {
-        if self.held.get(&block).is_none_or(|h| h.lost == 0) {
+    fn release_unlocated(&mut self, block: BlockId) {
+        if self
+            .held_blocks
+            .get(&block)
+            .is_none_or(|h| h.unlocated == 0)
+        {
             return;
         }
-        let Some(proof) = self.block_proof(block) else {
+        let Some(proof) = self.block_clearance(block) else {
             return;
         };
         let lost: Vec<_> = self
-            .slots
+            .assigned_tasks
             .iter()
-            .filter(|(_, s)| s.block == block && matches!(s.state, State::Lost))
+            .filter(|(_, s)| s.block == block && matches!(s.state, AssignmentState::Unlocated))
             .map(|(t, _)| t.clone())
             .collect();
         log::info!(
@@ -498,15 +515,15 @@
             lost.len()
         );
         for task in lost {
-            self.free(&task, proof, Duration::ZERO);
+            self.release_task(&task, proof, Duration::ZERO);
         }
     }
 
     /// Evidence that nothing that earlier holders started in the block can be unseen.
-    pub(crate) fn block_proof(&self, block: BlockId) -> Option<Nowhere> {
+    pub(crate) fn block_clearance(&self, block: BlockId) -> Option<AbsenceProof> {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoProof) {
-            return Some(Nowhere::BlockProven { silent_until: None });
+            return Some(AbsenceProof::BlockCleared { silent_until: None });
         }
         let mut silent_until = None;
         for name in self
@@ -516,42 +533,42 @@
             .into_iter()
             .flatten()
         {
-            let machine = self.machines.get(name).filter(|m| m.settled())?;
-            silent_until = silent_until.max(machine.lease.over_since());
+            let machine = self.machines.get(name).filter(|m| m.is_cleared())?;
+            silent_until = silent_until.max(machine.lease.expired_at());
         }
-        Some(Nowhere::BlockProven { silent_until })
+        Some(AbsenceProof::BlockCleared { silent_until })
     }
 
     pub(crate) fn blocks_tick(&mut self) {
         let now = self.now;
         let limits = LeaseLimits::from(&*self.settings);
-        let silent = SilentWorkers::among(&self.machines, now, &limits, self.store.tenure());
+        let silent = SilentWorkers::find(&self.machines, now, &limits, self.store.tenure());
         #[cfg(feature = "sabotage")]
         let silent = match self.sabotage {
-            Some(way) if way.trusts_silence() => silent.trusted(),
+            Some(way) if way.trusts_worker_silence() => silent.treat_all_as_expired(),
             _ => silent,
         };
-        for (name, at) in silent.over {
+        for (name, at) in silent.expired {
             self.expire(&name, at);
         }
         // The watch under way was sent before these leases were over.
-        self.store.needs_fresh_read = !silent.unproven.is_empty() && self.in_contact();
+        self.store.needs_fresh_read = !silent.unconfirmed.is_empty() && self.in_contact();
         if self.store.needs_fresh_read {
             self.refresh_view();
         }
         // A block without machines hears no report that would settle it.
-        let lost = self.held.iter().filter(|(_, h)| h.lost > 0);
+        let lost = self.held_blocks.iter().filter(|(_, h)| h.unlocated > 0);
         for block in lost.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.find_lost(block);
+            self.release_unlocated(block);
         }
         let probe: Vec<_> = self
             .machines
             .iter()
-            .filter(|(_, m)| !m.settled() && now >= m.order_at)
+            .filter(|(_, m)| !m.is_cleared() && now >= m.next_orders_at)
             .map(|(name, _)| name.clone())
             .collect();
         for name in probe {
-            self.to_order.insert(name);
+            self.order_queue.insert(name);
         }
     }
 
@@ -561,10 +578,10 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        machine.lease.expire(at);
+        machine.lease.mark_expired(at);
         machine.tasks.clear();
         let block = machine.block;
-        let tasks: Vec<_> = machine.bound.iter().cloned().collect();
+        let tasks: Vec<_> = machine.bound_tasks.iter().cloned().collect();
         log::info!(
             "{name}: silent beyond its lease, {} tasks written off; the lease was over {:.1?} ago, \
              term {}, token shown {}, contact {contact:.1?} ago",
@@ -574,9 +591,9 @@
             machine.token,
         );
         for task in tasks {
-            self.free(&task, Nowhere::LeaseOver { at }, Duration::ZERO);
+            self.release_task(&task, AbsenceProof::LeaseExpired { at }, Duration::ZERO);
         }
-        self.find_lost(block);
+        self.release_unlocated(block);
         self.mark_changed(name);
     }
 }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -17,10 +17,10 @@
 
 use crate::{
     admission::{Admission, Ask},
-    blocks::Held,
+    assigned_tasks::AssignedTask,
+    blocks::HeldBlock,
     call::{Answer, Call, CallId, ConnId, Listener, Method, Output, Reply, Request, Target},
     cloud::CloudCall,
-    due::Due,
     fleet::Fleet,
     forwarding::Forwarding,
     futile::Futile,
@@ -29,13 +29,13 @@
     leader::Leader,
     machine::Machine,
     machine_status::OwnMachines,
+    order_queue::OrderQueue,
     peers::{NonMemberPeers, PeerLink, PeerState},
     reachability::Reachability,
-    recorder::{Busy, News},
+    recorder::{ChunkWrite, DirtyChunk},
     records::{BlockId, FormatLevel, Key},
     relay::Relay,
     request_queue::{RequestClass, RequestQueue},
-    slots::Slot,
     snapshot::SnapshotPart,
     sockets::{Close, OutboundKind, SocketId, Sockets},
     store::{Outcome, Purpose, StoreClient},
@@ -49,9 +49,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
     /// Steady time since the process started.
-    pub steady: Duration,
+    pub monotonic: Duration,
     /// Time of day, since 1970.
-    pub day: Duration,
+    pub wall_clock: Duration,
 }
 
 /// What a controller can be told.
@@ -63,11 +63,11 @@
     Opened(SocketId, Listener),
     /// A connection that came in has something to say, which begins like this.
     /// It is to be read when [`Output::ReadFrom`] says so.
-    Arrived(SocketId, Vec<u8>),
+    Readable(SocketId, Vec<u8>),
     /// A connection that came in has ended.
     Closed(SocketId),
     /// So many connections of ours are open without a use, by [`Lane`].
-    Kept([usize; 3]),
+    IdleConnections([usize; 3]),
     /// A request came in.
     Request(Request),
     /// Something came of a request that the controller made.
@@ -75,11 +75,11 @@
 }
 
 /// Whoever is behind acts upon what came in once in this time.
-const SETTLE_EVERY: Duration = Duration::from_millis(50);
+const BACKLOG_PROCESSING_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Whoever took nothing in for so long may have lost its lease meanwhile, which
 /// is renewed each second.
-const STALLED: Duration = Duration::from_millis(1900);
+const STALL_LIMIT: Duration = Duration::from_millis(1900);
 
 /// Ways to break the code on purpose, so that tests can show that they would
 /// notice.
@@ -91,24 +91,24 @@
     /// Tasks count as nowhere before all machines have been heard.
     NoProof,
     /// Every report is proof, whichever token it shows.
-    NoTerms,
+    NoTermCheck,
     /// Jobs start without those that they await.
-    NoAwaiting,
+    NoDependencies,
     /// A job is not cancelled with one that it awaits.
-    NoChain,
+    NoCancelCascade,
     /// The new forms are written as soon as this controller is new.
-    SwitchEarly,
+    EarlyFormatSwitch,
     /// The lower limits to come are not kept to.
-    NoLowering,
+    NoLoweredLimits,
     /// All that comes in shares one allowance, and what is beyond it is turned
     /// away.
     NoShares,
     /// Requests are answered as they came, whoever asks.
-    InOrder,
+    NoPriorities,
     /// Late work has no floor.
     NoFloors,
     /// What may have been spent of a record's shares is handed out again.
-    SharesTwice,
+    SharesReissued,
     /// A controller that begins anew spends its shares once more.
     SameLife,
     /// Every job is let in by one flow's share.
@@ -118,11 +118,11 @@
     /// Users are answered from memory, whatever may have changed.
     FromMemory,
     /// Users are told that a job is cancelled before the store has confirmed it.
-    Unconfirmed,
+    UnconfirmedCancels,
     /// What a new holder hears first of a task is all that it looks at.
-    FirstFound,
+    FirstReportOnly,
     /// Nothing is known about links.
-    NoReach,
+    NoReachability,
     /// Records are acted upon as soon as their last page has been read, of whatever
     /// moments the pages are.
     PartialView,
@@ -130,15 +130,15 @@
     /// records anew with a page of the first one still on its way.
     MixedReads,
     /// Scarce machines are kept for work that its team's limit holds back.
-    KeptForNobody,
+    ReservedForBlockedWork,
     /// Tasks of cancelled jobs are left alone.
     NoStops,
     /// Nobody is answered who asks about some of the jobs.
-    Unanswered,
+    UnansweredRequests,
     /// Some of the jobs are never handed out.
-    Overlooked,
+    SkippedJobs,
     /// Whatever is submitted is accepted, if it can be read.
-    AcceptsAll,
+    NoAdmissionChecks,
     /// Jobs that their team's limit holds back get no turn however long they wait.
     NoStarvationGuard,
     /// Of the jobs that it goes for, the oldest is the first, also right after it had a
@@ -153,7 +153,7 @@
     /// leader planned that for another machine.
     IdleAsPlanned,
     /// A machine counts as idle though it alone knows of ends besides its holder.
-    IdleWithNews,
+    IdleWithUnrecordedEnds,
     /// No report is forwarded to another controller.
     NoForwarding,
     /// A forwarded report gets the answer to an earlier one of its worker.
@@ -161,9 +161,9 @@
     /// Direct orders without an answer count as never carried out.
     NoLateStarts,
     /// Hand-outs whose write got no answer count as not made.
-    NoDoubt,
+    LostAnswerAsFailure,
     /// A worker's silence ends its lease, whoever may have renewed it.
-    TrustedSilence,
+    SilenceAsExpiry,
     /// The same, and what follows from it may be started.
     StaleEvidence,
 }
@@ -171,7 +171,7 @@
 #[cfg(feature = "sabotage")]
 impl Sabotage {
     /// The way of this name, of those that a controller as a process can be given.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         let ways = [
             Self::NoStops,
             Self::NoProof,
@@ -187,20 +187,20 @@
     }
 
     /// Whether a worker's silence ends its lease, whoever holds its block.
-    pub(crate) fn trusts_silence(self) -> bool {
-        matches!(self, Self::TrustedSilence | Self::StaleEvidence)
+    pub(crate) fn trusts_worker_silence(self) -> bool {
+        matches!(self, Self::SilenceAsExpiry | Self::StaleEvidence)
     }
 
     /// Whether no report is forwarded.
-    pub(crate) fn forwards_nothing(self) -> bool {
+    pub(crate) fn disables_forwarding(self) -> bool {
         matches!(
             self,
-            Self::NoReach | Self::NoForwarding | Self::SilentToHolder
+            Self::NoReachability | Self::NoForwarding | Self::SilentToHolder
         )
     }
 
     /// Whether a job is one of the few that some of these are about.
-    pub(crate) fn hits(id: &oliveshift_wire::JobId) -> bool {
+    pub(crate) fn affects_job(id: &oliveshift_wire::JobId) -> bool {
         id.digits().ends_with(['1', '5', '8'])
     }
 }
@@ -289,14 +289,14 @@
     pub(crate) sockets: Sockets,
     pub(crate) request_queue: RequestQueue,
     /// Something happened since it was last acted upon, and when that was.
-    unsettled: bool,
-    settled_at: Duration,
+    input_pending: bool,
+    last_processed_at: Duration,
     /// The numbers that may be changed while it runs.
     pub tuning: Tuning,
     pub(crate) incarnation: u64,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Duration,
-    pub(crate) day: Duration,
+    pub(crate) wall_clock: Duration,
     pub(crate) out: Vec<Output>,
     next_call: CallId,
     pub(crate) calls: HashMap<CallId, (Pending, Duration)>,
@@ -308,9 +308,9 @@
     pub(crate) gate: Gate,
     /// Machine types by name; empty until the cloud has told them.
     pub(crate) types: BTreeMap<String, MachineType>,
-    pub(crate) held: BTreeMap<BlockId, Held>,
+    pub(crate) held_blocks: BTreeMap<BlockId, HeldBlock>,
     pub(crate) machines: BTreeMap<String, Machine>,
-    pub(crate) slots: BTreeMap<TaskId, Slot>,
+    pub(crate) assigned_tasks: BTreeMap<TaskId, AssignedTask>,
     /// Tasks of held blocks that have no machine.
     pub(crate) unplaced: BTreeSet<TaskId>,
     /// Which of them would find no room.
@@ -318,11 +318,11 @@
     /// Which teams are near their limit.
     pub(crate) team_use: TeamUse,
     /// Chunks with news to record.
-    pub(crate) dirty: BTreeMap<(JobId, u32), News>,
+    pub(crate) dirty_chunks: BTreeMap<(JobId, u32), DirtyChunk>,
     /// Chunks with a write under way.
-    pub(crate) busy: BTreeMap<(JobId, u32), Busy>,
+    pub(crate) chunk_writes: BTreeMap<(JobId, u32), ChunkWrite>,
     /// Machines for which orders are ready.
-    pub(crate) to_order: Due,
+    pub(crate) order_queue: OrderQueue,
     pub(crate) attempts: u64,
     pub(crate) peers: BTreeMap<String, PeerState>,
     /// What we have told the peers.
@@ -330,7 +330,7 @@
     /// Our machines as we tell of them.
     pub(crate) own_machines: OwnMachines,
     /// Tasks of held blocks that are done or given back and not recorded yet.
-    pub(crate) over: BTreeSet<TaskId>,
+    pub(crate) unrecorded: BTreeSet<TaskId>,
     pub(crate) leader: Option<Leader>,
     /// Users' requests that go to peers, and theirs that come here.
     pub(crate) relay: Relay,
@@ -366,15 +366,15 @@
             fleet: Fleet::new(&settings),
             sockets: Sockets::new(&settings),
             request_queue: RequestQueue::default(),
-            unsettled: false,
-            settled_at: Duration::ZERO,
+            input_pending: false,
+            last_processed_at: Duration::ZERO,
             lowered: settings.params.state.lowered(),
             program: FormatLevel::SUPPORTED,
             upgrade: Upgrade::default(),
             tuning,
             rng,
             now: Duration::ZERO,
-            day: Duration::ZERO,
+            wall_clock: Duration::ZERO,
             out: Vec::new(),
             next_call: 0,
             calls: HashMap::new(),
@@ -383,20 +383,20 @@
             admission: Admission::default(),
             gate: Gate::default(),
             types: BTreeMap::new(),
-            held: BTreeMap::new(),
+            held_blocks: BTreeMap::new(),
             machines: BTreeMap::new(),
-            slots: BTreeMap::new(),
+            assigned_tasks: BTreeMap::new(),
             unplaced: BTreeSet::new(),
             futile: Futile::default(),
             team_use: TeamUse::default(),
-            dirty: BTreeMap::new(),
-            busy: BTreeMap::new(),
-            to_order: Due::default(),
+            dirty_chunks: BTreeMap::new(),
+            chunk_writes: BTreeMap::new(),
+            order_queue: OrderQueue::default(),
             attempts: 0,
             peers: BTreeMap::new(),
             peer_links,
             own_machines: OwnMachines::default(),
-            over: BTreeSet::new(),
+            unrecorded: BTreeSet::new(),
             leader: None,
             relay: Relay::default(),
             forwarding: Forwarding::default(),
@@ -422,17 +422,17 @@
 
     /// Takes one input and acts on it at once, as whoever is on time does.
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
-        let mut out = self.take(now, input);
-        while self.is_due() {
-            out.extend(self.turn(now));
+        let mut out = self.receive(now, input);
+        while self.has_pending_work() {
+            out.extend(self.run_turn(now));
         }
         out
     }
 
     /// Takes one input. What it makes possible is done at the next turn, which
     /// may come after several inputs: whoever is behind saves time that way.
-    pub fn take(&mut self, now: Now, input: Input) -> Vec<Output> {
-        self.pass(now);
+    pub fn receive(&mut self, now: Now, input: Input) -> Vec<Output> {
+        self.advance_clock(now);
         match input {
             // Connections change nothing of what there is to decide.
             #[cfg(feature = "sabotage")]
@@ -447,7 +447,7 @@
                 let close = self.sockets.connection_opened(self.now, id, listener);
                 return close.into_iter().map(Output::Close).collect();
             }
-            Input::Arrived(id, beginning) => {
+            Input::Readable(id, beginning) => {
                 if self.class(RequestClass::of_prefix(&beginning)) != RequestClass::Report {
                     return vec![Output::ReadFrom(id)];
                 }
@@ -458,7 +458,7 @@
                 self.sockets.connection_closed(id);
                 return Vec::new();
             }
-            Input::Kept(kept) => {
+            Input::IdleConnections(kept) => {
                 self.sockets.set_idle(kept);
                 return Vec::new();
             }
@@ -472,24 +472,24 @@
             Input::Tick => self.tick(),
             Input::Reply(call, reply) => self.reply(call, reply),
         }
-        self.unsettled = true;
-        self.leaves()
+        self.input_pending = true;
+        self.take_outputs()
     }
 
     /// Whether something that came in waits for a turn.
-    pub fn is_due(&self) -> bool {
-        self.unsettled || !self.request_queue.is_empty()
+    pub fn has_pending_work(&self) -> bool {
+        self.input_pending || !self.request_queue.is_empty()
     }
 
     /// Whether somebody waits for that turn who goes before workers.
-    pub fn is_urgent(&self) -> bool {
+    pub fn has_urgent_work(&self) -> bool {
         self.request_queue.is_urgent()
     }
 
     /// Answers requests that wait, the most urgent ones if they are many, and
     /// does what all that came in has made possible.
-    pub fn turn(&mut self, now: Now) -> Vec<Output> {
-        self.pass(now);
+    pub fn run_turn(&mut self, now: Now) -> Vec<Output> {
+        self.advance_clock(now);
         let batch = self.request_queue.next_batch(self.now);
         let late = batch.expired_reports.iter().map(|r| r.socket);
         for id in late.chain(batch.expired_sockets) {
@@ -499,42 +499,43 @@
         self.out
             .extend(batch.read_from.into_iter().map(Output::ReadFrom));
         for request in batch.expired_users {
-            self.come_back(request.conn, "too much to do");
+            self.refuse_with_retry(request.conn, "too much to do");
         }
         for request in batch.requests {
             self.request(request);
-            self.unsettled = true;
+            self.input_pending = true;
         }
         // Acting costs the same for one input and for many.
-        let waits = !self.request_queue.is_empty() && self.now < self.settled_at + SETTLE_EVERY;
-        if self.unsettled && !waits {
-            self.unsettled = false;
-            self.settled_at = self.now;
-            self.settle();
+        let waits = !self.request_queue.is_empty()
+            && self.now < self.last_processed_at + BACKLOG_PROCESSING_INTERVAL;
+        if self.input_pending && !waits {
+            self.input_pending = false;
+            self.last_processed_at = self.now;
+            self.process_changes();
         }
-        self.leaves()
+        self.take_outputs()
     }
 
     /// The class that counts, which is not the request's own only if it is
     /// broken on purpose.
     fn class(&self, class: RequestClass) -> RequestClass {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(Sabotage::InOrder) {
+        if self.sabotage == Some(Sabotage::NoPriorities) {
             return RequestClass::User;
         }
         class
     }
 
-    fn pass(&mut self, now: Now) {
-        if now.steady > self.now + STALLED {
-            self.record_pause(now.steady);
+    fn advance_clock(&mut self, now: Now) {
+        if now.monotonic > self.now + STALL_LIMIT {
+            self.record_pause(now.monotonic);
         }
-        self.now = self.now.max(now.steady);
-        self.day = now.day;
+        self.now = self.now.max(now.monotonic);
+        self.wall_clock = now.wall_clock;
     }
 
     /// What leaves now.
-    fn leaves(&mut self) -> Vec<Output> {
+    fn take_outputs(&mut self) -> Vec<Output> {
         let mut out = std::mem::take(&mut self.out);
         for output in &mut out {
             if let Output::Answer(answer) = output {
@@ -569,9 +570,9 @@
     }
 
     /// What every input may have made possible.
-    fn settle(&mut self) {
+    fn process_changes(&mut self) {
         self.place();
-        self.record();
+        self.record_dirty_chunks();
         self.refresh_own_machines();
         if self.futile.take_changed() {
             self.place();
@@ -694,7 +695,7 @@
 
     /// What a changed record means for the parts; called after each change, so
     /// that none of them misses a state in between.
-    pub(crate) fn changed(&mut self, key: &Key) {
+    pub(crate) fn record_changed(&mut self, key: &Key) {
         match key {
             Key::Leader | Key::Member(_) => self.members_changed(),
             Key::Block(id) => {
@@ -774,12 +775,12 @@
     }
 
     /// Says that the request can't be taken now and when to come back.
-    pub(crate) fn come_back(&mut self, conn: ConnId, error: &str) {
-        self.come_back_after(conn, error, Duration::from_secs(1));
+    pub(crate) fn refuse_with_retry(&mut self, conn: ConnId, error: &str) {
+        self.refuse_with_retry_after(conn, error, Duration::from_secs(1));
     }
 
     /// The same, after some time.
-    pub(crate) fn come_back_after(&mut self, conn: ConnId, error: &str, after: Duration) {
+    pub(crate) fn refuse_with_retry_after(&mut self, conn: ConnId, error: &str, after: Duration) {
         log::debug!("a user is told to come back: {error}");
         let body = oliveshift_wire::encode(&Refusal {
             error: error.to_owned(),
--- a/crates/core/src/fixtures.rs
+++ b/crates/core/src/fixtures.rs
@@ -57,7 +57,7 @@
             version,
         };
         let key = controller.view.apply(put).expect("news");
-        controller.changed(&key);
+        controller.record_changed(&key);
     }
 }
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -579,7 +579,7 @@
         // needed the more for it.
         idle.sort();
         let reserve = self.reserve();
-        let unplaced = self.unplaced();
+        let unplaced = self.unplaced_tasks();
         let most = idle.len() / IDLE_SHARE + 1;
         let mut spare: Vec<String> = Vec::new();
         for (_, name) in idle.into_iter().rev() {
--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -118,7 +118,10 @@
         fallback: Fallback,
     ) -> bool {
         #[cfg(feature = "sabotage")]
-        if self.sabotage.is_some_and(crate::Sabotage::forwards_nothing) {
+        if self
+            .sabotage
+            .is_some_and(crate::Sabotage::disables_forwarding)
+        {
             return false;
         }
         // Whoever is behind would get to the answer too late.
@@ -249,14 +252,14 @@
             let home = self.settings.node.clone();
             return self.redirect(conn, Some(home));
         }
-        self.known_report(conn, report);
+        self.process_report(conn, report);
     }
 
     /// Whether a machine is in a block that we hold under a term.
     fn holds(&self, machine: &str, block: BlockId, term: Term) -> bool {
         let record = self.view.machines.get(machine);
         record.is_some_and(|m| m.block == block)
-            && self.held.get(&block).is_some_and(|h| h.term == term)
+            && self.held_blocks.get(&block).is_some_and(|h| h.term == term)
     }
 
     /// Asks workers that report by way of peers whether they can be reached directly.
--- a/crates/core/src/forwarding/tests.rs
+++ b/crates/core/src/forwarding/tests.rs
@@ -243,8 +243,8 @@
     let orders: ReportAnswer = decode(&answer.body).expect("an answer to a worker");
     assert_eq!(orders.token, TERM);
     let machine = &controller.machines["vm-1"];
-    assert_eq!((machine.seq, machine.proven), (3, true));
-    assert_eq!(machine.answered, Some(ms(1000)));
+    assert_eq!((machine.seq, machine.term_acknowledged), (3, true));
+    assert_eq!(machine.last_answer_at, Some(ms(1000)));
     // One that was overtaken changes nothing of what is known.
     let late = message("n-1", TERM, encode(&report(2, TERM)));
     answered(&mut controller, &late);
@@ -260,7 +260,7 @@
     let body = message("n-1", TERM, encode(&report(3, TERM)));
     let (_, answer) = answered(&mut controller, &body);
     assert_eq!(answer.map(|a| a.status), Some(503));
-    assert_eq!(controller.machines["vm-1"].answered, None);
+    assert_eq!(controller.machines["vm-1"].last_answer_at, None);
 }
 
 #[test]
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -422,7 +422,7 @@
     /// give then.
     fn part_given(&self) -> f64 {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::SharesTwice) {
+        if self.sabotage == Some(crate::Sabotage::SharesReissued) {
             return 1.0;
         }
         0.5
@@ -435,7 +435,7 @@
             return Unspent::default();
         };
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::SharesTwice) {
+        if self.sabotage == Some(crate::Sabotage::SharesReissued) {
             return Unspent::default();
         }
         let before = self.since.as_ref().map(|(_, jobs)| jobs);
--- a/crates/core/src/handout.rs
+++ b/crates/core/src/handout.rs
@@ -210,7 +210,9 @@
                 progress.insert(id.clone(), seen);
             }
             #[cfg(feature = "sabotage")]
-            if self.sabotage == Some(crate::Sabotage::Overlooked) && crate::Sabotage::hits(id) {
+            if self.sabotage == Some(crate::Sabotage::SkippedJobs)
+                && crate::Sabotage::affects_job(id)
+            {
                 continue;
             }
             if job.waiting() > 0 {
@@ -229,8 +231,8 @@
                     guaranteed,
                     priority: self.view.priority(id, spec),
                     order_ms: latest.map_or(at, |at| at.as_millis() as u64),
-                    waited_s: waited_s(self.day, job.ready_ms),
-                    latest_s: latest_starts(aims, job, spec, self.day, takes_s),
+                    waited_s: waited_s(self.wall_clock, job.ready_ms),
+                    latest_s: latest_starts(aims, job, spec, self.wall_clock, takes_s),
                     begun: job.assigned_total() > 0,
                     length_s,
                     starved_turn: false,
@@ -294,7 +296,8 @@
             let share = self.team_share(team).unwrap_or_default();
             let held_back = !share.allows(&more);
             #[cfg(feature = "sabotage")]
-            let held_back = held_back && self.sabotage != Some(crate::Sabotage::KeptForNobody);
+            let held_back =
+                held_back && self.sabotage != Some(crate::Sabotage::ReservedForBlockedWork);
             if queued.waited_s > patience && !held_back {
                 let fits = self.types_for(plan, &queued.spec, false);
                 if fits.len() < self.types.len() {
@@ -364,7 +367,7 @@
             }
             // A job of 100,000 tasks has hundreds of chunks that are done.
             let waits = |c: &Chunk| c.task_statuses.contains(&TaskStatus::Waiting);
-            if self.busy.contains_key(&(id.clone(), part))
+            if self.chunk_writes.contains_key(&(id.clone(), part))
                 || !job.chunks.get(&part).is_none_or(waits)
             {
                 continue;
@@ -485,7 +488,7 @@
                 .min(by_limit(share.limit.0, used.cpus, need.cpus))
                 .min(by_limit(share.limit.1, used.gpus, need.gpus));
             self.make_room(plan, queued, &spec, tasks, open);
-            let waited = self.day.as_millis() as f64 / 1e3 - job_at;
+            let waited = self.wall_clock.as_millis() as f64 / 1e3 - job_at;
             let patience = self.spot_patience_s(&spec);
             plan.wants.push(Want {
                 spot_only: spec.spot && waited < patience,
--- a/crates/core/src/invariants.rs
+++ b/crates/core/src/invariants.rs
@@ -9,9 +9,9 @@
 use oliveshift_wire::TaskId;
 
 use crate::{
-    attempt::Nowhere,
+    assigned_tasks::Bound,
+    attempt::AbsenceProof,
     records::{BlockId, Term},
-    slots::Bound,
 };
 
 /// An invariant that does not hold.
@@ -50,7 +50,7 @@
         /// The attempt.
         attempt: u64,
         /// What it was to be started on.
-        evidence: Nowhere,
+        evidence: AbsenceProof,
     },
     /// A task was handed to us again under the term under which we started it, with
     /// no proof in between that it has ended.
--- a/crates/core/src/invariants/tests.rs
+++ b/crates/core/src/invariants/tests.rs
@@ -6,8 +6,8 @@
         attempt: 7,
         evidence: None,
         session: 3,
-        sent: Some(0),
-        seen: true,
+        start_sent_with: Some(0),
+        listed: true,
         running: true,
         stop: None,
     }
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -208,12 +208,12 @@
             .partition(|(_, report, _)| report.machine == name);
         leader.reports = wait;
         for (conn, report, _) in ready {
-            self.known_report(conn, report);
+            self.process_report(conn, report);
         }
     }
 
     pub(crate) fn leader_tick(&mut self) {
-        self.busy_progress();
+        self.advance_chunk_writes();
         let now = self.now;
         let Some(leader) = &mut self.leader else {
             return;
@@ -550,7 +550,7 @@
             Phase::Open => return None,
             phase => phase,
         };
-        let busy = |part: &u32| self.busy.contains_key(&(id.clone(), *part));
+        let busy = |part: &u32| self.chunk_writes.contains_key(&(id.clone(), *part));
         if job.assigned_total() > 0 || job.chunks.keys().any(busy) {
             return None;
         }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -54,7 +54,7 @@
     /// The latest instant at which we or its own beginning may have renewed it.
     renewed: Option<Duration>,
     /// When it was over for sure.
-    over: Option<Duration>,
+    expired_at: Option<Duration>,
 }
 
 impl WorkerLease {
@@ -63,7 +63,7 @@
         Self {
             since,
             renewed: None,
-            over: None,
+            expired_at: None,
         }
     }
 
@@ -78,23 +78,23 @@
     }
 
     /// Its worker has been heard: it goes on, or another session has begun.
-    pub fn goes_on(&mut self) {
-        self.over = None;
+    pub fn resume(&mut self) {
+        self.expired_at = None;
     }
 
     /// Since when it has been over for sure, with all tasks of its session.
-    pub fn over_since(&self) -> Option<Duration> {
-        self.over
+    pub fn expired_at(&self) -> Option<Duration> {
+        self.expired_at
     }
 
     /// Whether it is over for sure.
-    pub fn is_over(&self) -> bool {
-        self.over.is_some()
+    pub fn is_expired(&self) -> bool {
+        self.expired_at.is_some()
     }
 
     /// When it is over, unless it is renewed. `proven`: the worker has shown our term,
     /// so that answers of earlier holders renew nothing.
-    pub fn ends(&self, proven: bool, limits: &LeaseLimits) -> Duration {
+    pub fn expires_at(&self, proven: bool, limits: &LeaseLimits) -> Duration {
         let ours = self
             .renewed
             .map_or(Duration::ZERO, |at| at + limits.renewed);
@@ -105,38 +105,38 @@
     }
 
     /// What silence says of it at some time.
-    pub fn look(
+    pub fn status(
         &self,
         now: Duration,
         proven: bool,
         limits: &LeaseLimits,
         tenure: Tenure,
-    ) -> Silence {
-        let ends = self.ends(proven, limits);
-        if now <= ends {
-            Silence::Nothing
-        } else if tenure.covers(ends) {
-            Silence::LeaseOver(ends)
+    ) -> LeaseStatus {
+        let expires_at = self.expires_at(proven, limits);
+        if now <= expires_at {
+            LeaseStatus::Valid
+        } else if tenure.covers(expires_at) {
+            LeaseStatus::Expired(expires_at)
         } else {
-            Silence::Unproven(ends)
+            LeaseStatus::Unconfirmed(expires_at)
         }
     }
 
     /// It was over at an instant.
-    pub fn expire(&mut self, at: Duration) {
-        self.over = Some(at);
+    pub fn mark_expired(&mut self, at: Duration) {
+        self.expired_at = Some(at);
     }
 }
 
 /// What the silence of a worker says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Silence {
+pub(crate) enum LeaseStatus {
     /// Nothing: its lease lasts.
-    Nothing,
+    Valid,
     /// Its lease was over at this instant, if the block was still ours.
-    Unproven(Duration),
+    Unconfirmed(Duration),
     /// Its lease was over at this instant.
-    LeaseOver(Duration),
+    Expired(Duration),
 }
 
 #[cfg(test)]
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,6 +6,7 @@
 //! so the same inputs always give the same outputs.
 
 mod admission;
+mod assigned_tasks;
 mod attempt;
 mod blocks;
 mod budget;
@@ -13,7 +14,6 @@
 mod cloud;
 mod controller;
 mod drain;
-mod due;
 #[cfg(test)]
 mod fixtures;
 mod fleet;
@@ -29,6 +29,7 @@
 mod machine;
 mod machine_lists;
 mod machine_status;
+mod order_queue;
 mod orders;
 mod peers;
 mod placement;
@@ -40,7 +41,6 @@
 mod request_queue;
 mod rooms;
 mod serving;
-mod slots;
 mod snapshot;
 pub mod sockets;
 mod starvation;
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -64,7 +64,7 @@
             StrayAction::AwaitRecords => true,
         };
         #[cfg(feature = "sabotage")]
-        let waits = waits && self.sabotage != Some(crate::Sabotage::NoReach);
+        let waits = waits && self.sabotage != Some(crate::Sabotage::NoReachability);
         match waits {
             true => self.reachability.wait(came_at, conn, report, advice),
             false => self.serve_or_redirect(conn, report),
@@ -80,7 +80,7 @@
             Some(holder) if holder != self.settings.node => {
                 self.redirect(conn, Some(holder));
             }
-            _ => self.known_report(conn, report),
+            _ => self.process_report(conn, report),
         }
     }
 
@@ -114,7 +114,7 @@
             return;
         }
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::NoReach) {
+        if self.sabotage == Some(crate::Sabotage::NoReachability) {
             return;
         }
         self.answer_waiting_strays();
@@ -125,10 +125,10 @@
         let machines = &self.view.machines;
         let held = || {
             let zone_of = |id| self.view.blocks.get(id).map(|b| b.record.zone.clone());
-            let blocks = self.held.keys();
+            let blocks = self.held_blocks.keys();
             let blocks = blocks.filter_map(|id| Some((*id, (zone_of(id)?, 0))));
             let mut held: BTreeMap<BlockId, (String, usize)> = blocks.collect();
-            for machine in self.machines.values().filter(|m| !m.lease.is_over()) {
+            for machine in self.machines.values().filter(|m| !m.lease.is_expired()) {
                 if let Some((_, machines)) = held.get_mut(&machine.block) {
                     *machines += 1;
                 }
@@ -169,18 +169,18 @@
         let peers: Vec<_> = self.peers_in_contact().cloned().collect();
         #[cfg(feature = "sabotage")]
         let peers = match self.sabotage {
-            Some(crate::Sabotage::NoReach) => Vec::new(),
+            Some(crate::Sabotage::NoReachability) => Vec::new(),
             _ => peers,
         };
         // Whoever is behind gets to the peer's answer, or to its absence, too late: a
         // poll carried on with 0.3 s left was answered after its 2 s.
         let behind = !self.request_queue.is_empty();
         if peers.is_empty() || behind || self.level() < FormatLevel::PIPELINES {
-            return self.come_back(conn, why);
+            return self.refuse_with_retry(conn, why);
         }
         let peer = peers[self.rng.usize(0..peers.len())].clone();
         let Some((request, timeout)) = self.relay.take_request(self.now, conn) else {
-            return self.come_back(conn, why);
+            return self.refuse_with_retry(conn, why);
         };
         log::debug!("a user's {} is carried on to {peer}: {why}", request.path);
         self.call_peer(peer, "/carry", &request, timeout, Pending::Carried(conn));
@@ -190,7 +190,7 @@
     pub(crate) fn relay_answered(&mut self, conn: ConnId, reply: &Reply) {
         match self.relay.unwrap_answer(conn, reply) {
             Some(answer) => self.out.push(Output::Answer(answer)),
-            None => self.come_back(conn, "no controller could be asked"),
+            None => self.refuse_with_retry(conn, "no controller could be asked"),
         }
     }
 
@@ -249,7 +249,7 @@
     pub(crate) fn move_unreachable_blocks(&mut self) {
         let now = self.now;
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::NoReach) {
+        if self.sabotage == Some(crate::Sabotage::NoReachability) {
             return;
         }
         let blocks = self.view.blocks.iter();
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -8,7 +8,7 @@
 use oliveshift_wire::{TaskId, cloud::MachineType, worker::TaskReport};
 
 use crate::{
-    lease::{LeaseLimits, Silence, Tenure, WorkerLease},
+    lease::{LeaseLimits, LeaseStatus, Tenure, WorkerLease},
     records::{BlockId, MachineRecord, Term},
 };
 
@@ -26,38 +26,38 @@
     pub token: u64,
     /// A newest report has shown our term: what earlier holders have sent can
     /// no longer take effect, and what it does not list is not there.
-    pub proven: bool,
+    pub term_acknowledged: bool,
     /// The lease of its worker: once over, all tasks of its last known session have
     /// stopped.
     pub lease: WorkerLease,
     /// When a message came last.
-    pub heard: Option<Duration>,
+    pub last_message_at: Option<Duration>,
     /// When we answered a report of its worker last, which renewed its lease.
-    pub answered: Option<Duration>,
+    pub last_answer_at: Option<Duration>,
     /// When the cloud takes it away.
-    pub taken_at: Option<Duration>,
+    pub reclaimed_at: Option<Duration>,
     /// All tasks on it by its newest message.
     pub tasks: Vec<TaskReport>,
     /// Slots bound to it.
-    pub bound: BTreeSet<TaskId>,
+    pub bound_tasks: BTreeSet<TaskId>,
     /// Images that it most likely has, least recently used first.
     pub images: Vec<(String, f64)>,
     /// Direct orders under way; with the attempts that they start.
-    pub ordering: bool,
-    pub in_flight: Vec<(TaskId, u64)>,
+    pub orders_in_flight: bool,
+    pub starts_in_flight: Vec<(TaskId, u64)>,
     /// Attempts whose start was ordered directly without an answer: they may
     /// still start, so they must never be forgotten in this session.
-    pub tainted: HashSet<(TaskId, u64)>,
+    pub unanswered_starts: HashSet<(TaskId, u64)>,
     /// No direct orders before.
-    pub order_at: Duration,
+    pub next_orders_at: Duration,
     /// Direct orders in a row that got no answer.
-    pub unanswered: u32,
+    pub unanswered_orders: u32,
     /// Since when it has had no task.
     pub idle_since: Option<Duration>,
     /// Failures of tasks in a row, and of how many jobs.
-    pub errors: u32,
+    pub consecutive_failures: u32,
     /// When the last failure was.
-    pub error_at: Duration,
+    pub last_failure_at: Duration,
     /// It refused starts for lack of room: tasks that we don't know of.
     pub refused_at: Option<Duration>,
 }
@@ -71,40 +71,40 @@
             session: 0,
             seq: 0,
             token: 0,
-            proven: false,
+            term_acknowledged: false,
             lease: WorkerLease::new(now),
-            heard: None,
-            answered: None,
-            taken_at: None,
+            last_message_at: None,
+            last_answer_at: None,
+            reclaimed_at: None,
             tasks: Vec::new(),
-            bound: BTreeSet::new(),
+            bound_tasks: BTreeSet::new(),
             images: Vec::new(),
-            ordering: false,
-            in_flight: Vec::new(),
-            tainted: HashSet::new(),
-            order_at: Duration::ZERO,
-            unanswered: 0,
+            orders_in_flight: false,
+            starts_in_flight: Vec::new(),
+            unanswered_starts: HashSet::new(),
+            next_orders_at: Duration::ZERO,
+            unanswered_orders: 0,
             idle_since: Some(now),
-            errors: 0,
-            error_at: Duration::ZERO,
+            consecutive_failures: 0,
+            last_failure_at: Duration::ZERO,
             refused_at: None,
         }
     }
 
     /// Whether no task of an earlier holder can be on it unseen.
-    pub fn settled(&self) -> bool {
-        self.proven || self.lease.is_over()
+    pub fn is_cleared(&self) -> bool {
+        self.term_acknowledged || self.lease.is_expired()
     }
 
     /// How long it has been silent.
-    pub fn silent(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.heard.unwrap_or(self.lease.since()))
+    pub fn silence(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.last_message_at.unwrap_or(self.lease.since()))
     }
 
     /// Whether a start of the attempt may still arrive.
     pub fn may_start_late(&self, task: &TaskId, attempt: u64) -> bool {
         let same = |(t, a): &(TaskId, u64)| t == task && *a == attempt;
-        self.in_flight.iter().any(same) || self.tainted.iter().any(same)
+        self.starts_in_flight.iter().any(same) || self.unanswered_starts.iter().any(same)
     }
 
     /// Notes that it has an image, as the most recently used one.
@@ -123,8 +123,8 @@
     }
 
     /// Whether several tasks in a row have failed on it lately.
-    pub fn faulty(&self) -> bool {
-        self.errors >= 2
+    pub fn is_faulty(&self) -> bool {
+        self.consecutive_failures >= 2
     }
 }
 
@@ -133,25 +133,28 @@
 #[derive(Debug, Default)]
 pub(crate) struct SilentWorkers {
     /// Their leases are over for sure.
-    pub over: Vec<(String, Duration)>,
+    pub expired: Vec<(String, Duration)>,
     /// It is not proven that their blocks were ours until then.
-    pub unproven: Vec<(String, Duration)>,
+    pub unconfirmed: Vec<(String, Duration)>,
 }
 
 impl SilentWorkers {
     /// Those among the machines of our blocks.
-    pub fn among(
+    pub fn find(
         machines: &BTreeMap<String, Machine>,
         now: Duration,
         limits: &LeaseLimits,
         tenure: Tenure,
     ) -> Self {
         let mut silent = Self::default();
-        for (name, machine) in machines.iter().filter(|(_, m)| !m.lease.is_over()) {
-            match machine.lease.look(now, machine.proven, limits, tenure) {
-                Silence::Nothing => {}
-                Silence::Unproven(at) => silent.unproven.push((name.clone(), at)),
-                Silence::LeaseOver(at) => silent.over.push((name.clone(), at)),
+        for (name, machine) in machines.iter().filter(|(_, m)| !m.lease.is_expired()) {
+            match machine
+                .lease
+                .status(now, machine.term_acknowledged, limits, tenure)
+            {
+                LeaseStatus::Valid => {}
+                LeaseStatus::Unconfirmed(at) => silent.unconfirmed.push((name.clone(), at)),
+                LeaseStatus::Expired(at) => silent.expired.push((name.clone(), at)),
             }
         }
         silent
@@ -159,8 +162,8 @@
 
     /// The same as if all were proven.
     #[cfg(feature = "sabotage")]
-    pub fn trusted(mut self) -> Self {
-        self.over.append(&mut self.unproven);
+    pub fn treat_all_as_expired(mut self) -> Self {
+        self.expired.append(&mut self.unconfirmed);
         self
     }
 }
--- a/crates/core/src/machine_lists.rs
+++ b/crates/core/src/machine_lists.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     controller::Controller,
-    recorder::Step,
+    recorder::WriteStep,
     records::{BlockId, BlockRecord, FormatLevel, Key, MachineListEntry, MachineListRecord},
     store::{Outcome, Purpose, Urgency},
 };
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub(crate) struct MachineListWrite {
     txn: Txn,
-    step: Step,
+    step: WriteStep,
     /// It, or one before it on the same conditions, has got no answer.
     in_doubt: bool,
     /// The service does not take it as it is.
@@ -81,8 +81,8 @@
         };
         if let Some(write) = &leader.lists {
             match write.step {
-                Step::Until(shown) if revision >= shown => leader.lists = None,
-                Step::Again(at) if now >= at => return self.repeat_lists(),
+                WriteStep::VisibleAt(shown) if revision >= shown => leader.lists = None,
+                WriteStep::Retry(at) if now >= at => return self.repeat_lists(),
                 _ => return,
             }
         }
@@ -133,7 +133,7 @@
             leader.lists_at = self.now;
             leader.lists = Some(MachineListWrite {
                 txn,
-                step: Step::Sent,
+                step: WriteStep::Sent,
                 in_doubt,
                 impossible: false,
             });
@@ -343,7 +343,7 @@
         if let Some(mut write) = leader.lists.take_if(|w| w.txn == *txn) {
             write.in_doubt |= outcome == Outcome::Unknown;
             write.impossible = outcome == Outcome::Impossible;
-            let step = Step::after(outcome, write.in_doubt, now);
+            let step = WriteStep::after(outcome, write.in_doubt, now);
             leader.lists = step.map(|step| MachineListWrite { step, ..write });
         }
     }
--- a/crates/core/src/machine_status.rs
+++ b/crates/core/src/machine_status.rs
@@ -146,16 +146,16 @@
 
     fn look(&self, name: &str, machine: &Machine) -> MachineStatus {
         let total = self.types.get(&machine.record.kind).map(|k| k.amounts());
-        let silent = machine.silent(self.now) >= self.silence_limit();
+        let silent = machine.silence(self.now) >= self.silence_limit();
         MachineStatus {
             term: machine.term,
             usable: self.usable(name, machine),
-            faulty: machine.faulty(),
-            silent_since: silent.then(|| machine.heard.unwrap_or(machine.lease.since())),
+            faulty: machine.is_faulty(),
+            silent_since: silent.then(|| machine.last_message_at.unwrap_or(machine.lease.since())),
             idle_since: machine.idle_since,
             free: minus(&total.unwrap_or_default(), &self.used(machine)),
             images: machine.images.iter().map(|(n, _)| n.clone()).collect(),
-            tasks: machine.bound.iter().cloned().collect(),
+            tasks: machine.bound_tasks.iter().cloned().collect(),
         }
     }
 
--- a/crates/core/src/due.rs
+++ b/crates/core/src/order_queue.rs
@@ -8,12 +8,12 @@
 
 /// Machines to be ordered something.
 #[derive(Debug, Default)]
-pub(crate) struct Due {
+pub(crate) struct OrderQueue {
     ready: BTreeSet<String>,
     later: BTreeSet<(Duration, String)>,
 }
 
-impl Due {
+impl OrderQueue {
     /// There is something for this machine.
     pub fn insert(&mut self, name: String) {
         self.ready.insert(name);
@@ -25,7 +25,7 @@
     }
 
     /// Takes the machines whose moment has come.
-    pub fn take(&mut self, now: Duration) -> BTreeSet<String> {
+    pub fn take_due(&mut self, now: Duration) -> BTreeSet<String> {
         while let Some((at, _)) = self.later.first()
             && *at <= now
             && let Some((_, name)) = self.later.pop_first()
@@ -43,16 +43,16 @@
     #[test]
     fn each_machine_comes_at_its_moment() {
         let ms = Duration::from_millis;
-        let mut due = Due::default();
+        let mut due = OrderQueue::default();
         due.insert("a".into());
         due.insert_at(ms(20), "b".into());
         due.insert_at(ms(10), "c".into());
         due.insert_at(ms(10), "a".into());
-        assert_eq!(due.take(ms(5)), BTreeSet::from(["a".to_owned()]));
-        assert!(due.take(ms(9)).is_empty());
+        assert_eq!(due.take_due(ms(5)), BTreeSet::from(["a".to_owned()]));
+        assert!(due.take_due(ms(9)).is_empty());
         let two = BTreeSet::from(["a".to_owned(), "c".to_owned()]);
-        assert_eq!(due.take(ms(10)), two);
-        assert_eq!(due.take(ms(30)), BTreeSet::from(["b".to_owned()]));
-        assert!(due.take(ms(90)).is_empty());
+        assert_eq!(due.take_due(ms(10)), two);
+        assert_eq!(due.take_due(ms(30)), BTreeSet::from(["b".to_owned()]));
+        assert!(due.take_due(ms(90)).is_empty());
     }
 }
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -9,13 +9,13 @@
 };
 
 use crate::{
-    attempt::{Attempt, NoStart, Nowhere},
+    assigned_tasks::Origin,
+    attempt::{AbsenceProof, Attempt, StartRefusal},
     call::{Method, Reply, Target},
     controller::{Controller, Pending},
     invariants::Violation,
     machine::Machine,
     records::Term,
-    slots::Origin,
 };
 
 /// When to give direct orders up.
@@ -36,9 +36,9 @@
         let Some(machine) = self.machines.get(name) else {
             return orders;
         };
-        for task in machine.bound.clone() {
-            let bound = self.slots.get(&task).and_then(|s| s.bound());
-            if bound.is_some_and(|b| !b.seen && b.stop.is_none()) {
+        for task in machine.bound_tasks.clone() {
+            let bound = self.assigned_tasks.get(&task).and_then(|s| s.bound());
+            if bound.is_some_and(|b| !b.listed && b.stop.is_none()) {
                 orders.extend(self.start_order(name, &task, seq));
             }
         }
@@ -52,8 +52,12 @@
         let Some(machine) = self.machines.get(name) else {
             return orders;
         };
-        for task in &machine.bound {
-            let Some(bound) = self.slots.get_mut(task).and_then(|s| s.bound_mut()) else {
+        for task in &machine.bound_tasks {
+            let Some(bound) = self
+                .assigned_tasks
+                .get_mut(task)
+                .and_then(|s| s.bound_mut())
+            else {
                 continue;
             };
             let attempt = bound.attempt;
@@ -63,7 +67,7 @@
             if !all && stop.sent {
                 continue;
             }
-            if !bound.seen {
+            if !bound.listed {
                 if !all || !machine.may_start_late(task, attempt) {
                     continue;
                 }
@@ -82,7 +86,7 @@
             });
         }
         for entry in &machine.tasks {
-            let bound = self.slots.get(&entry.task).and_then(|s| s.bound());
+            let bound = self.assigned_tasks.get(&entry.task).and_then(|s| s.bound());
             let here = bound.is_some_and(|b| b.machine == name && b.attempt == entry.attempt);
             if entry.state != TaskState::Exited && !here {
                 orders.push(Order::Stop {
@@ -102,7 +106,7 @@
             return Vec::new();
         };
         let may_forget = |entry: &&TaskReport| {
-            let slot = self.slots.get(&entry.task);
+            let slot = self.assigned_tasks.get(&entry.task);
             let attempt = Attempt {
                 machine,
                 name,
@@ -125,7 +129,7 @@
     fn start_order(&mut self, name: &str, task: &TaskId, carried_by: u64) -> Option<Order> {
         let tenure = self.may_act().then(|| self.store.tenure());
         let machine = self.machines.get(name)?;
-        let slot = self.slots.get(task)?;
+        let slot = self.assigned_tasks.get(task)?;
         let bound = slot.bound()?;
         let attempt = bound.attempt;
         let decided = Attempt {
@@ -136,14 +140,16 @@
         let decision = decided.may_start(bound, tenure);
         #[cfg(feature = "sabotage")]
         let decision = match decision {
-            Err(NoStart::NoTenure(_)) if self.sabotage == Some(crate::Sabotage::StaleEvidence) => {
+            Err(StartRefusal::NoTenure(_))
+                if self.sabotage == Some(crate::Sabotage::StaleEvidence) =>
+            {
                 Ok(())
             }
             decision => decision,
         };
         if let Err(why) = decision {
             log::debug!("{task}: attempt {attempt} is not started on {name}: {why:?}");
-            if let NoStart::NoTenure(evidence) = why {
+            if let StartRefusal::NoTenure(evidence) = why {
                 let task = task.clone();
                 self.invariants.report(&Violation::StartWithoutTenure {
                     task,
@@ -167,7 +173,10 @@
                 .evidence
                 .map_or("found there".to_owned(), |e| e.to_string()),
         );
-        self.slots.get_mut(task)?.bound_mut()?.sent = Some(carried_by);
+        self.assigned_tasks
+            .get_mut(task)?
+            .bound_mut()?
+            .start_sent_with = Some(carried_by);
         let task = task.clone();
         Some(Order::Start { task, attempt })
     }
@@ -178,32 +187,32 @@
             return;
         }
         let now = self.now;
-        for name in self.to_order.take(now) {
+        for name in self.order_queue.take_due(now) {
             let Some(machine) = self.machines.get(&name) else {
                 continue;
             };
-            if machine.ordering {
+            if machine.orders_in_flight {
                 // The reply to what is under way brings it here again.
                 continue;
             }
-            if now < machine.order_at {
-                self.to_order.insert_at(machine.order_at, name);
+            if now < machine.next_orders_at {
+                self.order_queue.insert_at(machine.next_orders_at, name);
                 continue;
             }
-            let doubtful = machine.unanswered > 0;
+            let doubtful = machine.unanswered_orders > 0;
             if !self.sockets.may_send_order(doubtful) {
-                self.to_order.insert_at(now + CROWDED, name);
+                self.order_queue.insert_at(now + CROWDED, name);
                 continue;
             }
-            let probe = !machine.settled();
+            let probe = !machine.is_cleared();
             let (token, session) = (machine.term, machine.session);
             let addr = machine.record.addr.clone();
             let mut orders = self.stops(&name, false);
             let mut starts = Vec::new();
-            let bound = self.machines.get(&name).map(|m| m.bound.clone());
+            let bound = self.machines.get(&name).map(|m| m.bound_tasks.clone());
             for task in bound.into_iter().flatten() {
-                let bound = self.slots.get(&task).and_then(|s| s.bound());
-                if bound.is_none_or(|b| b.sent.is_some() || b.stop.is_some()) {
+                let bound = self.assigned_tasks.get(&task).and_then(|s| s.bound());
+                if bound.is_none_or(|b| b.start_sent_with.is_some() || b.stop.is_some()) {
                     continue;
                 }
                 if let Some(Order::Start { task, attempt }) = self.start_order(&name, &task, 0) {
@@ -215,10 +224,10 @@
                 continue;
             }
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.ordering = true;
-                machine.in_flight = starts.clone();
+                machine.orders_in_flight = true;
+                machine.starts_in_flight = starts.clone();
                 if probe {
-                    machine.order_at = now + PAUSE;
+                    machine.next_orders_at = now + PAUSE;
                 }
             }
             let body = encode(&DirectOrders {
@@ -256,14 +265,17 @@
         if machine.term != term {
             return;
         }
-        machine.ordering = false;
-        machine.in_flight.clear();
-        self.to_order.insert(name.to_owned());
+        machine.orders_in_flight = false;
+        machine.starts_in_flight.clear();
+        self.order_queue.insert(name.to_owned());
         let answered = matches!(reply, Reply::Answer { .. });
         if !answered {
-            machine.unanswered = machine.unanswered.saturating_add(1);
+            machine.unanswered_orders = machine.unanswered_orders.saturating_add(1);
         }
-        let doubled = machine.unanswered.saturating_sub(1).min(MOST_DOUBLED);
+        let doubled = machine
+            .unanswered_orders
+            .saturating_sub(1)
+            .min(MOST_DOUBLED);
         let pause = self.now + PAUSE * 2u32.pow(doubled);
         match reply {
             Reply::Answer { status, body } if matches!(status, 200 | 409) => {
@@ -280,25 +292,25 @@
                     return;
                 }
                 let was = machine.session;
-                self.take_report(report, Origin::Orders);
+                self.apply_report(report, Origin::Orders);
                 if !executed {
                     self.unsent(name, starts);
                     let same = |m: &Machine| m.session == was;
                     if self.machines.get(name).is_some_and(same)
                         && let Some(machine) = self.machines.get_mut(name)
                     {
-                        machine.order_at = pause;
+                        machine.next_orders_at = pause;
                     } else if let Some(machine) = self.machines.get_mut(name) {
-                        machine.order_at = Duration::ZERO;
+                        machine.next_orders_at = Duration::ZERO;
                     }
                 }
             }
             Reply::Answer { status: 400, .. } | Reply::NotSent => {
-                machine.order_at = pause;
+                machine.next_orders_at = pause;
                 self.unsent(name, starts);
             }
             Reply::Answer { .. } | Reply::Lost => {
-                machine.order_at = pause;
+                machine.next_orders_at = pause;
                 self.taint(name, starts);
             }
         }
@@ -311,28 +323,28 @@
             return self.unsent(name, starts);
         }
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.tainted.extend(starts.iter().cloned());
+            machine.unanswered_starts.extend(starts.iter().cloned());
         }
     }
 
     /// The starts have surely not been executed and go out once more.
     fn unsent(&mut self, name: &str, starts: &[(TaskId, u64)]) {
         for (task, attempt) in starts {
-            let Some(slot) = self.slots.get_mut(task) else {
+            let Some(slot) = self.assigned_tasks.get_mut(task) else {
                 continue;
             };
             let Some(bound) = slot.bound_mut() else {
                 continue;
             };
             let same = bound.machine == name && bound.attempt == *attempt;
-            if !same || bound.seen || bound.sent != Some(0) {
+            if !same || bound.listed || bound.start_sent_with != Some(0) {
                 continue;
             }
-            bound.sent = None;
+            bound.start_sent_with = None;
             if bound.stop.is_some() {
-                self.free(task, Nowhere::NotStarted, Duration::ZERO);
+                self.release_task(task, AbsenceProof::NotStarted, Duration::ZERO);
             }
         }
-        self.to_order.insert(name.to_owned());
+        self.order_queue.insert(name.to_owned());
     }
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -9,11 +9,11 @@
 use oliveshift_wire::{TaskId, peer::PeerMessage};
 
 use crate::{
-    attempt::Nowhere,
+    assigned_tasks::Stop,
+    attempt::AbsenceProof,
     call::{ConnId, Method, Reply, Target},
     controller::{Controller, Pending},
     machine_status::MachineStatus,
-    slots::Stop,
 };
 
 /// How often everybody hears from us.
@@ -208,7 +208,7 @@
 
     /// Stops a task to make room, with time to save.
     pub(crate) fn preempt(&mut self, task: &TaskId) {
-        let Some(slot) = self.slots.get_mut(task) else {
+        let Some(slot) = self.assigned_tasks.get_mut(task) else {
             return;
         };
         let grace = if slot.spec.saves() {
@@ -219,16 +219,16 @@
         let Some(bound) = slot.bound_mut() else {
             return;
         };
-        if bound.sent.is_none() {
+        if bound.start_sent_with.is_none() {
             // Its start has not gone out, so there is nothing to stop: a stop
             // would wait for ever for the task to appear.
-            return self.give_back(task, Nowhere::NotStarted);
+            return self.return_to_leader(task, AbsenceProof::NotStarted);
         }
         if bound.stop.is_none() {
             log::info!("{task}: has to make room on {}", bound.machine);
             bound.stop = Some(Stop { grace, sent: false });
             let machine = bound.machine.clone();
-            self.to_order.insert(machine);
+            self.order_queue.insert(machine);
         }
     }
 
@@ -325,7 +325,7 @@
         let message = PeerMessage {
             base,
             machines: changed.map(|(n, (_, seen))| seen.tell(now, n)).collect(),
-            over: self.over.iter().cloned().collect(),
+            over: self.unrecorded.iter().cloned().collect(),
             preempt,
             ..self.bare_message(version)
         };
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -13,11 +13,11 @@
 };
 
 use crate::{
+    assigned_tasks::{AssignedTask, AssignmentState, Bound},
     controller::Controller,
     machine::Machine,
     records::Term,
     request_queue::REPORT_TIMEOUT,
-    slots::{Bound, Slot, State},
 };
 
 /// After a report without an answer a worker goes to the next controller within this
@@ -39,9 +39,9 @@
         let mut ready: Vec<_> = self
             .unplaced
             .iter()
-            .filter_map(|task| match self.slots.get(task)?.state {
-                State::Free { not_before, .. } if not_before <= now => {
-                    let spec = &self.slots.get(task)?.spec;
+            .filter_map(|task| match self.assigned_tasks.get(task)?.state {
+                AssignmentState::Free { not_before, .. } if not_before <= now => {
+                    let spec = &self.assigned_tasks.get(task)?.spec;
                     Some((self.view.priority(&task.job, spec), task.clone()))
                 }
                 _ => None,
@@ -54,12 +54,12 @@
     }
 
     fn place_one(&mut self, task: &TaskId) {
-        let Some(slot) = self.slots.get(task) else {
+        let Some(slot) = self.assigned_tasks.get(task) else {
             return;
         };
         let (block, job) = (slot.block, &task.job);
         // One that failed somewhere is not like the others of its job.
-        let alike = slot.avoid.is_empty();
+        let alike = slot.failed_on.is_empty();
         if alike && self.futile.is_known(self.now, block, job) {
             return;
         }
@@ -68,15 +68,15 @@
                 self.futile.note(self.now, block, job);
             }
             let patience = self.tuning.place_patience;
-            if let State::Free { since, .. } = slot.state
+            if let AssignmentState::Free { since, .. } = slot.state
                 && self.now > since + patience
             {
                 log::debug!("{task}: no room left in block {}, given back", slot.block);
-                self.set_state(task, State::Leaving);
+                self.set_task_state(task, AssignmentState::Returning);
             }
             return;
         };
-        let State::Free { evidence, .. } = slot.state else {
+        let AssignmentState::Free { evidence, .. } = slot.state else {
             return;
         };
         let attempt = self.next_attempt(task, term);
@@ -86,20 +86,20 @@
             attempt,
             evidence: Some(evidence),
             session,
-            sent: None,
-            seen: false,
+            start_sent_with: None,
+            listed: false,
             running: false,
             stop: None,
         };
-        self.set_state(task, State::Bound(bound));
-        self.to_order.insert(name);
+        self.set_task_state(task, AssignmentState::Bound(bound));
+        self.order_queue.insert(name);
     }
 
     /// A number that no other attempt of the task on any machine has. Members
     /// of a gang gather under one number: that of the write which handed them
     /// out together.
     fn next_attempt(&mut self, task: &TaskId, term: Term) -> u64 {
-        let gang = self.slots.get(task).map(|s| s.spec.shape) == Some(Shape::Gang);
+        let gang = self.assigned_tasks.get(task).map(|s| s.spec.shape) == Some(Shape::Gang);
         let job = self.view.jobs.get(&task.job);
         if let Some(job) = job.filter(|_| gang) {
             let part = job.chunk_of(task.index);
@@ -109,7 +109,7 @@
         term * ATTEMPTS_PER_TERM + self.attempts
     }
 
-    fn choose(&self, slot: &Slot) -> Option<(String, u64, u64)> {
+    fn choose(&self, slot: &AssignedTask) -> Option<(String, u64, u64)> {
         let names = self.view.machines_by_block.get(&slot.block)?;
         let spec = &slot.spec;
         let candidates: Vec<_> = names
@@ -120,7 +120,7 @@
                     && spec.allows_type(&machine.record.kind)
                     && spec.allows_zone(&machine.record.zone)
                     && (spec.spot || !machine.record.spot)
-                    && !slot.avoid.contains(name);
+                    && !slot.failed_on.contains(name);
                 let candidate = allowed.then(|| self.candidate(machine, spec))??;
                 Some((name, candidate))
             })
@@ -134,14 +134,14 @@
 
     /// Whether tasks can be put on a machine now.
     pub(crate) fn usable(&self, name: &str, machine: &Machine) -> bool {
-        machine.proven
-            && !machine.lease.is_over()
-            && machine.taken_at.is_none()
-            && !machine.faulty()
+        machine.term_acknowledged
+            && !machine.lease.is_expired()
+            && machine.reclaimed_at.is_none()
+            && !machine.is_faulty()
             && !self.draining.contains(name)
             && !self.reachability.is_unheard(machine.block)
             && !self.reports_to_others(name, machine)
-            && machine.silent(self.now) < self.silence_limit()
+            && machine.silence(self.now) < self.silence_limit()
             && machine
                 .refused_at
                 .is_none_or(|at| self.now > at + Duration::from_secs(2))
@@ -153,7 +153,7 @@
         let strayed = self.reachability.last_stray_at(self.now, name);
         strayed.is_some_and(|at| {
             machine
-                .answered
+                .last_answer_at
                 .is_none_or(|answered| at > answered + FORWARDING_LAG)
         })
     }
@@ -175,13 +175,13 @@
     /// What a machine's tasks take, those included that have no business here.
     pub(crate) fn used(&self, machine: &Machine) -> Amounts {
         let mut used = Amounts::default();
-        for task in &machine.bound {
-            if let Some(slot) = self.slots.get(task) {
+        for task in &machine.bound_tasks {
+            if let Some(slot) = self.assigned_tasks.get(task) {
                 used = plus(&used, &slot.spec.amounts());
             }
         }
         for entry in &machine.tasks {
-            if entry.state == TaskState::Exited || machine.bound.contains(&entry.task) {
+            if entry.state == TaskState::Exited || machine.bound_tasks.contains(&entry.task) {
                 continue;
             }
             if let Some(spec) = self.view.spec(&entry.task.job) {
@@ -194,7 +194,7 @@
     fn candidate(&self, machine: &Machine, spec: &JobSpec) -> Option<Candidate> {
         let total = self.types.get(&machine.record.kind)?.amounts();
         let cached = machine.has_image(&spec.image);
-        let bound = machine.bound.iter();
+        let bound = machine.bound_tasks.iter();
         let bound = bound.filter_map(|task| self.view.spec(&task.job));
         Some(Candidate {
             free: minus(&total, &self.used(machine)),
--- a/crates/core/src/recorder.rs
+++ b/crates/core/src/recorder.rs
@@ -8,9 +8,9 @@
 };
 
 use crate::{
+    assigned_tasks::AssignmentState,
     controller::Controller,
     records::{ChunkRecord, FormatLevel, JobRecord, Key, Phase, TaskStatus},
-    slots::State,
     store::{Outcome, Purpose, Urgency},
     view::Job,
 };
@@ -28,19 +28,19 @@
 
 /// News of a chunk: since when, and when to see whether to write it.
 #[derive(Debug)]
-pub(crate) struct News {
+pub(crate) struct DirtyChunk {
     since: Duration,
-    look_at: Duration,
+    check_at: Duration,
 }
 
 /// A write of a chunk under way. Until its outcome shows in the view, the
 /// chunk gets no other write from us.
 #[derive(Debug)]
-pub(crate) struct Busy {
+pub(crate) struct ChunkWrite {
     /// The chunk's version that the write depends on.
     base: u64,
     txn: Txn,
-    step: Step,
+    step: WriteStep,
     /// It, or one before it on the same conditions, has got no answer: it may
     /// have been executed or may be yet, whatever a repeat is told.
     in_doubt: bool,
@@ -52,32 +52,34 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Step {
+pub(crate) enum WriteStep {
     /// No answer yet.
     Sent,
     /// Answered; the view will show it at this revision.
-    Until(u64),
+    VisibleAt(u64),
     /// No answer came: it is sent again, which settles it either way.
-    Again(Duration),
+    Retry(Duration),
 }
 
-impl Step {
+impl WriteStep {
     /// What follows from a write's outcome; none if nothing of it can take
     /// effect any more. `in_doubt`: an earlier request for it got no answer,
     /// so that a refusal of this one proves nothing.
     pub fn after(outcome: Outcome, in_doubt: bool, now: Duration) -> Option<Self> {
         match outcome {
-            Outcome::Done(revision) | Outcome::Conflict(revision) => Some(Self::Until(revision)),
-            Outcome::Unknown => Some(Self::Again(now + RETRY)),
+            Outcome::Done(revision) | Outcome::Conflict(revision) => {
+                Some(Self::VisibleAt(revision))
+            }
+            Outcome::Unknown => Some(Self::Retry(now + RETRY)),
             Outcome::Refused | Outcome::Impossible | Outcome::NoLease => {
-                in_doubt.then_some(Self::Again(now + RETRY))
+                in_doubt.then_some(Self::Retry(now + RETRY))
             }
         }
     }
 }
 
 /// What a chunk's news asks for.
-enum Wanted {
+enum NextWrite {
     /// Nothing.
     Nothing,
     /// A write for which there is no room in the record yet.
@@ -88,34 +90,34 @@
 
 impl Controller {
     /// Writes what is due of the chunks with news.
-    pub(crate) fn record(&mut self) {
-        if self.dirty.is_empty() {
+    pub(crate) fn record_dirty_chunks(&mut self) {
+        if self.dirty_chunks.is_empty() {
             return;
         }
         let now = self.now;
         let teams = &self.settings.params.teams;
         self.team_use.refresh(now, &self.view, teams);
         let due: Vec<_> = self
-            .dirty
+            .dirty_chunks
             .iter()
-            .filter(|(chunk, news)| now >= news.look_at && !self.busy.contains_key(*chunk))
+            .filter(|(chunk, news)| now >= news.check_at && !self.chunk_writes.contains_key(*chunk))
             .map(|(chunk, news)| (chunk.clone(), news.since))
             .collect();
         let mut todo = Vec::new();
         for ((id, part), since) in due {
-            if self.is_pressing(&id, part) {
+            if self.is_urgent(&id, part) {
                 todo.push((0, since, id, part));
             } else if now >= since + PATIENCE {
                 todo.push((1, since, id, part));
-            } else if self.holds_up_its_team(&id) {
+            } else if self.blocks_its_team(&id) {
                 match now >= since + GATHER_NEAR_LIMIT {
                     true => todo.push((2, since, id, part)),
-                    false => self.look_again(id, part, since + GATHER_NEAR_LIMIT),
+                    false => self.recheck_chunk_at(id, part, since + GATHER_NEAR_LIMIT),
                 }
             } else if now >= since + GATHER_MORE || self.has_spare_writes() {
                 todo.push((3, since, id, part));
             } else {
-                self.look_again(id, part, since + GATHER_MORE);
+                self.recheck_chunk_at(id, part, since + GATHER_MORE);
             }
         }
         // What presses goes first, as there may not be enough for all.
@@ -126,16 +128,16 @@
                 2 => Urgency::Quota,
                 _ => Urgency::Background,
             };
-            match self.chunk_news(&id, part) {
-                Wanted::Nothing => {
-                    self.dirty.remove(&(id, part));
+            match self.next_chunk_write(&id, part) {
+                NextWrite::Nothing => {
+                    self.dirty_chunks.remove(&(id, part));
                 }
-                Wanted::Later => self.look_again(id, part, now + PATIENCE),
-                Wanted::Write(txn) => {
+                NextWrite::Later => self.recheck_chunk_at(id, part, now + PATIENCE),
+                NextWrite::Write(txn) => {
                     if self.write_chunk(&id, part, txn, Vec::new(), urgency) {
-                        self.dirty.remove(&(id, part));
+                        self.dirty_chunks.remove(&(id, part));
                     } else {
-                        self.look_again(id, part, now + GATHER);
+                        self.recheck_chunk_at(id, part, now + GATHER);
                     }
                 }
             }
@@ -144,57 +146,62 @@
 
     /// Whether a job's team is near its limit, so that what has ended of it keeps
     /// other work of the team from starting.
-    fn holds_up_its_team(&self, id: &JobId) -> bool {
+    fn blocks_its_team(&self, id: &JobId) -> bool {
         let spec = self.view.spec(id);
         spec.is_some_and(|spec| self.team_use.is_near_limit(&spec.team))
     }
 
-    fn look_again(&mut self, id: JobId, part: u32, at: Duration) {
-        if let Some(news) = self.dirty.get_mut(&(id, part)) {
-            news.look_at = at;
+    fn recheck_chunk_at(&mut self, id: JobId, part: u32, at: Duration) {
+        if let Some(news) = self.dirty_chunks.get_mut(&(id, part)) {
+            news.check_at = at;
         }
     }
 
     /// There is news of a chunk to record.
-    pub(crate) fn note_news(&mut self, id: &JobId, part: u32) {
+    pub(crate) fn mark_chunk_dirty(&mut self, id: &JobId, part: u32) {
         let now = self.now;
-        let news = self.dirty.entry((id.clone(), part)).or_insert(News {
-            since: now,
-            look_at: now + GATHER,
-        });
-        news.look_at = news.look_at.min(now + GATHER);
+        let news = self
+            .dirty_chunks
+            .entry((id.clone(), part))
+            .or_insert(DirtyChunk {
+                since: now,
+                check_at: now + GATHER,
+            });
+        news.check_at = news.check_at.min(now + GATHER);
     }
 
     /// Whether a chunk's news should not wait for more: something of it is
     /// given back, or nothing more will come from us soon. What is done
     /// besides can wait, since users hear of whole jobs only, the room is known
     /// to be free, and every write of a chunk holds up all others.
-    fn is_pressing(&self, id: &JobId, part: u32) -> bool {
+    fn is_urgent(&self, id: &JobId, part: u32) -> bool {
         let Some(job) = self.view.jobs.get(id) else {
             return true;
         };
         let (first, count) = job.chunk_span(part);
         let slots = self
-            .slots
+            .assigned_tasks
             .range(id.task(first)..id.task(first.saturating_add(count as u32)));
         let mut more = false;
         for (_, slot) in slots {
             match slot.state {
-                State::Leaving => return true,
-                State::Done => {}
-                State::Bound(_) | State::Free { .. } | State::Lost => more = true,
+                AssignmentState::Returning => return true,
+                AssignmentState::Done => {}
+                AssignmentState::Bound(_)
+                | AssignmentState::Free { .. }
+                | AssignmentState::Unlocated => more = true,
             }
         }
         !more
     }
 
     /// The write that a chunk's news asks for.
-    fn chunk_news(&self, id: &JobId, part: u32) -> Wanted {
+    fn next_chunk_write(&self, id: &JobId, part: u32) -> NextWrite {
         let Some(job) = self.view.jobs.get(id) else {
-            return Wanted::Nothing;
+            return NextWrite::Nothing;
         };
         let Some(chunk) = job.chunks.get(&part) else {
-            return Wanted::Nothing;
+            return NextWrite::Nothing;
         };
         let limits = self.limits();
         let (first, _) = job.chunk_span(part);
@@ -209,20 +216,21 @@
                 continue;
             };
             let task = id.task(first + i as u32);
-            let Some(slot) = self.slots.get(&task) else {
+            let Some(slot) = self.assigned_tasks.get(&task) else {
                 continue;
             };
             let known = blocks.contains(&block);
-            if (slot.block, slot.handed) != (block, term) || (!known && blocks.len() >= most_blocks)
+            if (slot.block, slot.handed_term) != (block, term)
+                || (!known && blocks.len() >= most_blocks)
             {
                 continue;
             }
             match slot.state {
-                State::Done => {
+                AssignmentState::Done => {
                     *place = TaskStatus::Done;
                     done += 1;
                 }
-                State::Leaving => *place = TaskStatus::Waiting,
+                AssignmentState::Returning => *place = TaskStatus::Waiting,
                 _ => continue,
             }
             if !known {
@@ -230,18 +238,18 @@
             }
         }
         if blocks.is_empty() {
-            return Wanted::Nothing;
+            return NextWrite::Nothing;
         }
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::NoTerms) {
+        if self.sabotage == Some(crate::Sabotage::NoTermCheck) {
             blocks.truncate(0);
         }
         let mut conds = Vec::new();
         for block in blocks {
             // Only the holder may say that a task is nowhere: once the block
             // is leased anew, the next holder may have started it again.
-            let Some(held) = self.held.get(&block) else {
-                return Wanted::Nothing;
+            let Some(held) = self.held_blocks.get(&block) else {
+                return NextWrite::Nothing;
             };
             conds.push(Cond {
                 key: Key::Block(block).path(),
@@ -266,14 +274,14 @@
             changes.extend(parts.map(|p| Change::Delete {
                 key: Key::Chunk(id.clone(), p).path(),
             }));
-            return Wanted::Write(Txn { conds, changes });
+            return NextWrite::Write(Txn { conds, changes });
         }
         match self.put_chunk(key, first, places) {
-            Some(put) => Wanted::Write(Txn {
+            Some(put) => NextWrite::Write(Txn {
                 conds,
                 changes: vec![put],
             }),
-            None => Wanted::Later,
+            None => NextWrite::Later,
         }
     }
 
@@ -285,7 +293,7 @@
         };
         if self.level() >= FormatLevel::PIPELINES {
             record.service = job.service;
-            let now = self.day.as_millis() as u64;
+            let now = self.wall_clock.as_millis() as u64;
             record.done_ms = (phase == Phase::Done).then_some(now);
         }
         Change::Put {
@@ -346,15 +354,15 @@
         if !self.send_txn(txn.clone(), Purpose::Chunk(id.clone(), part), urgency) {
             return false;
         }
-        let busy = Busy {
+        let busy = ChunkWrite {
             base,
             txn,
-            step: Step::Sent,
+            step: WriteStep::Sent,
             in_doubt: false,
             impossible: false,
             handed,
         };
-        self.busy.insert((id.clone(), part), busy);
+        self.chunk_writes.insert((id.clone(), part), busy);
         true
     }
 
@@ -363,8 +371,8 @@
         let key = (id, part);
         // Records that the write left out, or that it lost, are tried again.
         let (id, part) = &key;
-        self.note_news(id, *part);
-        let Some(busy) = self.busy.get_mut(&key) else {
+        self.mark_chunk_dirty(id, *part);
+        let Some(busy) = self.chunk_writes.get_mut(&key) else {
             return;
         };
         if busy.txn != txn {
@@ -373,41 +381,41 @@
         busy.in_doubt |= outcome == Outcome::Unknown;
         busy.impossible = outcome == Outcome::Impossible;
         let wait = if busy.impossible { PATIENCE } else { RETRY };
-        match Step::after(outcome, busy.in_doubt, now) {
+        match WriteStep::after(outcome, busy.in_doubt, now) {
             Some(step) => busy.step = step,
             None => {
-                self.busy.remove(&key);
+                self.chunk_writes.remove(&key);
                 let (id, part) = key;
-                self.look_again(id, part, now + wait);
+                self.recheck_chunk_at(id, part, now + wait);
             }
         }
-        self.busy_progress();
+        self.advance_chunk_writes();
     }
 
     /// Ends the wait for writes whose outcome the view shows, and repeats
     /// those that got no answer.
-    pub(crate) fn busy_progress(&mut self) {
-        if self.busy.is_empty() {
+    pub(crate) fn advance_chunk_writes(&mut self) {
+        if self.chunk_writes.is_empty() {
             return;
         }
         let view = &self.view;
-        let before = self.busy.len();
-        self.busy.retain(|(id, part), busy| {
-            let shown = matches!(busy.step, Step::Until(r) if view.revision >= r);
+        let before = self.chunk_writes.len();
+        self.chunk_writes.retain(|(id, part), busy| {
+            let shown = matches!(busy.step, WriteStep::VisibleAt(r) if view.revision >= r);
             let moved = view.chunk_version(id, *part) != busy.base
                 || view.jobs.get(id).is_none_or(Job::settled);
             !shown && !moved
         });
-        if self.busy.len() != before
+        if self.chunk_writes.len() != before
             && let Some(leader) = &mut self.leader
         {
             leader.plan_due = true;
         }
         let now = self.now;
         let again: Vec<_> = self
-            .busy
+            .chunk_writes
             .iter()
-            .filter(|(_, b)| matches!(b.step, Step::Again(at) if now >= at))
+            .filter(|(_, b)| matches!(b.step, WriteStep::Retry(at) if now >= at))
             .map(|(key, b)| {
                 (
                     key.clone(),
@@ -422,23 +430,23 @@
                 // chunk written as it was keeps it from ever taking effect,
                 // or finds that it has.
                 log::info!("{id}: a write in doubt is too large by now and is settled");
-                match self.rewritten(&id, part) {
+                match self.no_op_write(&id, part) {
                     Some(small) => txn = small,
                     None => continue,
                 }
             }
             let purpose = Purpose::Chunk(id.clone(), part);
             if self.send_txn(txn.clone(), purpose, Urgency::Safety)
-                && let Some(busy) = self.busy.get_mut(&(id, part))
+                && let Some(busy) = self.chunk_writes.get_mut(&(id, part))
             {
-                busy.step = Step::Sent;
+                busy.step = WriteStep::Sent;
                 busy.txn = txn;
             }
         }
     }
 
     /// A write that changes nothing of a chunk but its version.
-    fn rewritten(&self, id: &JobId, part: u32) -> Option<Txn> {
+    fn no_op_write(&self, id: &JobId, part: u32) -> Option<Txn> {
         let job = self.view.jobs.get(id)?;
         let (first, count) = job.chunk_span(part);
         let places = match job.chunks.get(&part) {
--- a/crates/core/src/recorder/tests.rs
+++ b/crates/core/src/recorder/tests.rs
@@ -21,14 +21,14 @@
 fn a_refused_repeat_proves_nothing() {
     let now = Duration::from_secs(9);
     for refused in [Outcome::Refused, Outcome::Impossible] {
-        assert_eq!(Step::after(refused, false, now), None);
-        let again = Some(Step::Again(now + RETRY));
-        assert_eq!(Step::after(refused, true, now), again);
+        assert_eq!(WriteStep::after(refused, false, now), None);
+        let again = Some(WriteStep::Retry(now + RETRY));
+        assert_eq!(WriteStep::after(refused, true, now), again);
     }
     for in_doubt in [false, true] {
-        let shown = Some(Step::Until(7));
-        assert_eq!(Step::after(Outcome::Done(7), in_doubt, now), shown);
-        assert_eq!(Step::after(Outcome::Conflict(7), in_doubt, now), shown);
+        let shown = Some(WriteStep::VisibleAt(7));
+        assert_eq!(WriteStep::after(Outcome::Done(7), in_doubt, now), shown);
+        assert_eq!(WriteStep::after(Outcome::Conflict(7), in_doubt, now), shown);
     }
 }
 
@@ -116,21 +116,21 @@
     };
     assert!(!controller.txn_fits(&txn));
     let key = (id.clone(), 0);
-    let busy = Busy {
+    let busy = ChunkWrite {
         base: 3,
         txn,
-        step: Step::Again(Duration::ZERO),
+        step: WriteStep::Retry(Duration::ZERO),
         in_doubt: true,
         impossible: true,
         handed: vec![(7, 1)],
     };
-    controller.busy.insert(key.clone(), busy);
+    controller.chunk_writes.insert(key.clone(), busy);
     let now = |s| Now {
-        steady: Duration::from_secs(s),
-        day: Duration::from_secs(1_800_000_000 + s),
+        monotonic: Duration::from_secs(s),
+        wall_clock: Duration::from_secs(1_800_000_000 + s),
     };
-    controller.now = now(1).steady;
-    controller.busy_progress();
+    controller.now = now(1).monotonic;
+    controller.advance_chunk_writes();
     let outputs = controller.handle(now(2), Input::Tick);
     let [(call, txn)] = &sent(&outputs)[..] else {
         panic!("one write");
@@ -141,7 +141,7 @@
             .iter()
             .any(|c| c.key == chunk.path() && c.version == 3)
     );
-    assert!(controller.busy.contains_key(&key));
+    assert!(controller.chunk_writes.contains_key(&key));
     // It is executed: the other one never will be.
     let body = encode(&TxnAnswer {
         revision: 5,
@@ -153,8 +153,8 @@
         panic!("one change");
     };
     controller.view.apply(put(&chunk, value.clone(), 5));
-    controller.busy_progress();
-    assert!(controller.busy.is_empty());
+    controller.advance_chunk_writes();
+    assert!(controller.chunk_writes.is_empty());
     let whole = |place: TaskStatus| match place {
         TaskStatus::Assigned { block, .. } => block,
         _ => panic!("handed as before"),
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -427,7 +427,7 @@
         self.store.ready = true;
         self.store.watch_at = self.now;
         self.resync();
-        self.busy_progress();
+        self.advance_chunk_writes();
         self.cancels_progress();
         self.store_tick();
     }
@@ -439,7 +439,7 @@
             .view
             .blocks
             .keys()
-            .chain(self.held.keys())
+            .chain(self.held_blocks.keys())
             .copied()
             .collect();
         for block in blocks {
@@ -459,7 +459,7 @@
         for job in jobs {
             self.job_changed(&job);
         }
-        self.resync_slots();
+        self.resync_assigned_tasks();
     }
 
     fn back_off(&mut self) {
@@ -518,7 +518,7 @@
         }
         self.store.failures = 0;
         self.store.contact = self.store.contact.max(Some(sent));
-        self.busy_progress();
+        self.advance_chunk_writes();
         self.cancels_progress();
         Taken::Changes
     }
@@ -559,7 +559,7 @@
                 keys.extend(self.view.apply(event));
             }
             for key in keys {
-                self.changed(&key);
+                self.record_changed(&key);
             }
         }
     }
--- a/crates/core/src/store/tests.rs
+++ b/crates/core/src/store/tests.rs
@@ -26,8 +26,8 @@
 
 fn now(ms: u64) -> Now {
     Now {
-        steady: Duration::from_millis(ms),
-        day: Duration::from_millis(1_800_000_000_000 + ms),
+        monotonic: Duration::from_millis(ms),
+        wall_clock: Duration::from_millis(1_800_000_000_000 + ms),
     }
 }
 
@@ -58,7 +58,7 @@
 fn whoever_stood_still_acts_only_after_new_contact() {
     let mut controller = controller();
     controller.store.ready = true;
-    controller.store.contact = Some(now(1000).steady);
+    controller.store.contact = Some(now(1000).monotonic);
     for ms in [1000, 2000, 3000] {
         controller.handle(now(ms), Input::Tick);
         assert!(controller.may_act(), "{ms}");
@@ -92,7 +92,7 @@
     let mut controller = controller();
     breaks(&mut controller);
     controller.store.ready = true;
-    controller.store.contact = Some(now(1000).steady);
+    controller.store.contact = Some(now(1000).monotonic);
     controller.view.revision = 4;
     let outputs = controller.handle(now(1010), Input::Tick);
     let watch = call(&outputs, "/changes", true);
@@ -145,7 +145,7 @@
         ),
         (13, 9)
     );
-    assert_eq!(controller.store.contact, Some(now(1150).steady));
+    assert_eq!(controller.store.contact, Some(now(1150).monotonic));
     #[cfg(feature = "sabotage")]
     {
         let (controller, _) = replaced(|c| c.sabotage = Some(crate::Sabotage::PartialView));
@@ -182,7 +182,7 @@
 fn an_overtaken_answer_brings_nothing_back() {
     let mut controller = controller();
     controller.store.ready = true;
-    controller.store.contact = Some(now(1000).steady);
+    controller.store.contact = Some(now(1000).monotonic);
     controller.view.revision = 4;
     let outputs = controller.handle(now(1010), Input::Tick);
     let watch = call(&outputs, "/changes", true);
@@ -212,13 +212,13 @@
 fn a_revision_that_goes_back_is_a_violation_and_no_contact() {
     let mut controller = controller();
     controller.store.ready = true;
-    controller.store.contact = Some(now(1000).steady);
+    controller.store.contact = Some(now(1000).monotonic);
     controller.view.revision = 4;
     let outputs = controller.handle(now(1010), Input::Tick);
     let watch = call(&outputs, "/changes", true);
     controller.handle(now(1020), Input::Reply(watch, events(3)));
     assert_eq!(controller.violations(), 1);
-    assert_eq!(controller.store.contact, Some(now(1000).steady));
+    assert_eq!(controller.store.contact, Some(now(1000).monotonic));
 }
 
 /// A controller that lost the state service and all peers at once, and no users, heard
@@ -230,8 +230,8 @@
     let healthy_after = |ms: u64, reply: Option<Reply>, hears: bool| {
         let mut controller = with_peers(peer);
         controller.store.ready = true;
-        controller.store.contact = Some(now(1000).steady);
-        controller.store.answered = now(1000).steady;
+        controller.store.contact = Some(now(1000).monotonic);
+        controller.store.answered = now(1000).monotonic;
         let mut at = 1000;
         while at < 1000 + ms {
             at += 100;
--- a/crates/core/src/unplaced.rs
+++ b/crates/core/src/unplaced.rs
@@ -36,7 +36,7 @@
 
 impl Controller {
     /// What the leader has handed out and not seen placed.
-    pub(crate) fn unplaced(&self) -> UnplacedTasks {
+    pub(crate) fn unplaced_tasks(&self) -> UnplacedTasks {
         let mut unplaced = UnplacedTasks::default();
         let Some(leader) = &self.leader else {
             return unplaced;
--- a/crates/core/src/upgrade.rs
+++ b/crates/core/src/upgrade.rs
@@ -60,7 +60,7 @@
     /// The form in which we write.
     pub fn level(&self) -> FormatLevel {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::SwitchEarly) {
+        if self.sabotage == Some(crate::Sabotage::EarlyFormatSwitch) {
             return self.program;
         }
         self.view.level().min(self.program)
@@ -70,7 +70,7 @@
     /// may hold at any moment.
     pub(crate) fn limits(&self) -> &StateLimits {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::NoLowering) {
+        if self.sabotage == Some(crate::Sabotage::NoLoweredLimits) {
             return &self.settings.params.state;
         }
         if self.level() >= FormatLevel::PIPELINES {
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -66,7 +66,7 @@
     /// Counts what teams use. Returns the tasks that count and are on no machine.
     fn count_tasks(&mut self, plan: &mut Plan) -> Vec<Unplaced> {
         let over = self.peers.values().flat_map(|p| &p.over);
-        let over: HashSet<&TaskId> = over.chain(&self.over).collect();
+        let over: HashSet<&TaskId> = over.chain(&self.unrecorded).collect();
         let mut unplaced = Vec::new();
         let mut usage: BTreeMap<&str, TeamUsage> = BTreeMap::new();
         for id in &self.view.active {
@@ -146,16 +146,16 @@
 
     /// Tasks whose hand-out may have taken effect without the view showing it.
     pub(crate) fn in_doubt(&self, id: &JobId, job: &Job) -> Vec<(u32, u32)> {
-        if self.busy.is_empty() {
+        if self.chunk_writes.is_empty() {
             return Vec::new();
         }
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::NoDoubt) {
+        if self.sabotage == Some(crate::Sabotage::LostAnswerAsFailure) {
             return Vec::new();
         }
         let mut tasks = Vec::new();
         let parts = (id.clone(), 0)..=(id.clone(), u32::MAX);
-        for (_, busy) in self.busy.range(parts) {
+        for (_, busy) in self.chunk_writes.range(parts) {
             let new = |(index, _): &&(u32, u32)| job.task_status(*index) == TaskStatus::Waiting;
             tasks.extend(busy.handed.iter().filter(new).copied());
         }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -549,8 +549,8 @@
         };
         #[cfg(feature = "sabotage")]
         match (self.sabotage, standing) {
-            (Some(crate::Sabotage::NoAwaiting), Standing::Waits)
-            | (Some(crate::Sabotage::NoChain), Standing::Cancelled) => return,
+            (Some(crate::Sabotage::NoDependencies), Standing::Waits)
+            | (Some(crate::Sabotage::NoCancelCascade), Standing::Cancelled) => return,
             _ => {}
         }
         job.waits_for_dependencies = standing == Standing::Waits;
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -127,7 +127,7 @@
 fn controller(settings: Settings) -> Controller {
     let mut controller = Controller::new(settings, seed());
     if let Ok(name) = std::env::var("OLIVESHIFT_SABOTAGE") {
-        controller.sabotage = oliveshift_core::Sabotage::named(&name);
+        controller.sabotage = oliveshift_core::Sabotage::from_name(&name);
         log::error!("broken on purpose: {:?}", controller.sabotage);
     }
     controller
@@ -142,8 +142,8 @@
 impl Runtime {
     fn now(&self) -> Now {
         Now {
-            steady: self.started.elapsed(),
-            day: SystemTime::now()
+            monotonic: self.started.elapsed(),
+            wall_clock: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default(),
         }
@@ -155,9 +155,9 @@
         let mut controller = self.controller.borrow_mut();
         let kept = self.client.kept();
         if self.kept.replace(kept) != kept {
-            controller.take(now, Input::Kept(kept));
+            controller.receive(now, Input::IdleConnections(kept));
         }
-        let outputs = controller.take(now, input);
+        let outputs = controller.receive(now, input);
         self.wake(&controller);
         drop(controller);
         self.put_out(outputs);
@@ -167,9 +167,9 @@
     fn wake(&self, controller: &Controller) {
         let [urgent, due] = &self.due;
         // Full: it has been woken already.
-        if controller.is_urgent() {
+        if controller.has_urgent_work() {
             let _ = urgent.try_send(());
-        } else if controller.is_due() {
+        } else if controller.has_pending_work() {
             let _ = due.try_send(());
         }
     }
@@ -186,7 +186,7 @@
     fn turn(self: &Rc<Self>) {
         let now = self.now();
         let mut controller = self.controller.borrow_mut();
-        let outputs = controller.turn(now);
+        let outputs = controller.run_turn(now);
         self.wake(&controller);
         drop(controller);
         self.put_out(outputs);
@@ -263,7 +263,7 @@
         let (send, receive) = async_channel::bounded(1);
         self.lobby.borrow_mut().insert(id, send);
         let _leave = Leave(self, id);
-        self.input(Input::Arrived(id, beginning));
+        self.input(Input::Readable(id, beginning));
         let _ = receive.recv().await;
     }
 
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -563,7 +563,7 @@
         let beginning = format!("{method} {}", request.path).into_bytes();
         let socket = request.socket;
         self.nodes[node].lobby.insert(socket, request);
-        self.input(node, Input::Arrived(socket, beginning));
+        self.input(node, Input::Readable(socket, beginning));
     }
 
     pub(super) fn wake_watches(&mut self) {
--- a/crates/testkit/src/world/processes.rs
+++ b/crates/testkit/src/world/processes.rs
@@ -82,8 +82,8 @@
     pub(super) fn node_now(&self, node: usize) -> Now {
         let up = self.now.saturating_sub(self.nodes[node].started);
         Now {
-            steady: up.mul_f64(self.nodes[node].clock_rate),
-            day: Duration::from_secs(1_800_000_000) + self.now,
+            monotonic: up.mul_f64(self.nodes[node].clock_rate),
+            wall_clock: Duration::from_secs(1_800_000_000) + self.now,
         }
     }
 
@@ -102,13 +102,13 @@
         let Some(controller) = &mut self.nodes[node].controller else {
             return;
         };
-        controller.take(now, Input::Kept(kept));
+        controller.receive(now, Input::IdleConnections(kept));
         let outputs = if slow.is_zero() {
             controller.handle(now, input)
         } else {
-            controller.take(now, input)
+            controller.receive(now, input)
         };
-        let due = controller.is_due();
+        let due = controller.has_pending_work();
         self.watch_invariants(node);
         self.leaves(node, outputs);
         if due {
@@ -142,8 +142,8 @@
         let Some(controller) = &mut self.nodes[node].controller else {
             return;
         };
-        let outputs = controller.turn(now);
-        let due = controller.is_due();
+        let outputs = controller.run_turn(now);
+        let due = controller.has_pending_work();
         let answers = outputs.iter().filter(|o| matches!(o, Output::Answer(_)));
         let takes = slow * answers.count().max(1) as u32;
         self.watch_invariants(node);
--- a/crates/testkit/tests/admission.rs
+++ b/crates/testkit/tests/admission.rs
@@ -345,7 +345,7 @@
         records += came.records;
     }
     assert!(records > 1000, "{records}");
-    let broken = (0..60).filter(|s| play(*s, Some(Sabotage::SharesTwice)).beyond > 0.5);
+    let broken = (0..60).filter(|s| play(*s, Some(Sabotage::SharesReissued)).beyond > 0.5);
     assert!(broken.count() > 20);
     let broken = (0..60).filter(|s| play(*s, Some(Sabotage::SameLife)).twice > 0.01);
     assert!(broken.count() > 3);
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -375,7 +375,7 @@
         .filter(|(seed, from)| ends_in_an_outage(*seed, *from, None) > 0)
         .collect();
     assert_eq!(again, []);
-    let sabotage = Some(Sabotage::IdleWithNews);
+    let sabotage = Some(Sabotage::IdleWithUnrecordedEnds);
     let mut caught = days().filter(|(seed, from)| ends_in_an_outage(*seed, *from, sabotage) > 0);
     assert!(caught.next().is_some());
 }
@@ -451,13 +451,13 @@
 #[test]
 fn ignoring_terms_is_caught() {
     let links = |seed| draw_links(seed, 3, S * 180);
-    is_caught(Sabotage::NoTerms, Broken::RanTwice, 60, links);
+    is_caught(Sabotage::NoTermCheck, Broken::RanTwice, 60, links);
 }
 
 /// What a holder has written before it lost its block is carried out afterwards.
 #[test]
 fn late_writes_of_a_former_holder_are_caught() {
-    is_caught(Sabotage::NoTerms, Broken::Invariant, 60, |seed| {
+    is_caught(Sabotage::NoTermCheck, Broken::Invariant, 60, |seed| {
         let mut faults: Vec<_> = (0..6)
             .step_by(2)
             .map(|machine| Fault::Sick {
@@ -499,7 +499,7 @@
 #[test]
 fn telling_what_is_not_confirmed_is_caught() {
     let quick = |seed| draw_quick(2000 + seed, 3, S * 180);
-    is_caught(Sabotage::Unconfirmed, Broken::WentBack, 40, quick);
+    is_caught(Sabotage::UnconfirmedCancels, Broken::WentBack, 40, quick);
 }
 
 /// Whether breaking the code on purpose shows on some of the days with a roll.
@@ -522,22 +522,24 @@
 
 #[test]
 fn starting_too_early_is_caught() {
-    is_caught_in_a_roll(Sabotage::NoAwaiting, broke(Broken::TooEarly));
+    is_caught_in_a_roll(Sabotage::NoDependencies, broke(Broken::TooEarly));
 }
 
 #[test]
 fn forgetting_the_chain_is_caught() {
-    is_caught_in_a_roll(Sabotage::NoChain, broke(Broken::Orphaned));
+    is_caught_in_a_roll(Sabotage::NoCancelCascade, broke(Broken::Orphaned));
 }
 
 #[test]
 fn new_forms_among_old_programs_are_caught() {
-    is_caught_in_a_roll(Sabotage::SwitchEarly, broke(Broken::Forgotten));
+    is_caught_in_a_roll(Sabotage::EarlyFormatSwitch, broke(Broken::Forgotten));
 }
 
 #[test]
 fn ignoring_the_limits_to_come_is_caught() {
-    is_caught_in_a_roll(Sabotage::NoLowering, |outcome| outcome.refused_writes.0 > 0);
+    is_caught_in_a_roll(Sabotage::NoLoweredLimits, |outcome| {
+        outcome.refused_writes.0 > 0
+    });
 }
 
 /// Machines whose network holds what they send, a controller cut from its
@@ -632,6 +634,6 @@
 
 #[test]
 fn answering_in_order_is_caught() {
-    let (users, probes) = overload(Some(Sabotage::InOrder)).sockets.late;
+    let (users, probes) = overload(Some(Sabotage::NoPriorities)).sockets.late;
     assert!(users > 80 && probes > 15, "{users} {probes}");
 }
--- a/crates/testkit/tests/handover.rs
+++ b/crates/testkit/tests/handover.rs
@@ -59,7 +59,7 @@
 /// The second guard, at the start itself, holds what the first lets through, and says so.
 #[test]
 fn a_start_on_stale_evidence_does_not_leave() {
-    let broken = broken_with(Sabotage::TrustedSilence);
+    let broken = broken_with(Sabotage::SilenceAsExpiry);
     assert!(broken.contains(&Broken::Invariant), "{broken:?}");
     assert!(!broken.contains(&Broken::RanTwice), "{broken:?}");
 }
--- a/crates/testkit/tests/links.rs
+++ b/crates/testkit/tests/links.rs
@@ -32,7 +32,8 @@
             .map(move |s| users_of_whoever_is_cut(s, sabotage))
             .sum()
     };
-    let (with, without): (usize, usize) = (sent_back(None), sent_back(Some(Sabotage::NoReach)));
+    let (with, without): (usize, usize) =
+        (sent_back(None), sent_back(Some(Sabotage::NoReachability)));
     assert!(with * 4 < without && without > 50, "{with} {without}");
 }
 
@@ -307,7 +308,7 @@
 
 #[test]
 fn knowing_nothing_of_links_is_caught() {
-    let lost = |seed| cut_from_workers(seed, false, Some(Sabotage::NoReach)).lost;
+    let lost = |seed| cut_from_workers(seed, false, Some(Sabotage::NoReachability)).lost;
     let lost: Vec<_> = (80..90).map(lost).collect();
     assert!(lost.iter().sum::<usize>() > 15, "{lost:?}");
 }
--- a/crates/testkit/tests/meetings/main.rs
+++ b/crates/testkit/tests/meetings/main.rs
@@ -358,7 +358,7 @@
         holds("kept for nobody", seed, &day(seed, None));
     }
     let caught = SEEDS.filter(|seed| {
-        let outcome = day(*seed, Some(Sabotage::KeptForNobody));
+        let outcome = day(*seed, Some(Sabotage::ReservedForBlockedWork));
         broke(Broken::LeftWaiting)(&outcome)
     });
     assert!(caught.count() > 0);
--- a/crates/testkit/tests/meetings/sabotage.rs
+++ b/crates/testkit/tests/meetings/sabotage.rs
@@ -37,12 +37,16 @@
 
 #[test]
 fn leaving_questions_unanswered_is_caught() {
-    is_caught(Sabotage::Unanswered, cancels, broke(Broken::Forgotten));
+    is_caught(
+        Sabotage::UnansweredRequests,
+        cancels,
+        broke(Broken::Forgotten),
+    );
 }
 
 #[test]
 fn leaving_work_beside_room_is_caught() {
-    is_caught(Sabotage::Overlooked, cancels, broke(Broken::LeftWaiting));
+    is_caught(Sabotage::SkippedJobs, cancels, broke(Broken::LeftWaiting));
 }
 
 #[test]
@@ -53,7 +57,7 @@
             until: S * 60,
         }]
     };
-    is_caught(Sabotage::AcceptsAll, odd, broke(Broken::Unfit));
+    is_caught(Sabotage::NoAdmissionChecks, odd, broke(Broken::Unfit));
 }
 
 /// Whatever one controller has told, another that answers from memory takes back.
@@ -100,5 +104,5 @@
             until: S * 140,
         }]
     };
-    is_caught(Sabotage::NoDoubt, faults, broke(Broken::Quota));
+    is_caught(Sabotage::LostAnswerAsFailure, faults, broke(Broken::Quota));
 }
