--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -81,7 +81,7 @@
         report: &Report,
         (block, term): (BlockId, Term),
         holder: &str,
-        advice: StrayAction,
+        action: StrayAction,
     ) -> bool {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::StaleForwards)
@@ -91,7 +91,7 @@
             return true;
         }
         let addressee = ReportAddressee::Holder { block, term };
-        let fallback = Fallback::Stray(advice);
+        let fallback = Fallback::Stray(action);
         self.forward(conn, report, addressee, holder, fallback)
     }
 
@@ -178,7 +178,7 @@
                     );
                 }
                 if answer.status == 200 {
-                    self.reachability.served_elsewhere(machine);
+                    self.reachability.record_served_by_holder(machine);
                 }
                 self.answer(conn, answer.status, answer.body);
             }
@@ -212,7 +212,7 @@
             ..
         } = outstanding;
         match fallback {
-            Fallback::Stray(advice) => self.keep_or_redirect(conn, report, came_at, advice),
+            Fallback::Stray(action) => self.keep_or_redirect(conn, report, came_at, action),
             Fallback::Unregistered => self.redirect_to_leader(conn),
         }
     }
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -38,15 +38,16 @@
             return self.redirect(conn, Some(holder));
         }
         let lease = (block, term);
-        let advice = self
+        let action = self
             .reachability
             .record_stray(self.now, &report, lease, &holder);
         log::debug!("{}: came here, though {holder} holds it", report.machine);
-        let forwards = report.token <= term && self.reachability.is_lost_to_holder(&report.machine);
-        if forwards && self.forward_to_holder(conn, &report, lease, &holder, advice) {
+        let forwards =
+            report.token <= term && self.reachability.cannot_reach_holder(&report.machine);
+        if forwards && self.forward_to_holder(conn, &report, lease, &holder, action) {
             return;
         }
-        self.keep_or_redirect(conn, report, self.now, advice);
+        self.keep_or_redirect(conn, report, self.now, action);
     }
 
     /// Keeps a stray's report until its block is leased anew, or sends the worker to its
@@ -56,9 +57,9 @@
         conn: ConnId,
         report: Report,
         came_at: Duration,
-        advice: StrayAction,
+        action: StrayAction,
     ) {
-        let waits = match advice {
+        let waits = match action {
             StrayAction::Redirect => false,
             StrayAction::AwaitLease => self.in_contact(),
             StrayAction::AwaitRecords => true,
@@ -66,7 +67,7 @@
         #[cfg(feature = "sabotage")]
         let waits = waits && self.sabotage != Some(crate::Sabotage::NoReachability);
         match waits {
-            true => self.reachability.wait(came_at, conn, report, advice),
+            true => self.reachability.hold_report(came_at, conn, report, action),
             false => self.serve_or_redirect(conn, report),
         }
     }
@@ -88,11 +89,13 @@
     /// have waited for long enough.
     pub(crate) fn answer_waiting_strays(&mut self) {
         let view = &self.view;
-        let over = self.reachability.waited(self.now, |machine, term| {
-            let record = view.machines.get(machine);
-            let block = record.and_then(|m| view.blocks.get(&m.block));
-            block.is_none_or(|b| b.version != term)
-        });
+        let over = self
+            .reachability
+            .take_due_reports(self.now, |machine, term| {
+                let record = view.machines.get(machine);
+                let block = record.and_then(|m| view.blocks.get(&m.block));
+                block.is_none_or(|b| b.version != term)
+            });
         for (conn, report) in over {
             self.serve_or_redirect(conn, report);
         }
@@ -121,7 +124,7 @@
         self.probe_remote_workers();
         let members = &self.view.members;
         self.reachability
-            .restarted(|node| members.get(node).map(|m| m.record.incarnation));
+            .forget_previous_incarnations(|node| members.get(node).map(|m| m.record.incarnation));
         let machines = &self.view.machines;
         let held = || {
             let zone_of = |id| self.view.blocks.get(id).map(|b| b.record.zone.clone());
@@ -137,7 +140,8 @@
         };
         let machines_of = |zone: &str| machines.values().filter(|m| m.zone == zone).count();
         let everywhere = &self.settings.params.zones;
-        self.reachability.look(now, everywhere, held, machines_of);
+        self.reachability
+            .evaluate(now, everywhere, held, machines_of);
         let of_zone = |zone: &str| {
             let zone = zone.to_owned();
             let here = machines.iter().filter(move |(_, m)| m.zone == zone);
@@ -146,7 +150,7 @@
         let rng = &mut self.rng;
         let ask = self
             .reachability
-            .questions(now, of_zone, |n| rng.usize(0..n));
+            .machines_to_probe(now, of_zone, |n| rng.usize(0..n));
         let ask: Vec<_> = ask.into_iter().map(str::to_owned).collect();
         for machine in ask {
             self.inspect(machine);
@@ -155,7 +159,7 @@
             return;
         }
         let node = &self.settings.node;
-        if let Some(word) = self.reachability.tell(now, node, self.incarnation) {
+        if let Some(word) = self.reachability.next_message(now, node, self.incarnation) {
             let peers: Vec<_> = self.peer_links.keys().cloned().collect();
             for peer in peers {
                 self.call_peer(peer, "/reach", &word, TIMEOUT, Pending::Reach);
@@ -220,7 +224,7 @@
         let member = self.view.members.get(&word.from);
         // What a process from before has said is about links of before.
         if member.is_none_or(|m| m.record.incarnation == word.incarnation) {
-            self.reachability.hear(self.now, word);
+            self.reachability.receive_message(self.now, word);
         }
         self.answer(conn, 200, Vec::new());
     }
@@ -239,7 +243,8 @@
     /// What came of a question to a machine.
     pub(crate) fn inspect_answered(&mut self, zone: &str, machine: &str, reply: &Reply) {
         if matches!(reply, Reply::Answer { status: 200, .. }) {
-            self.reachability.answered(self.now, zone, machine);
+            self.reachability
+                .record_probe_answer(self.now, zone, machine);
             self.forwarding.record_reached(self.now, machine);
         }
     }
@@ -263,7 +268,7 @@
             })
             .collect();
         let us = &self.settings.node;
-        let moves = self.reachability.moves(now, us, &looked);
+        let moves = self.reachability.blocks_to_move(now, us, &looked);
         let others = self.reachability.is_isolated()
             && looked.iter().any(|b| {
                 let zone = self.view.blocks.get(&b.id).map(|b| &b.record.zone);
@@ -282,11 +287,12 @@
             let (zone, from) = (block.record.zone, block.record.holder);
             let holder = self.best_holder(&zone, &loads, Some(&from));
             let Some(holder) = holder else { continue };
-            let reason = LeaseReason::Unreachable(found.why);
+            let reason = LeaseReason::Unreachable(found.reason);
             if self.lease_block(found.block, block.version, zone.clone(), &holder, &reason) {
                 let size = self.view.machine_count(&found.block) + 1;
                 *loads.entry(holder).or_default() += size;
-                self.reachability.moved(now, &from, &zone, found.unheard);
+                self.reachability
+                    .record_move(now, &from, &zone, found.unheard);
             }
         }
         if self.reachability.should_resign(now, others) {
@@ -304,7 +310,7 @@
             changes: vec![Change::Delete { key }],
         };
         if self.duty(Duty::Resign, txn, Urgency::Safety) {
-            self.reachability.resigned(self.now);
+            self.reachability.record_resignation(self.now);
             log::info!("we reach no workers and leave the lead to others");
         }
     }
--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -1,29 +1,29 @@
-//! What is known about the links between controllers and workers, and which
-//! blocks would be better off with somebody else.
+//! Detects cut links between controllers and workers, and finds the blocks that another
+//! controller would serve better.
 //!
-//! A controller can be cut from its workers while it goes on reaching the state
-//! service: it keeps its lease, its workers go to the others, are sent back, and
-//! lose their leases with all that is on them. Nobody sees the whole of it: the
-//! holder hears nothing, which a dead zone looks like as well, and the others
-//! see workers that are not theirs. Both together are proof enough to lease the
-//! block away; so are workers alone that come again after they were sent back.
+//! A controller can lose its links to workers while it still reaches the state service. It
+//! keeps its leases; its workers report to other controllers, are redirected back to it, and
+//! lose their leases with all tasks on them. No single controller can detect this: the holder
+//! hears nothing, which also happens when a zone fails, and the other controllers get reports
+//! of workers that they do not hold. Both observations together are enough evidence to lease
+//! the block to another controller; so are workers that report again after a redirect.
 //!
-//! Evidence, and what it is worth:
+//! Evidence, and how it is weighed:
 //!
-//! - *Unheard:* the holder of a block has heard none of its workers for longer than
-//!   chance explains. Nothing new goes there. Without strays nothing moves: the
-//!   workers may have gone with their zone.
-//! - *Stray:* a worker came to somebody else although its holder is up and holds
-//!   it for long enough to have been found. One means little: its connection may
-//!   have been reset.
-//! - A worker that strays *again* was sent back and got no answer, whatever its
-//!   holder says to have heard.
+//! - *Unheard:* the holder of a block has heard none of its workers for longer than chance
+//!   explains. It places no new tasks there. Without strays the block is not moved: the
+//!   workers may have failed with their zone.
+//! - *Stray:* a worker reported to a controller that does not hold it, although its holder is
+//!   up and has held the block long enough to be found (the stray is *settled*). A single one
+//!   is weak evidence: its connection may have been reset.
+//! - *Repeated stray:* the worker was redirected to its holder and got no answer there,
+//!   whatever the holder claims to have heard.
 //!
-//! Whoever has lost blocks in a zone because it heard nobody there asks machines of
-//! that zone by itself, and gets blocks there again once some have answered.
-//! Whoever has lost blocks for strays alone gets none there for a backoff that
-//! doubles each time, and there is a bound on moves in a minute, so that a link
-//! that comes and goes moves nothing back and forth.
+//! A controller that lost blocks in a zone because it heard no workers there probes machines
+//! of that zone, and is eligible for blocks there again once enough of them have answered. A
+//! controller that lost blocks because of strays alone gets none in that zone for a backoff
+//! that doubles each time. The number of moves per minute is bounded, so a flapping link does
+//! not move blocks back and forth.
 
 mod block_liveness;
 
@@ -41,79 +41,85 @@
     call::ConnId,
     records::{BlockId, Term},
 };
-use block_liveness::{BlockLiveness, explained};
+use block_liveness::{BlockLiveness, chance_silence_limit};
 
-/// How often blocks are looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
-/// Whoever did not look for so long has not listened.
+/// Minimum time between two evaluations of all held blocks.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
+/// If two evaluations are further apart than this, the controller was stalled and has received
+/// no reports in between.
 const STALL_LIMIT: Duration = Duration::from_millis(1000);
-/// For how long a stray counts.
+/// How long a stray counts as evidence after its last report.
 const STRAY_LIFETIME: Duration = Duration::from_secs(16);
-/// Strays of a block at first sight count together within this time.
+/// Settled strays of a block, repeated or not, count together if they reported within this time.
 const STRAY_WINDOW: Duration = Duration::from_secs(7);
-/// A worker that comes within this time has not been sent back in between.
-const RETURN_INTERVAL: Duration = Duration::from_secs(1);
-/// How many strays of a block are told and needed at most.
-const MOST_STRAYS_NEEDED: usize = 3;
-const MOST_STRAYS_TOLD: usize = 8;
-/// A report of a stray waits so long for its block to be leased.
-const LEASE_PATIENCE: Duration = Duration::from_millis(1800);
-/// It waits so long where its holder would not answer at all: a second less than its
-/// worker waits for an answer.
-const RECORDS_PATIENCE: Duration = Duration::from_millis(3000);
-/// For how long a word of a peer counts.
-const WORD_LIFETIME: Duration = Duration::from_secs(3);
-/// How often a peer is told that there is trouble, and the leader of news.
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
-const NEWS_INTERVAL: Duration = Duration::from_millis(100);
-/// How often it is told that all is well again, as a word may be lost.
-const ALL_CLEAR_REPEATS: u8 = 5;
-/// For how long it counts that a peer did not reach a zone when it spoke last.
+/// A stray that reports again within this time has not been redirected in between.
+const MIN_REDIRECT_INTERVAL: Duration = Duration::from_secs(1);
+/// Upper bounds for the strays of a block: how many are needed to move it from a holder that
+/// hears none of its workers, and how many are sent to peers. The latter also bounds how many
+/// repeated strays are needed to move it from another holder.
+const MAX_STRAYS_NEEDED: usize = 3;
+const MAX_REPORTED_STRAYS: usize = 8;
+/// How long the report of a stray waits for its block to be leased to another controller.
+const LEASE_WAIT_TIMEOUT: Duration = Duration::from_millis(1800);
+/// How long it waits for newer records if its holder would not answer at all: a second less
+/// than its worker waits for an answer.
+const RECORDS_WAIT_TIMEOUT: Duration = Duration::from_millis(3000);
+/// How long a reachability message of a peer stays valid.
+const MESSAGE_LIFETIME: Duration = Duration::from_secs(3);
+/// Minimum time between reachability messages to the peers: without and with changes since
+/// the last one.
+const MESSAGE_INTERVAL: Duration = Duration::from_secs(1);
+const CHANGE_MESSAGE_INTERVAL: Duration = Duration::from_millis(100);
+/// How many empty messages follow the last one with content, as a message may be lost.
+const EMPTY_MESSAGE_REPEATS: u8 = 5;
+/// How long the unreached zones from a peer's last message stay valid.
 const UNREACHED_LIFETIME: Duration = Duration::from_secs(60);
-/// For how long a controller gets no blocks of a zone for strays alone; doubled
-/// each time.
-const BACKOFF: Duration = Duration::from_secs(20);
-const MOST_DOUBLINGS: u32 = 4;
-/// The lead is left to others once in this time at most.
+/// How long a controller gets no blocks of a zone after it lost one there because of strays
+/// alone; doubled each time.
+const INITIAL_BACKOFF: Duration = Duration::from_secs(20);
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Minimum time between two resignations from leadership.
 const RESIGN_INTERVAL: Duration = Duration::from_secs(30);
-/// How often machines are asked whether they can be reached again, how many at
-/// a time, how many have to answer and for how long an answer counts.
+/// Probes of machines in an unreached zone: their interval, how many machines are probed at a
+/// time, how many have to answer, and how long an answer stays valid.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
-const PROBES: usize = 4;
-const ANSWERS_NEEDED: usize = 2;
+const MAX_PROBES: usize = 4;
+const REQUIRED_ANSWERS: usize = 2;
 const ANSWER_LIFETIME: Duration = Duration::from_secs(6);
 
-/// A worker that came to us although somebody else holds it.
+/// A worker that reported to this controller although another one holds it.
 #[derive(Clone, Debug, PartialEq)]
 struct Stray {
     block: BlockId,
     term: Term,
-    /// Its holder had time to be found.
+    /// Its holder has had the block long enough to be found by the worker.
     settled: bool,
+    /// How often it reported here; reports without a redirect in between count once.
     times: u32,
-    /// It was not sent back: its holder has answered its last report by way of us.
+    /// Its last report was forwarded to its holder and answered, so it was not redirected.
     served: bool,
+    /// When it reported last.
     at: Duration,
 }
 
-/// A zone whose workers we don't hear.
+/// A zone whose workers this controller does not hear.
 #[derive(Debug, Default)]
 struct UnreachedZone {
-    /// How many machines it has, whoever holds them.
+    /// How many machines it has, regardless of their holders.
     machines: usize,
-    asked_at: Duration,
-    /// Machines that have answered, and when.
+    probed_at: Duration,
+    /// Machines that answered a probe, and when.
     answers: BTreeMap<String, Duration>,
 }
 
 impl UnreachedZone {
-    /// Whether too few machines there have answered us.
-    fn is_out(&self) -> bool {
-        self.answers.len() < ANSWERS_NEEDED.min(self.machines.max(1))
+    /// Whether too few of its machines have answered probes.
+    fn is_unreached(&self) -> bool {
+        self.answers.len() < REQUIRED_ANSWERS.min(self.machines.max(1))
     }
 }
 
-/// A block as the leader looks at it.
+/// A block whose holder the leader checks.
 #[derive(Clone, Debug)]
 pub(crate) struct BlockStatus<'a> {
     pub id: BlockId,
@@ -122,123 +128,130 @@
     pub machines: usize,
 }
 
-/// A block that is to be leased to somebody else, and why.
+/// A block to be leased to another controller.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Move {
+pub(crate) struct BlockMove {
     pub block: BlockId,
-    /// Its holder says itself that it hears none of them.
+    /// Its holder itself reports that it hears none of the block's workers.
     pub unheard: bool,
-    /// What is known, for the log.
-    pub why: String,
+    /// The evidence, for the log.
+    pub reason: String,
 }
 
 /// What to do with the report of a worker that another controller holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StrayAction {
-    /// The worker is sent to its holder.
+    /// Redirect the worker to its holder.
     Redirect,
-    /// It waits for its block to be leased anew: others of the block have come as well,
-    /// or it has come again. Who has no contact would not see that.
+    /// Hold the report until the block is leased to another controller: other workers of the
+    /// block have strayed as well, or this one has strayed repeatedly. A controller without
+    /// contact to the state service would not see the new lease.
     AwaitLease,
-    /// It waits for the records, contact or not: it knows a later lease than we do, or
-    /// its holder says that it hears none of them. It would lose 5 s there.
+    /// Hold the report until newer records arrive, also without contact to the state service:
+    /// the worker knows a later lease than this controller, or its holder reports that it
+    /// hears none of the block's workers. A redirect would cost the worker 5 s.
     AwaitRecords,
 }
 
 impl StrayAction {
-    /// For how long the report waits; none: it is answered at once.
-    fn patience(self) -> Option<Duration> {
+    /// How long the report is held; `None` if it is answered at once.
+    fn wait_timeout(self) -> Option<Duration> {
         match self {
             Self::Redirect => None,
-            Self::AwaitLease => Some(LEASE_PATIENCE),
-            Self::AwaitRecords => Some(RECORDS_PATIENCE),
+            Self::AwaitLease => Some(LEASE_WAIT_TIMEOUT),
+            Self::AwaitRecords => Some(RECORDS_WAIT_TIMEOUT),
         }
     }
 }
 
-/// The one owner of what is known about links.
+/// All evidence about links between controllers and workers.
 #[derive(Debug)]
 pub(crate) struct Reachability {
-    /// The time between two reports.
+    /// The workers' report period.
     period: Duration,
+    /// Workers that reported here although another controller holds them, by machine.
     strays: BTreeMap<String, Stray>,
+    /// The blocks that this controller holds.
     blocks: BTreeMap<BlockId, BlockLiveness>,
-    /// Blocks that we lost while we heard none of their workers, and when. It is told for a while: a peer that
-    /// sees the lease later than this word sent their workers back to us.
+    /// Blocks lost while unheard, and when. Messages name them for a while longer: a peer that
+    /// saw the message without them before the new lease redirected their workers back here.
     lost_unheard: BTreeMap<BlockId, Duration>,
-    zones: BTreeMap<String, UnreachedZone>,
-    words: BTreeMap<String, (Duration, ReachWord)>,
-    /// When the strays that they tell of came last, by machine.
-    came_to_peers: BTreeMap<String, Duration>,
-    /// Zones that a peer said last it does not reach, with its incarnation. This
-    /// outlasts the word, as a peer that is cut off further can't say it again.
-    unreached: BTreeMap<String, (Duration, u64, Vec<String>)>,
-    waiting: Vec<(ConnId, Report, Duration)>,
-    looked_at: Duration,
-    told_at: Duration,
-    /// Something is new since then.
-    news: bool,
-    /// How often it remains to be told that all is well.
-    all_clears_left: u8,
-    /// How many workers the holder of a block has missed since it hears none of them,
-    /// by the block's term.
-    missed: BTreeMap<BlockId, (Term, usize)>,
-    /// Since when each block is leased as it is, by its term.
-    leased: BTreeMap<BlockId, (Term, Duration)>,
-    /// Until when a controller gets no blocks of a zone, and how often that
-    /// was.
+    unreached_zones: BTreeMap<String, UnreachedZone>,
+    /// The last message of each peer, and when it arrived.
+    peer_messages: BTreeMap<String, (Duration, ReachWord)>,
+    /// When the strays named in these messages reported last, by machine.
+    strays_at_peers: BTreeMap<String, Duration>,
+    /// The unreached zones from each peer's last message, with its arrival time and the
+    /// peer's incarnation. They outlive the message, as a peer that loses more links can't
+    /// repeat it.
+    peer_unreached_zones: BTreeMap<String, (Duration, u64, Vec<String>)>,
+    /// Reports of strays that are held, each with its deadline.
+    waiting_reports: Vec<(ConnId, Report, Duration)>,
+    evaluated_at: Duration,
+    message_sent_at: Duration,
+    /// Whether something has changed since the last message.
+    has_changes: bool,
+    /// How many empty messages remain to be sent.
+    empty_messages_left: u8,
+    /// For each block that is unheard by its holder: its term, and how many workers the
+    /// holder can miss.
+    missed_workers: BTreeMap<BlockId, (Term, usize)>,
+    /// The term of each block's current lease, and when it was first seen.
+    lease_times: BTreeMap<BlockId, (Term, Duration)>,
+    /// By controller and zone: until when the controller gets no blocks there, and how often
+    /// its next backoff is doubled.
     backoff: BTreeMap<(String, String), (Duration, u32)>,
-    moved: VecDeque<Duration>,
+    /// When blocks were moved within the last minute.
+    recent_moves: VecDeque<Duration>,
     resigned_at: Option<Duration>,
 }
 
 impl Reachability {
-    /// For workers that report so often.
+    /// Creates an empty state for workers with this report period.
     pub fn new(period: Duration) -> Self {
         Self {
             period,
             strays: BTreeMap::new(),
             blocks: BTreeMap::new(),
             lost_unheard: BTreeMap::new(),
-            zones: BTreeMap::new(),
-            words: BTreeMap::new(),
-            came_to_peers: BTreeMap::new(),
-            unreached: BTreeMap::new(),
-            waiting: Vec::new(),
-            looked_at: Duration::ZERO,
-            told_at: Duration::ZERO,
-            news: false,
-            all_clears_left: 0,
-            missed: BTreeMap::new(),
-            leased: BTreeMap::new(),
+            unreached_zones: BTreeMap::new(),
+            peer_messages: BTreeMap::new(),
+            strays_at_peers: BTreeMap::new(),
+            peer_unreached_zones: BTreeMap::new(),
+            waiting_reports: Vec::new(),
+            evaluated_at: Duration::ZERO,
+            message_sent_at: Duration::ZERO,
+            has_changes: false,
+            empty_messages_left: 0,
+            missed_workers: BTreeMap::new(),
+            lease_times: BTreeMap::new(),
             backoff: BTreeMap::new(),
-            moved: VecDeque::new(),
+            recent_moves: VecDeque::new(),
             resigned_at: None,
         }
     }
 
-    /// A block has been leased, to whomever.
+    /// Records that a block is leased under a term, to this or another controller.
     pub fn record_lease(&mut self, now: Duration, block: BlockId, term: Term) {
-        let (known, since) = self.leased.entry(block).or_insert((term, now));
+        let (known, since) = self.lease_times.entry(block).or_insert((term, now));
         if *known != term {
             (*known, *since) = (term, now);
         }
     }
 
-    /// Whether the holder of a block has had it for long enough to be found by
-    /// its workers.
+    /// Whether the holder of a block has held it long enough to be found by its workers.
     fn is_settled(&self, now: Duration, block: BlockId) -> bool {
         let found = self.period * 3 / 2 + Duration::from_secs(2);
-        let leased = self.leased.get(&block);
+        let leased = self.lease_times.get(&block);
         leased.is_some_and(|(_, since)| now > *since + found)
     }
 
-    /// A worker came that another controller holds, which is up. What to do with its
-    /// report.
+    /// Records the report of a worker that is held by another controller, which is up, and
+    /// decides what to do with the report.
     ///
-    /// One that does not know the term yet is on its way to its holder: it has
-    /// just come up, and was sent there by whoever registered it. It is no evidence,
-    /// but is not sent to a holder that hears nobody either.
+    /// A worker that does not know the block's term yet has just started, and was redirected
+    /// to its holder by the controller that registered it. Its first report is not evidence,
+    /// but it is not redirected to a holder that hears no workers of the block either.
     pub fn record_stray(
         &mut self,
         now: Duration,
@@ -262,57 +275,64 @@
             (stray.block, stray.term) = (block, term);
             (stray.settled, stray.times) = (settled, 0);
         }
-        let was_sent_back = now > stray.at + RETURN_INTERVAL && !stray.served;
+        let was_sent_back = now > stray.at + MIN_REDIRECT_INTERVAL && !stray.served;
         if stray.times == 0 || was_sent_back {
             stray.times += 1;
-            self.news = true;
+            self.has_changes = true;
         }
         stray.served = false;
         stray.at = now;
         stray.settled |= settled;
-        let again = knows && stray.times > 1;
+        let repeated = knows && stray.times > 1;
         let settled = stray.settled;
         let others = self.strays.iter().filter(|(name, s)| {
             *name != machine && s.term == term && s.settled && now < s.at + STRAY_WINDOW
         });
-        if report.token > term || self.says_unheard(holder, block) {
+        if report.token > term || self.peer_reports_unheard(holder, block) {
             StrayAction::AwaitRecords
-        } else if again || (settled && others.count() > 0) {
+        } else if repeated || (settled && others.count() > 0) {
             StrayAction::AwaitLease
         } else {
             StrayAction::Redirect
         }
     }
 
-    /// Whether a worker that strayed can't make itself heard by its holder, as far as we
-    /// can tell: its holder had time to be found, or it was sent there before.
-    pub fn is_lost_to_holder(&self, machine: &str) -> bool {
+    /// Whether a stray presumably cannot reach its holder: the holder has had time to be found,
+    /// or the worker was redirected to it before.
+    pub fn cannot_reach_holder(&self, machine: &str) -> bool {
         let stray = self.strays.get(machine);
         stray.is_some_and(|s| s.settled || s.times > 1)
     }
 
-    /// The holder of a stray has answered its report by way of us.
-    pub fn served_elsewhere(&mut self, machine: &str) {
+    /// Records that the holder of a stray has answered the report that was forwarded to it.
+    pub fn record_served_by_holder(&mut self, machine: &str) {
         if let Some(stray) = self.strays.get_mut(machine) {
             stray.served = true;
         }
     }
 
-    /// Keeps a report until its block is leased anew, for as long as the advice allows.
-    pub fn wait(&mut self, now: Duration, conn: ConnId, report: Report, advice: StrayAction) {
-        let patience = advice.patience().unwrap_or_default();
-        self.waiting.push((conn, report, now + patience));
+    /// Holds a report until its block is leased anew, at most for the action's timeout.
+    pub fn hold_report(
+        &mut self,
+        now: Duration,
+        conn: ConnId,
+        report: Report,
+        action: StrayAction,
+    ) {
+        let wait_timeout = action.wait_timeout().unwrap_or_default();
+        self.waiting_reports
+            .push((conn, report, now + wait_timeout));
     }
 
-    /// The reports whose block has been leased anew, or that have waited for
-    /// long enough. `moved` tells whether a machine is held under another term
-    /// than when it strayed.
-    pub fn waited(
+    /// Removes and returns the held reports whose block has been leased anew or whose deadline
+    /// has passed. `moved` decides whether a machine is now held under another term than when
+    /// it strayed.
+    pub fn take_due_reports(
         &mut self,
         now: Duration,
         moved: impl Fn(&str, Term) -> bool,
     ) -> Vec<(ConnId, Report)> {
-        if self.waiting.is_empty() {
+        if self.waiting_reports.is_empty() {
             return Vec::new();
         }
         let strays = &self.strays;
@@ -320,279 +340,300 @@
             let term = strays.get(&report.machine).map(|s| s.term);
             now >= *until || term.is_none_or(|term| moved(&report.machine, term))
         };
-        let (over, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting)
+        let (over, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting_reports)
             .into_iter()
             .partition(is_over);
-        self.waiting = wait;
+        self.waiting_reports = wait;
         over.into_iter()
             .map(|(conn, report, _)| (conn, report))
             .collect()
     }
 
-    /// A worker of a block that we hold has reported.
+    /// Records a direct report of a worker; ignored unless this controller holds the block.
     pub fn record_report(&mut self, now: Duration, block: BlockId, machine: &str) {
-        if let Some(block_liveness) = self.blocks.get_mut(&block) {
-            block_liveness.hear(now, machine);
+        if let Some(liveness) = self.blocks.get_mut(&block) {
+            liveness.record_report(now, machine);
         }
     }
 
-    /// We begin to hold a block.
+    /// Starts to monitor a block that this controller now holds.
     pub fn block_acquired(&mut self, now: Duration, block: BlockId, zone: &str) {
         self.blocks
             .insert(block, BlockLiveness::new(now, zone.to_owned()));
     }
 
-    /// Whether we hear none of a block's workers.
+    /// Whether this controller holds a block and hears none of its workers; false for blocks of
+    /// fewer than [`MAX_STRAYS_NEEDED`] machines.
     pub fn is_unheard(&self, block: BlockId) -> bool {
-        let block_liveness = self.blocks.get(&block);
-        block_liveness.is_some_and(|h| h.unheard && h.machines() >= MOST_STRAYS_NEEDED)
+        let liveness = self.blocks.get(&block);
+        liveness.is_some_and(|b| b.unheard && b.machines() >= MAX_STRAYS_NEEDED)
     }
 
-    /// Looks at all blocks that we hold again: zone and number of machines that
-    /// are expected to report, which may be none. `everywhere` are all zones, `machines_of`
-    /// tells how many machines one has, whoever holds them.
-    pub fn look(
+    /// Re-evaluates all blocks that this controller holds. `held` gives the zone of each and
+    /// the number of machines that are expected to report, which may be 0; `all_zones` lists
+    /// all zones; `machines_of` gives the number of machines in a zone, regardless of their
+    /// holders.
+    pub fn evaluate(
         &mut self,
         now: Duration,
-        everywhere: &[String],
+        all_zones: &[String],
         held: impl FnOnce() -> BTreeMap<BlockId, (String, usize)>,
         machines_of: impl Fn(&str) -> usize,
     ) {
-        if now < self.looked_at + LOOK_INTERVAL {
+        if now < self.evaluated_at + EVALUATION_INTERVAL {
             return;
         }
-        let before = std::mem::replace(&mut self.looked_at, now);
+        let before = std::mem::replace(&mut self.evaluated_at, now);
         if now > before + STALL_LIMIT {
-            // We stood still, and can't tell who was silent meanwhile.
+            // This controller was stalled, so missing reports prove nothing.
             let gap = now - before;
-            for block_liveness in self.blocks.values_mut() {
-                block_liveness.stood_still(gap);
+            for liveness in self.blocks.values_mut() {
+                liveness.extend_after_stall(gap);
             }
         }
         let held = held();
         let has_machines_of = |id: &BlockId| held.get(id).is_some_and(|(_, n)| *n > 0);
-        for (id, block_liveness) in &self.blocks {
-            // Lost while we heard nobody: until machines there have answered.
-            if !has_machines_of(id) && block_liveness.unheard {
-                Self::is_cut(&mut self.zones, &block_liveness.zone);
+        for (id, liveness) in &self.blocks {
+            // Lost, or empty, while unheard: the zone is unreached until its machines answer.
+            if !has_machines_of(id) && liveness.unheard {
+                Self::mark_unreached(&mut self.unreached_zones, &liveness.zone);
                 self.lost_unheard.insert(*id, now);
             }
         }
         self.lost_unheard
-            .retain(|id, at| now < *at + WORD_LIFETIME && !has_machines_of(id));
+            .retain(|id, at| now < *at + MESSAGE_LIFETIME && !has_machines_of(id));
         self.blocks.retain(|id, _| held.contains_key(id));
         for (id, (zone, machines)) in held {
-            let block_liveness = self.blocks.entry(id);
-            let block_liveness = block_liveness.or_insert_with(|| BlockLiveness::new(now, zone));
-            block_liveness.count(now, before, machines);
-            let quiet = now.saturating_sub(block_liveness.silent_since());
-            let unheard = block_liveness.is_silent(now, self.period);
-            if unheard != std::mem::replace(&mut block_liveness.unheard, unheard) {
-                self.news = true;
+            let liveness = self.blocks.entry(id);
+            let liveness = liveness.or_insert_with(|| BlockLiveness::new(now, zone));
+            liveness.set_machine_count(now, before, machines);
+            let quiet = now.saturating_sub(liveness.silent_since());
+            let unheard = liveness.is_silent(now, self.period);
+            if unheard != std::mem::replace(&mut liveness.unheard, unheard) {
+                self.has_changes = true;
                 if unheard {
-                    log::info!("block {id}: none of its {machines} workers heard for {quiet:.1?}");
+                    log::info!(
+                        "block {id}: no report from any of its {machines} workers for {quiet:.1?}"
+                    );
                 }
             }
         }
-        let inhabited = self.blocks.values().filter(|h| h.machines() > 0);
-        for block_liveness in inhabited.filter(|h| h.unheard) {
-            Self::is_cut(&mut self.zones, &block_liveness.zone);
-        }
-        // Whoever hears nobody can't tell about zones in which it holds nothing:
-        // it got those of a dead controller, which lost their leases with it.
-        let machines = self.inhabited().map(|h| h.expected(now)).sum();
-        let alone = match self.inhabited().map(BlockLiveness::silent_since).max() {
-            Some(last) => now > last + explained(self.period, machines),
-            // Whoever has lost all for it; others hold nothing yet.
-            None => !self.zones.is_empty(),
+        let blocks_with_machines = self.blocks.values().filter(|b| b.machines() > 0);
+        for liveness in blocks_with_machines.filter(|b| b.unheard) {
+            Self::mark_unreached(&mut self.unreached_zones, &liveness.zone);
+        }
+        // A controller that hears no worker at all knows nothing about zones in which it holds
+        // no machines. Such a controller got the blocks of a dead one there, whose workers
+        // then lost their leases.
+        let machines = self
+            .blocks_with_machines()
+            .map(|b| b.expected_workers(now))
+            .sum();
+        let hears_no_worker = match self
+            .blocks_with_machines()
+            .map(BlockLiveness::silent_since)
+            .max()
+        {
+            Some(last) => now > last + chance_silence_limit(self.period, machines),
+            // It lost all its blocks for this reason; otherwise it has held none yet.
+            None => !self.unreached_zones.is_empty(),
         };
-        if alone {
-            for zone in everywhere {
-                Self::is_cut(&mut self.zones, zone);
+        if hears_no_worker {
+            for zone in all_zones {
+                Self::mark_unreached(&mut self.unreached_zones, zone);
             }
         }
-        for (zone, unreached) in &mut self.zones {
+        for (zone, unreached) in &mut self.unreached_zones {
             unreached.machines = machines_of(zone);
         }
-        for block_liveness in self.blocks.values_mut() {
+        for liveness in self.blocks.values_mut() {
             if self
-                .zones
-                .get(&block_liveness.zone)
-                .is_some_and(|z| !z.is_out())
+                .unreached_zones
+                .get(&liveness.zone)
+                .is_some_and(|z| !z.is_unreached())
             {
-                block_liveness.zone_answers();
+                liveness.zone_reached();
             }
         }
         let blocks = &self.blocks;
-        self.zones.retain(|zone, unreached| {
+        self.unreached_zones.retain(|zone, unreached| {
             unreached
                 .answers
                 .retain(|_, at| now < *at + ANSWER_LIFETIME);
-            let inhabited = blocks.values().filter(|h| h.machines() > 0);
-            let mut here = inhabited.filter(|h| h.zone == *zone).peekable();
+            let blocks_with_machines = blocks.values().filter(|b| b.machines() > 0);
+            let mut here = blocks_with_machines.filter(|b| b.zone == *zone).peekable();
             if here.peek().is_some() {
-                return alone || here.any(|h| h.unheard);
+                return hears_no_worker || here.any(|b| b.unheard);
             }
             if unreached.machines == 0 {
-                // Nobody is there to be reached.
+                // The zone has no machine that could answer.
                 return false;
             }
-            // As long as we hear nobody elsewhere we go on asking.
-            unreached.is_out() || alone
+            // Probing continues as long as no worker is heard in any other zone.
+            unreached.is_unreached() || hears_no_worker
         });
         self.strays.retain(|_, s| now <= s.at + STRAY_LIFETIME);
-        let words = self.words.len();
-        self.words.retain(|_, (at, _)| now < *at + WORD_LIFETIME);
-        if self.words.len() < words {
-            self.index_peers_strays();
+        let messages = self.peer_messages.len();
+        self.peer_messages
+            .retain(|_, (at, _)| now < *at + MESSAGE_LIFETIME);
+        if self.peer_messages.len() < messages {
+            self.index_peer_strays();
         }
-        self.unreached
+        self.peer_unreached_zones
             .retain(|_, (at, ..)| now < *at + UNREACHED_LIFETIME);
-        let forgotten = BACKOFF * 2u32.pow(MOST_DOUBLINGS);
+        let max_backoff = INITIAL_BACKOFF * 2u32.pow(MAX_BACKOFF_DOUBLINGS);
         self.backoff
-            .retain(|_, (until, _)| now < *until + forgotten);
+            .retain(|_, (until, _)| now < *until + max_backoff);
     }
 
-    /// The blocks that we hold and that have machines.
-    fn inhabited(&self) -> impl Iterator<Item = &BlockLiveness> {
-        self.blocks.values().filter(|h| h.machines() > 0)
+    /// The blocks that this controller holds and that have machines.
+    fn blocks_with_machines(&self) -> impl Iterator<Item = &BlockLiveness> {
+        self.blocks.values().filter(|b| b.machines() > 0)
     }
 
-    fn is_cut(zones: &mut BTreeMap<String, UnreachedZone>, zone: &str) {
+    /// Adds a zone to the unreached ones, unless it is there already.
+    fn mark_unreached(zones: &mut BTreeMap<String, UnreachedZone>, zone: &str) {
         if !zones.contains_key(zone) {
             zones.insert(zone.to_owned(), UnreachedZone::default());
         }
     }
 
-    /// The machines to ask now whether they can be reached, out of those of a
-    /// zone. Only zones are asked in which we hold nothing: elsewhere reports
-    /// tell.
-    pub fn questions<'a, I: Iterator<Item = &'a str>>(
+    /// The machines to probe now. `machines` lists those of a zone, `draw` picks a random index
+    /// below its argument. Only zones in which this controller holds no machines are probed:
+    /// elsewhere reports show whether workers are reached.
+    pub fn machines_to_probe<'a, I: Iterator<Item = &'a str>>(
         &mut self,
         now: Duration,
         machines: impl Fn(&str) -> I,
         mut draw: impl FnMut(usize) -> usize,
     ) -> Vec<&'a str> {
-        let mut ask = Vec::new();
+        let mut probes = Vec::new();
         let blocks = &self.blocks;
-        for (zone, unreached) in &mut self.zones {
-            let mut inhabited = blocks.values().filter(|h| h.machines() > 0);
-            let held = inhabited.any(|h| h.zone == *zone);
-            if held || now < unreached.asked_at + PROBE_INTERVAL {
+        for (zone, unreached) in &mut self.unreached_zones {
+            let mut blocks_with_machines = blocks.values().filter(|b| b.machines() > 0);
+            let held = blocks_with_machines.any(|b| b.zone == *zone);
+            if held || now < unreached.probed_at + PROBE_INTERVAL {
                 continue;
             }
-            unreached.asked_at = now;
+            unreached.probed_at = now;
             let mut names: Vec<_> = machines(zone).collect();
-            for _ in 0..PROBES.min(names.len()) {
-                ask.push(names.swap_remove(draw(names.len())));
+            for _ in 0..MAX_PROBES.min(names.len()) {
+                probes.push(names.swap_remove(draw(names.len())));
             }
         }
-        ask
+        probes
     }
 
-    /// A machine of a zone has answered.
-    pub fn answered(&mut self, now: Duration, zone: &str, machine: &str) {
-        if let Some(unreached) = self.zones.get_mut(zone) {
-            let was_out = unreached.is_out();
+    /// Records that a machine of a zone has answered a probe.
+    pub fn record_probe_answer(&mut self, now: Duration, zone: &str, machine: &str) {
+        if let Some(unreached) = self.unreached_zones.get_mut(zone) {
+            let was_unreached = unreached.is_unreached();
             unreached.answers.insert(machine.to_owned(), now);
-            if was_out && !unreached.is_out() {
-                log::info!("{zone}: its machines can be reached");
+            if was_unreached && !unreached.is_unreached() {
+                log::info!("zone {zone}: machines answer probes again");
             }
         }
     }
 
-    /// What a peer says.
-    pub fn hear(&mut self, now: Duration, word: ReachWord) {
-        let from = word.from.clone();
-        if word.zones.is_empty() {
-            self.unreached.remove(&from);
+    /// Takes in a reachability message of a peer.
+    pub fn receive_message(&mut self, now: Duration, message: ReachWord) {
+        let from = message.from.clone();
+        if message.zones.is_empty() {
+            self.peer_unreached_zones.remove(&from);
         } else {
-            let zones = word.zones.clone();
-            let said = (now, word.incarnation, zones);
-            self.unreached.insert(from.clone(), said);
+            let zones = message.zones.clone();
+            let said = (now, message.incarnation, zones);
+            self.peer_unreached_zones.insert(from.clone(), said);
         }
-        self.words.insert(from, (now, word));
-        self.index_peers_strays();
+        self.peer_messages.insert(from, (now, message));
+        self.index_peer_strays();
     }
 
-    /// What a process from before said is about links of before. `alive` tells
-    /// the incarnation of a peer that is up.
-    pub fn restarted(&mut self, alive: impl Fn(&str) -> Option<u64>) {
-        self.unreached
+    /// Forgets the unreached zones that earlier incarnations of peers reported: a restarted
+    /// process has other links. `alive` gives the incarnation of a peer that is up.
+    pub fn forget_previous_incarnations(&mut self, alive: impl Fn(&str) -> Option<u64>) {
+        self.peer_unreached_zones
             .retain(|node, (_, said, _)| alive(node).is_none_or(|now| now == *said));
     }
 
-    /// Whether a controller does not reach some zone, or hears none of a block's
-    /// workers, by its own word: it may be cut off further than it knows yet.
+    /// Whether a controller reports that it does not reach some zone, or that it hears none of a
+    /// block's workers. It may have lost more links than it has detected yet.
     pub fn is_suspect(&self, us: &str, node: &str) -> bool {
         let hears_nobody = match node == us {
-            true => self.blocks.values().any(|h| h.unheard),
+            true => self.blocks.values().any(|b| b.unheard),
             false => {
-                let word = self.words.get(node);
-                word.is_some_and(|(_, word)| !word.unheard.is_empty())
+                let message = self.peer_messages.get(node);
+                message.is_some_and(|(_, message)| !message.unheard.is_empty())
             }
         };
-        hears_nobody || !self.out_of(us, node).is_empty()
+        hears_nobody || !self.zones_unreached_by(us, node).is_empty()
     }
 
-    /// What is to be told, in the words of whoever we are; none if there is
-    /// nothing, or nothing yet.
-    pub fn tell(&mut self, now: Duration, from: &str, incarnation: u64) -> Option<ReachWord> {
-        let wait = if self.news {
-            NEWS_INTERVAL
+    /// The message to send to all peers now; `None` if there is nothing to report, or if the
+    /// interval since the last message has not passed.
+    pub fn next_message(
+        &mut self,
+        now: Duration,
+        from: &str,
+        incarnation: u64,
+    ) -> Option<ReachWord> {
+        let wait = if self.has_changes {
+            CHANGE_MESSAGE_INTERVAL
         } else {
-            TELL_INTERVAL
+            MESSAGE_INTERVAL
         };
-        if now < self.told_at + wait {
+        if now < self.message_sent_at + wait {
             return None;
         }
-        let unheard = self.blocks.iter().filter(|(_, h)| h.unheard);
+        let unheard = self.blocks.iter().filter(|(_, b)| b.unheard);
         let unheard = unheard.map(|(id, _)| id).chain(self.lost_unheard.keys());
-        let word = ReachWord {
+        let message = ReachWord {
             from: from.to_owned(),
             incarnation,
             unheard: unheard.copied().collect(),
-            zones: self.out().cloned().collect(),
-            strays: self.strays_told(now),
+            zones: self.unreached_zone_names().cloned().collect(),
+            strays: self.strays_to_report(now),
         };
-        let some = !word.unheard.is_empty() || !word.zones.is_empty() || !word.strays.is_empty();
-        // The last words are that all is well again.
-        let due = some || self.all_clears_left > 0;
-        self.news = false;
-        self.all_clears_left = match some {
-            true => ALL_CLEAR_REPEATS,
-            false => self.all_clears_left.saturating_sub(1),
+        let some =
+            !message.unheard.is_empty() || !message.zones.is_empty() || !message.strays.is_empty();
+        // The last messages are empty: they revoke the earlier ones.
+        let due = some || self.empty_messages_left > 0;
+        self.has_changes = false;
+        self.empty_messages_left = match some {
+            true => EMPTY_MESSAGE_REPEATS,
+            false => self.empty_messages_left.saturating_sub(1),
         };
         due.then(|| {
-            self.told_at = now;
-            word
+            self.message_sent_at = now;
+            message
         })
     }
 
-    /// The zones whose machines we don't reach.
-    fn out(&self) -> impl Iterator<Item = &String> {
-        let out = self
-            .zones
+    /// The zones whose machines this controller does not reach.
+    fn unreached_zone_names(&self) -> impl Iterator<Item = &String> {
+        let unreached_names = self
+            .unreached_zones
             .iter()
-            .filter(|(_, unreached)| unreached.is_out());
-        out.map(|(zone, _)| zone)
+            .filter(|(_, unreached)| unreached.is_unreached());
+        unreached_names.map(|(zone, _)| zone)
     }
 
-    /// The zones that a controller does not reach, by its own word.
-    fn out_of(&self, us: &str, node: &str) -> Vec<&String> {
+    /// The zones that a controller reports it does not reach. `us` is this controller's name.
+    fn zones_unreached_by(&self, us: &str, node: &str) -> Vec<&String> {
         match node == us {
-            true => self.out().collect(),
+            true => self.unreached_zone_names().collect(),
             false => {
-                let said = self.unreached.get(node);
+                let said = self.peer_unreached_zones.get(node);
                 said.map(|(_, _, zones)| zones.iter().collect())
                     .unwrap_or_default()
             }
         }
     }
 
-    /// Some strays of each block, those that came again first.
-    fn strays_told(&self, now: Duration) -> Vec<StrayWord> {
-        let mut told: Vec<_> = self
+    /// Strays that are evidence, at most [`MAX_REPORTED_STRAYS`] of each block: those with the
+    /// most redirects first, then the most recent ones.
+    fn strays_to_report(&self, now: Duration) -> Vec<StrayWord> {
+        let mut reported: Vec<_> = self
             .strays
             .iter()
             .filter(|(_, s)| s.settled || s.times > 1)
@@ -605,111 +646,130 @@
                 ago_ms: now.saturating_sub(s.at).as_millis() as u64,
             })
             .collect();
-        told.sort_by_key(|s| (s.block, std::cmp::Reverse(s.times), s.ago_ms));
+        reported.sort_by_key(|s| (s.block, std::cmp::Reverse(s.times), s.ago_ms));
         let mut count = (0, 0);
-        told.retain(|s| {
+        reported.retain(|s| {
             count = match count {
                 (block, n) if block == s.block => (block, n + 1),
                 _ => (s.block, 1),
             };
-            count.1 <= MOST_STRAYS_TOLD
+            count.1 <= MAX_REPORTED_STRAYS
         });
-        told
+        reported
     }
 
-    /// All strays that are known of: by us and by those who told us.
-    fn all_strays(&self, now: Duration) -> Vec<StrayWord> {
-        let mut all = self.strays_told(now);
-        for (at, word) in self.words.values() {
+    /// The strays that this controller and its peers have seen.
+    fn known_strays(&self, now: Duration) -> Vec<StrayWord> {
+        let mut strays = self.strays_to_report(now);
+        for (at, message) in self.peer_messages.values() {
             let since = now.saturating_sub(*at).as_millis() as u64;
-            all.extend(word.strays.iter().cloned().map(|s| StrayWord {
+            strays.extend(message.strays.iter().cloned().map(|s| StrayWord {
                 ago_ms: s.ago_ms + since,
                 ..s
             }));
         }
-        all
+        strays
     }
 
-    /// Whether a controller, by its own word and by what was seen of it, can
-    /// serve workers of a zone. `us` is our name.
+    /// Whether a controller can serve workers of a zone: it does not report the zone as
+    /// unreached, and is in no backoff there. `us` is this controller's name.
     pub fn can_serve_zone(&self, now: Duration, us: &str, node: &str, zone: &str) -> bool {
-        let by_word = self.out_of(us, node).into_iter().any(|z| z == zone);
+        let reports_unreached = self
+            .zones_unreached_by(us, node)
+            .into_iter()
+            .any(|z| z == zone);
         let backoff = self.backoff.get(&(node.to_owned(), zone.to_owned()));
-        !by_word && backoff.is_none_or(|(until, _)| now >= *until)
+        !reports_unreached && backoff.is_none_or(|(until, _)| now >= *until)
     }
 
-    /// Whether a peer says that it hears none of a block's workers.
-    fn says_unheard(&self, node: &str, block: BlockId) -> bool {
-        let word = self.words.get(node);
-        word.is_some_and(|(_, word)| word.unheard.contains(&block))
+    /// Whether a peer reports that it hears none of a block's workers.
+    fn peer_reports_unheard(&self, node: &str, block: BlockId) -> bool {
+        let message = self.peer_messages.get(node);
+        message.is_some_and(|(_, message)| message.unheard.contains(&block))
     }
 
-    /// Whether the holder of a block, by its own word, hears none of its workers.
+    /// Whether this controller, or any peer in its last message, hears none of a block's
+    /// workers.
     pub fn is_reported_unheard(&self, block: BlockId) -> bool {
-        let mut words = self.words.values();
-        self.is_unheard(block) || words.any(|(_, w)| w.unheard.contains(&block))
+        let mut messages = self.peer_messages.values();
+        self.is_unheard(block) || messages.any(|(_, w)| w.unheard.contains(&block))
     }
 
-    /// Whether a machine came to us or to a peer lately, though another controller holds
-    /// it.
+    /// Whether a machine recently reported to this controller or a peer that does not hold it.
     pub fn has_strayed(&self, now: Duration, machine: &str) -> bool {
         self.last_stray_at(now, machine).is_some()
     }
 
-    /// When a machine came last, of late, to us or to a peer that does not hold it.
+    /// When a machine last reported to this controller or a peer that does not hold it; `None`
+    /// if not recently.
     pub fn last_stray_at(&self, now: Duration, machine: &str) -> Option<Duration> {
         let ours = self.strays.get(machine).map(|s| s.at);
         let ours = ours.filter(|at| now <= *at + STRAY_LIFETIME);
-        ours.max(self.came_to_peers.get(machine).copied())
+        ours.max(self.strays_at_peers.get(machine).copied())
     }
 
-    /// Notes which strays the words of peers tell of, and when these came last.
-    fn index_peers_strays(&mut self) {
-        self.came_to_peers.clear();
-        for (at, word) in self.words.values() {
-            for stray in &word.strays {
+    /// Rebuilds the index of strays that the messages of peers name.
+    fn index_peer_strays(&mut self) {
+        self.strays_at_peers.clear();
+        for (at, message) in self.peer_messages.values() {
+            for stray in &message.strays {
                 let came = at.saturating_sub(Duration::from_millis(stray.ago_ms));
-                let last = self.came_to_peers.entry(stray.machine.clone());
+                let last = self.strays_at_peers.entry(stray.machine.clone());
                 let last = last.or_insert(came);
                 *last = came.max(*last);
             }
         }
     }
 
-    /// The leader's question: which blocks have a holder that their workers do
-    /// not reach.
-    pub fn moves(&mut self, now: Duration, us: &str, blocks: &[BlockStatus]) -> Vec<Move> {
-        self.count_missed(us, blocks);
-        let strays = self.all_strays(now);
+    /// For the leader: the blocks whose workers do not reach their holder, by the evidence of
+    /// all controllers. A block is moved if its holder hears none of its workers and enough of
+    /// them have strayed, or if enough have strayed repeatedly.
+    pub fn blocks_to_move(
+        &mut self,
+        now: Duration,
+        us: &str,
+        blocks: &[BlockStatus],
+    ) -> Vec<BlockMove> {
+        self.update_missed_workers(us, blocks);
+        let strays = self.known_strays(now);
         if strays.is_empty() {
             return Vec::new();
         }
         let minute = Duration::from_secs(60);
-        while self.moved.front().is_some_and(|at| now > *at + minute) {
-            self.moved.pop_front();
+        while self
+            .recent_moves
+            .front()
+            .is_some_and(|at| now > *at + minute)
+        {
+            self.recent_moves.pop_front();
         }
         let mut moves = Vec::new();
         for block in blocks {
-            if self.moved.len() >= 2 * blocks.len() {
+            if self.recent_moves.len() >= 2 * blocks.len() {
                 break;
             }
-            let of = strays
+            let block_strays = strays
                 .iter()
                 .filter(|s| (s.block, s.term) == (block.id, block.term));
             let mut times: BTreeMap<&str, u32> = BTreeMap::new();
-            let mut lately = BTreeSet::new();
-            for stray in of {
+            let mut recent = BTreeSet::new();
+            for stray in block_strays {
                 *times.entry(&stray.machine).or_default() += stray.times;
                 if stray.settled && stray.ago_ms < STRAY_WINDOW.as_millis() as u64 {
-                    lately.insert(&stray.machine);
+                    recent.insert(&stray.machine);
                 }
             }
-            let again = times.values().filter(|n| **n > 1).count();
-            let need = |machines: usize| MOST_STRAYS_NEEDED.min(machines.div_ceil(2)).max(1);
-            let missed = self.missed.get(&block.id).map(|(_, machines)| *machines);
-            let unheard = missed.is_some_and(|missed| lately.len().max(again) >= need(missed));
-            let all = need(block.machines).max((block.machines / 5).min(MOST_STRAYS_TOLD));
-            if !unheard && again < all {
+            let repeated = times.values().filter(|n| **n > 1).count();
+            let need = |machines: usize| MAX_STRAYS_NEEDED.min(machines.div_ceil(2)).max(1);
+            let missed_workers = self
+                .missed_workers
+                .get(&block.id)
+                .map(|(_, machines)| *machines);
+            let unheard = missed_workers
+                .is_some_and(|missed_workers| recent.len().max(repeated) >= need(missed_workers));
+            let needed_repeated =
+                need(block.machines).max((block.machines / 5).min(MAX_REPORTED_STRAYS));
+            if !unheard && repeated < needed_repeated {
                 continue;
             }
             let heard = if unheard {
@@ -717,11 +777,11 @@
             } else {
                 "may hear them"
             };
-            moves.push(Move {
+            moves.push(BlockMove {
                 block: block.id,
                 unheard,
-                why: format!(
-                    "of {} workers {} came to others, {again} again, {} {heard}",
+                reason: format!(
+                    "of {} workers {} reported to other controllers, {repeated} repeatedly; holder {} {heard}",
                     block.machines,
                     times.len(),
                     block.holder
@@ -731,64 +791,69 @@
         moves
     }
 
-    /// Notes how many workers each holder that hears none of them can miss: machines
-    /// that come into the block later were never heard, and prove nothing.
-    fn count_missed(&mut self, us: &str, blocks: &[BlockStatus]) {
-        let mut missed = BTreeMap::new();
+    /// Updates how many workers each holder that hears none of them can miss. Machines that join
+    /// the block later do not count: they were never heard, so their silence proves nothing.
+    fn update_missed_workers(&mut self, us: &str, blocks: &[BlockStatus]) {
+        let mut missed_workers = BTreeMap::new();
         for block in blocks {
             if !self.holder_hears_none(us, block.holder, block.id) {
                 continue;
             }
-            let before = self.missed.get(&block.id);
+            let before = self.missed_workers.get(&block.id);
             let before = before.filter(|(term, _)| *term == block.term);
             let most = before.map_or(block.machines, |(_, machines)| *machines);
-            missed.insert(block.id, (block.term, most.min(block.machines)));
+            missed_workers.insert(block.id, (block.term, most.min(block.machines)));
         }
-        self.missed = missed;
+        self.missed_workers = missed_workers;
     }
 
-    /// Whether the holder of a block hears none of its workers, by what it says or, if
-    /// it is us, by what we know.
+    /// Whether the holder of a block hears none of its workers: by its last message, or by this
+    /// controller's own state if it is the holder.
     pub fn holder_hears_none(&self, us: &str, holder: &str, block: BlockId) -> bool {
         match holder == us {
-            true => self.blocks.get(&block).is_some_and(|h| h.unheard),
-            false => self.says_unheard(holder, block),
+            true => self.blocks.get(&block).is_some_and(|b| b.unheard),
+            false => self.peer_reports_unheard(holder, block),
         }
     }
 
-    /// A block is leased away from a holder for that.
-    pub fn moved(&mut self, now: Duration, holder: &str, zone: &str, unheard: bool) {
-        self.moved.push_back(now);
+    /// Records that a block was leased away from its holder because of cut links, and starts or
+    /// doubles the holder's backoff in the zone if the evidence was strays alone.
+    pub fn record_move(&mut self, now: Duration, holder: &str, zone: &str, unheard: bool) {
+        self.recent_moves.push_back(now);
         if unheard {
-            // It says itself when it can be reached again.
+            // The holder reports itself when it reaches the zone again.
             return;
         }
         let key = (holder.to_owned(), zone.to_owned());
         let (until, times) = self.backoff.entry(key).or_default();
         if now >= *until {
-            *until = now + BACKOFF * 2u32.pow(*times);
-            *times = (*times + 1).min(MOST_DOUBLINGS);
+            *until = now + INITIAL_BACKOFF * 2u32.pow(*times);
+            *times = (*times + 1).min(MAX_BACKOFF_DOUBLINGS);
         }
     }
 
-    /// Whether we reach no workers anywhere any more, and all blocks that we had have
-    /// gone to others.
+    /// Whether this controller holds no block with machines any more, and too few machines answer
+    /// its probes in all zones that it has lost.
     pub fn is_isolated(&self) -> bool {
-        let all = !self.zones.is_empty() && self.zones.values().all(UnreachedZone::is_out);
-        all && self.inhabited().next().is_none()
+        let all_unreached = !self.unreached_zones.is_empty()
+            && self
+                .unreached_zones
+                .values()
+                .all(UnreachedZone::is_unreached);
+        all_unreached && self.blocks_with_machines().next().is_none()
     }
 
-    /// Whether whoever leads should leave the lead to others now. `others` tells
-    /// whether somebody else holds machines, and reaches them as far as we know.
+    /// Whether this controller, if it is the leader, should resign now. `others` is true if
+    /// another controller holds machines and reaches them as far as known.
     pub fn should_resign(&self, now: Duration, others: bool) -> bool {
-        let lately = self
+        let resigned_recently = self
             .resigned_at
             .is_some_and(|at| now < at + RESIGN_INTERVAL);
-        self.is_isolated() && !lately && others
+        self.is_isolated() && !resigned_recently && others
     }
 
-    /// We have left the lead to others.
-    pub fn resigned(&mut self, now: Duration) {
+    /// Records that this controller has resigned from leadership.
+    pub fn record_resignation(&mut self, now: Duration) {
         self.resigned_at = Some(now);
     }
 }
--- a/crates/core/src/reachability/tests.rs
+++ b/crates/core/src/reachability/tests.rs
@@ -15,7 +15,7 @@
     serde_json::from_str(&text).expect("a report")
 }
 
-/// The leader, `n-0`, with block 1 held by `n-1` under term 7 for long.
+/// The leader, `n-0`; `n-1` has held block 1 under term 7 for a long time.
 fn leader() -> Reachability {
     let mut reach = Reachability::new(PERIOD);
     reach.record_lease(ms(0), 1, 7);
@@ -31,7 +31,7 @@
     }]
 }
 
-fn word(unheard: Vec<BlockId>) -> ReachWord {
+fn message(unheard: Vec<BlockId>) -> ReachWord {
     ReachWord {
         from: "n-1".into(),
         incarnation: 1,
@@ -42,79 +42,87 @@
 }
 
 #[test]
-fn strays_of_a_unheard_holder_move_its_block() {
+fn strays_move_the_block_of_a_holder_that_hears_none() {
     let (mut reach, now) = (leader(), ms(60_000));
     let first = reach.record_stray(now, &report(1, 7), (1, 7), "n-1");
     assert_eq!(first, StrayAction::Redirect);
     let second = reach.record_stray(now + ms(50), &report(2, 7), (1, 7), "n-1");
-    assert_eq!(second, StrayAction::AwaitLease, "others have come");
+    assert_eq!(
+        second,
+        StrayAction::AwaitLease,
+        "another worker of the block has strayed"
+    );
     reach.record_stray(now + ms(90), &report(3, 7), (1, 7), "n-1");
     let now = now + ms(100);
-    assert_eq!(reach.moves(now, "n-0", &block(26)), [], "it may hear them");
-    reach.hear(now, word(vec![1]));
-    let moves = reach.moves(now, "n-0", &block(26));
+    assert_eq!(
+        reach.blocks_to_move(now, "n-0", &block(26)),
+        [],
+        "the holder may hear them"
+    );
+    reach.receive_message(now, message(vec![1]));
+    let moves = reach.blocks_to_move(now, "n-0", &block(26));
     assert_eq!(
         (moves.len(), moves[0].block, moves[0].unheard),
         (1, 1, true)
     );
     assert!(!reach.can_serve_zone(now, "n-0", "n-1", "a"));
     assert!(reach.can_serve_zone(now, "n-0", "n-1", "b"));
-    // Once the holder says that it hears somebody, nothing moves any more.
-    reach.hear(now, word(Vec::new()));
-    assert_eq!(reach.moves(now, "n-0", &block(26)), []);
+    // Nothing is moved once the holder no longer reports the block as unheard.
+    reach.receive_message(now, message(Vec::new()));
+    assert_eq!(reach.blocks_to_move(now, "n-0", &block(26)), []);
 }
 
 #[test]
-fn strays_at_first_sight_prove_nothing() {
+fn unsettled_strays_are_no_evidence() {
     let (mut reach, now) = (leader(), ms(60_000));
-    // New machines are sent to their holder by whoever registers them.
+    // New machines are redirected to their holder by the controller that registers them.
     for machine in 0..9 {
-        let advice = reach.record_stray(now, &report(machine, 0), (1, 7), "n-1");
-        assert_eq!(advice, StrayAction::Redirect);
+        let action = reach.record_stray(now, &report(machine, 0), (1, 7), "n-1");
+        assert_eq!(action, StrayAction::Redirect);
     }
-    // Not to one that hears nobody: they wait, and still prove nothing.
-    reach.hear(now, word(vec![1]));
+    // They wait if the holder hears none of the block, and still are no evidence.
+    reach.receive_message(now, message(vec![1]));
     for machine in 10..19 {
-        let advice = reach.record_stray(now, &report(machine, 0), (1, 7), "n-1");
-        assert_eq!(advice, StrayAction::AwaitRecords);
+        let action = reach.record_stray(now, &report(machine, 0), (1, 7), "n-1");
+        assert_eq!(action, StrayAction::AwaitRecords);
     }
-    assert_eq!(reach.moves(now, "n-0", &block(26)), []);
-    // A block has just been leased: its workers look for their holder.
+    assert_eq!(reach.blocks_to_move(now, "n-0", &block(26)), []);
+    // The block has just been leased, so its workers are still looking for the holder.
     reach.record_lease(now, 1, 8);
     for machine in 0..9 {
-        let advice = reach.record_stray(now, &report(machine, 8), (1, 8), "n-2");
-        assert_eq!(advice, StrayAction::Redirect);
+        let action = reach.record_stray(now, &report(machine, 8), (1, 8), "n-2");
+        assert_eq!(action, StrayAction::Redirect);
     }
     let young = [BlockStatus {
         term: 8,
         ..block(26)[0].clone()
     }];
-    assert_eq!(reach.moves(now, "n-0", &young), []);
+    assert_eq!(reach.blocks_to_move(now, "n-0", &young), []);
 }
 
-/// Reports arrive and answers don't: the holder hears all of them.
+/// Reports reach the holder but its answers are lost, so it does not report the block as unheard.
 #[test]
-fn workers_that_come_again_need_no_word_of_their_holder() {
+fn repeated_strays_move_a_block_that_its_holder_hears() {
     let (mut reach, mut now) = (leader(), ms(60_000));
     for round in 0..2 {
         for machine in 0..5 {
             reach.record_stray(now, &report(machine, 7), (1, 7), "n-1");
         }
-        let moves = reach.moves(now, "n-0", &block(20));
+        let moves = reach.blocks_to_move(now, "n-0", &block(20));
         assert_eq!(moves.len(), round, "{moves:?}");
         now += ms(5500);
     }
-    // Shunned for longer each time.
-    reach.moved(now, "n-1", "a", false);
+    // The backoff of the holder doubles.
+    reach.record_move(now, "n-1", "a", false);
     assert!(!reach.can_serve_zone(now + ms(19_000), "n-0", "n-1", "a"));
     assert!(reach.can_serve_zone(now + ms(21_000), "n-0", "n-1", "a"));
     now += ms(30_000);
-    reach.moved(now, "n-1", "a", false);
+    reach.record_move(now, "n-1", "a", false);
     assert!(!reach.can_serve_zone(now + ms(39_000), "n-0", "n-1", "a"));
 }
 
 #[test]
-fn a_zone_that_is_dead_moves_nothing() {
+fn a_failed_zone_moves_no_block() {
     let mut reach = Reachability::new(PERIOD);
     let held = |machines| move || BTreeMap::from([(1, ("a".to_owned(), machines))]);
     let mut now = ms(0);
@@ -124,7 +132,7 @@
         if now < ms(30_000) {
             reach.record_report(now, 1, "vm-1");
         }
-        reach.look(now, &[], held(26), |_| 26);
+        reach.evaluate(now, &[], held(26), |_| 26);
         if reach.is_unheard(1) {
             unheard_at = unheard_at.or(Some(now));
         }
@@ -132,137 +140,149 @@
             holder: "n-0",
             ..block(26)[0].clone()
         }];
-        assert_eq!(reach.moves(now, "n-0", &ours), []);
+        assert_eq!(reach.blocks_to_move(now, "n-0", &ours), []);
         assert!(!reach.is_isolated());
         now += ms(250);
     }
-    let unheard_at = unheard_at.expect("it is noticed");
+    let unheard_at = unheard_at.expect("the block becomes unheard");
     assert!(
         (ms(35_000)..ms(36_000)).contains(&unheard_at),
         "{unheard_at:?}"
     );
-    // They are back.
+    // The workers are back.
     reach.record_report(now, 1, "vm-1");
-    reach.look(now + ms(250), &[], held(26), |_| 26);
+    reach.evaluate(now + ms(250), &[], held(26), |_| 26);
     assert!(!reach.is_unheard(1) && reach.can_serve_zone(now, "n-0", "n-0", "a"));
 }
 
-/// Who stood still has heard nobody meanwhile, and that means nothing.
+/// A controller receives no reports while it is stalled, which proves nothing about its workers.
 #[test]
-fn whoever_stood_still_is_not_unheard() {
+fn a_stall_does_not_make_a_block_unheard() {
     let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 26))]);
     for step in 0..40 {
-        reach.look(ms(250 * step), &[], held, |_| 26);
+        reach.evaluate(ms(250 * step), &[], held, |_| 26);
         reach.record_report(ms(250 * step), 1, "vm-1");
     }
-    reach.look(ms(60_000), &[], held, |_| 26);
+    reach.evaluate(ms(60_000), &[], held, |_| 26);
     assert!(!reach.is_unheard(1));
 }
 
 #[test]
-fn whoever_lost_its_blocks_asks_until_somebody_answers() {
+fn a_controller_that_lost_its_blocks_probes_until_machines_answer() {
     let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 26))]);
     let names = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5"];
     let mut now = ms(0);
     while now < ms(20_000) {
-        reach.look(now, &[], held, |_| 26);
+        reach.evaluate(now, &[], held, |_| 26);
         now += ms(250);
     }
     assert!(reach.is_unheard(1) && !reach.is_isolated());
-    assert_eq!(reach.questions(now, |_| names.into_iter(), |_| 0).len(), 0);
-    // Its block goes to somebody else.
-    reach.look(now, &[], BTreeMap::new, |_| 26);
+    assert_eq!(
+        reach
+            .machines_to_probe(now, |_| names.into_iter(), |_| 0)
+            .len(),
+        0
+    );
+    // Its block is leased to another controller.
+    reach.evaluate(now, &[], BTreeMap::new, |_| 26);
     assert!(reach.is_isolated() && !reach.can_serve_zone(now, "n-0", "n-0", "a"));
-    // It leaves the lead to others, but not again and again, and to nobody.
+    // It resigns from leadership only if another controller can take over, and once in 30 s.
     assert!(!reach.should_resign(now, false) && reach.should_resign(now, true));
-    reach.resigned(now);
+    reach.record_resignation(now);
     assert!(!reach.should_resign(now + ms(29_000), true));
     assert!(reach.should_resign(now + ms(31_000), true));
-    let asked = reach.questions(now, |_| names.into_iter(), |_| 0);
-    assert_eq!(asked.len(), PROBES);
-    assert_eq!(reach.questions(now, |_| names.into_iter(), |_| 0).len(), 0);
-    reach.answered(now, "a", "vm-1");
+    let asked = reach.machines_to_probe(now, |_| names.into_iter(), |_| 0);
+    assert_eq!(asked.len(), MAX_PROBES);
+    assert_eq!(
+        reach
+            .machines_to_probe(now, |_| names.into_iter(), |_| 0)
+            .len(),
+        0
+    );
+    reach.record_probe_answer(now, "a", "vm-1");
     now += ms(250);
-    reach.look(now, &[], BTreeMap::new, |_| 26);
+    reach.evaluate(now, &[], BTreeMap::new, |_| 26);
     assert!(reach.is_isolated(), "one is not enough");
-    reach.answered(now, "a", "vm-2");
+    reach.record_probe_answer(now, "a", "vm-2");
     now += ms(250);
-    reach.look(now, &[], BTreeMap::new, |_| 26);
+    reach.evaluate(now, &[], BTreeMap::new, |_| 26);
     assert!(!reach.is_isolated() && reach.can_serve_zone(now, "n-0", "n-0", "a"));
 }
 
-/// A controller that was cut from its workers got the blocks of one that died,
-/// in zones where it had held nothing.
+/// A controller without links to its workers got the blocks of a controller that died, in
+/// zones where it had held none.
 #[test]
-fn whoever_hears_nobody_serves_no_zone_before_somebody_there_answers() {
+fn a_controller_that_hears_no_worker_serves_no_zone_until_machines_there_answer() {
     let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 26))]);
     let everywhere = ["a".to_owned(), "b".to_owned()];
     let mut now = ms(0);
     while now < ms(20_000) {
-        reach.look(now, &everywhere, held, |_| 26);
+        reach.evaluate(now, &everywhere, held, |_| 26);
         now += ms(250);
     }
     assert!(!reach.can_serve_zone(now, "n-0", "n-0", "b"));
     let names = ["vm-1", "vm-2", "vm-3"];
     assert_eq!(
-        reach.questions(now, |_| names.into_iter(), |_| 0).len(),
+        reach
+            .machines_to_probe(now, |_| names.into_iter(), |_| 0)
+            .len(),
         3,
-        "of the zone in which it holds nothing"
+        "machines of the zone in which it holds none"
     );
-    reach.answered(now, "b", "vm-1");
-    reach.answered(now, "b", "vm-2");
+    reach.record_probe_answer(now, "b", "vm-1");
+    reach.record_probe_answer(now, "b", "vm-2");
     reach.record_report(now, 1, "vm-1");
-    reach.look(now + ms(250), &everywhere, held, |_| 26);
+    reach.evaluate(now + ms(250), &everywhere, held, |_| 26);
     assert!(reach.can_serve_zone(now, "n-0", "n-0", "b"));
 }
 
-/// Two were cut from their workers, then peers refused each other: the words
-/// were forgotten after three seconds, and blocks went back to those two.
+/// Two controllers lost the links to their workers, then the links to their peers. Their
+/// messages expired after 3 s, and blocks were leased to the two again.
 #[test]
-fn what_a_peer_does_not_reach_outlasts_its_word() {
+fn unreached_zones_outlive_the_message_of_a_peer() {
     let mut reach = Reachability::new(PERIOD);
     let everywhere = ["a".to_owned(), "b".to_owned()];
-    let said = |zones: &[String]| ReachWord {
+    let message_of = |zones: &[String]| ReachWord {
         zones: zones.to_vec(),
-        ..word(vec![])
+        ..message(vec![])
     };
-    let later = |reach: &mut Reachability, at| {
-        reach.look(ms(at), &everywhere, BTreeMap::new, |_| 26);
+    let status_at = |reach: &mut Reachability, at| {
+        reach.evaluate(ms(at), &everywhere, BTreeMap::new, |_| 26);
         (
             reach.can_serve_zone(ms(at), "n-0", "n-1", "a"),
             reach.is_suspect("n-0", "n-1"),
         )
     };
-    reach.hear(ms(1000), said(&everywhere[..1]));
-    assert_eq!(later(&mut reach, 40_000), (false, true));
-    // Not for ever, as the word that all is well may have been lost.
-    assert_eq!(later(&mut reach, 62_000), (true, false));
-    reach.hear(ms(70_000), said(&everywhere));
-    reach.hear(ms(71_000), said(&[]));
-    assert_eq!(later(&mut reach, 72_000), (true, false));
-    reach.hear(ms(73_000), said(&everywhere));
-    reach.restarted(|_| Some(1 + word(vec![]).incarnation));
-    assert_eq!(later(&mut reach, 74_000), (true, false));
+    reach.receive_message(ms(1000), message_of(&everywhere[..1]));
+    assert_eq!(status_at(&mut reach, 40_000), (false, true));
+    // They expire too, as the empty message that revokes them may have been lost.
+    assert_eq!(status_at(&mut reach, 62_000), (true, false));
+    reach.receive_message(ms(70_000), message_of(&everywhere));
+    reach.receive_message(ms(71_000), message_of(&[]));
+    assert_eq!(status_at(&mut reach, 72_000), (true, false));
+    reach.receive_message(ms(73_000), message_of(&everywhere));
+    reach.forget_previous_incarnations(|_| Some(1 + message(vec![]).incarnation));
+    assert_eq!(status_at(&mut reach, 74_000), (true, false));
 }
 
-/// All machines had gone, and controllers left the lead to each other for
-/// minutes, as nobody was there to answer.
+/// With all machines gone no probe could be answered, and controllers resigned from leadership
+/// in turn for minutes.
 #[test]
-fn where_nobody_is_left_nobody_is_out_of_reach() {
+fn a_zone_without_machines_is_not_unreached() {
     let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 2))]);
     for step in 0..80 {
-        reach.look(ms(250 * step), &[], held, |_| 26);
+        reach.evaluate(ms(250 * step), &[], held, |_| 26);
     }
     assert!(!reach.can_serve_zone(ms(20_000), "n-0", "n-0", "a"));
-    reach.look(ms(20_250), &[], BTreeMap::new, |_| 0);
+    reach.evaluate(ms(20_250), &[], BTreeMap::new, |_| 0);
     assert!(!reach.is_isolated() && reach.can_serve_zone(ms(20_250), "n-0", "n-0", "a"));
 }
 
-/// Whatever the links do, so many blocks move in a minute at most.
+/// A flapping link moves a bounded number of blocks per minute.
 #[test]
 fn moves_in_a_minute_are_bounded() {
     let (mut reach, mut rng) = (leader(), fastrand::Rng::with_seed(3));
@@ -271,7 +291,7 @@
     let mut term = 7;
     while now < ms(400_000) {
         if rng.bool() {
-            reach.hear(now, word(vec![1]));
+            reach.receive_message(now, message(vec![1]));
         }
         for _ in 0..3 {
             reach.record_stray(now, &report(rng.usize(0..9), term), (1, term), "n-1");
@@ -280,8 +300,8 @@
             term,
             ..block(9)[0].clone()
         }];
-        for found in reach.moves(now, "n-0", &looked) {
-            reach.moved(now, "n-1", "a", found.unheard);
+        for found in reach.blocks_to_move(now, "n-0", &looked) {
+            reach.record_move(now, "n-1", "a", found.unheard);
             moved.push(now);
             term += 1;
         }
@@ -294,161 +314,162 @@
     assert!(moved.len() > 8 && most.max() <= Some(2), "{moved:?}");
 }
 
-/// The records that we go by are late: the worker has heard of a lease that we have
-/// not seen, and was sent back to the holder before.
+/// This controller's records are behind: the worker knows a lease that is not seen here yet.
+/// It was redirected to the previous holder.
 #[test]
-fn a_worker_that_knows_a_later_lease_waits_until_it_is_seen() {
+fn a_worker_that_knows_a_later_lease_waits_for_the_records() {
     let (mut reach, now) = (leader(), ms(60_000));
-    let advice = reach.record_stray(now, &report(1, 8), (1, 7), "n-1");
-    assert_eq!(advice, StrayAction::AwaitRecords);
+    let action = reach.record_stray(now, &report(1, 8), (1, 7), "n-1");
+    assert_eq!(action, StrayAction::AwaitRecords);
 }
 
-/// The holder lost the block and told nothing of it any more; whoever saw the new lease
-/// later than that sent workers back to it.
+/// After it lost the block the holder no longer reported it as unheard, and peers that saw the
+/// new lease later than that message redirected workers back to it.
 #[test]
-fn a_block_that_was_lost_while_unheard_is_told_for_a_while() {
+fn a_block_lost_while_unheard_stays_in_messages_for_a_while() {
     let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 26))]);
     let mut now = ms(0);
     while now < ms(20_000) {
-        reach.look(now, &[], held, |_| 26);
+        reach.evaluate(now, &[], held, |_| 26);
         now += ms(250);
     }
-    let told = |reach: &mut Reachability, now| reach.tell(now, "n-0", 1).map(|word| word.unheard);
-    reach.look(now, &[], BTreeMap::new, |_| 26);
-    assert_eq!(told(&mut reach, now), Some(vec![1]));
-    now += WORD_LIFETIME;
-    reach.look(now, &[], BTreeMap::new, |_| 26);
-    assert_eq!(told(&mut reach, now), Some(Vec::new()));
+    let reported = |reach: &mut Reachability, now| {
+        reach
+            .next_message(now, "n-0", 1)
+            .map(|message| message.unheard)
+    };
+    reach.evaluate(now, &[], BTreeMap::new, |_| 26);
+    assert_eq!(reported(&mut reach, now), Some(vec![1]));
+    now += MESSAGE_LIFETIME;
+    reach.evaluate(now, &[], BTreeMap::new, |_| 26);
+    assert_eq!(reported(&mut reach, now), Some(Vec::new()));
 }
 
-/// The only worker of a new block was heard once, and nothing more for as long as others
-/// might have looked for us.
+/// The only worker of a new block is heard once: its silence counts from then, although other
+/// workers might still be looking for their holder.
 #[test]
-fn whoever_was_heard_is_missed_at_once() {
+fn a_worker_heard_in_the_grace_period_is_missed_without_delay() {
     let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 1))]);
     let mut unheard_at = None;
     for step in 0..80 {
         let now = ms(250 * step);
-        reach.look(now, &[], held, |_| 26);
+        reach.evaluate(now, &[], held, |_| 26);
         if step == 4 {
             reach.record_report(now, 1, "vm-1");
         }
-        let is_unheard = reach
-            .blocks
-            .values()
-            .any(|block_liveness| block_liveness.unheard);
+        let is_unheard = reach.blocks.values().any(|liveness| liveness.unheard);
         unheard_at = unheard_at.or(is_unheard.then_some(now));
     }
-    let unheard_at = unheard_at.expect("it is noticed");
+    let unheard_at = unheard_at.expect("the block becomes unheard");
     assert!(
         unheard_at <= ms(1000) + PERIOD * 7 / 5 + ms(250),
         "{unheard_at:?}"
     );
 }
 
-/// It came to a peer, which told of it.
+/// The machine reported to a peer, whose message names it.
 #[test]
-fn a_machine_that_came_to_others_lives() {
+fn a_stray_in_a_peers_message_is_known() {
     let (mut reach, now) = (leader(), ms(60_000));
     reach.record_stray(now, &report(1, 7), (1, 7), "n-1");
-    let told = reach.tell(now, "n-0", 1).expect("there is news");
+    let reported = reach.next_message(now, "n-0", 1).expect("a message is due");
     assert!(reach.has_strayed(now, "vm-1") && !reach.has_strayed(now, "vm-2"));
     let mut other = Reachability::new(PERIOD);
-    other.hear(now, told);
+    other.receive_message(now, reported);
     assert!(other.has_strayed(now, "vm-1"));
 }
 
-/// The first machine of a block that was empty was heard before it was counted, and then
-/// nothing more: it was missed 5 s later than others.
+/// The first machine of an empty block was heard only before it was counted; its silence was
+/// noticed 5 s later than that of others.
 #[test]
-fn the_first_machine_of_an_empty_block_is_missed_at_once() {
+fn the_first_machine_of_an_empty_block_is_missed_without_delay() {
     let mut reach = Reachability::new(PERIOD);
     let held = |machines| move || BTreeMap::from([(1, ("a".to_owned(), machines))]);
     reach.block_acquired(ms(0), 1, "a");
     for step in 0..80 {
-        reach.look(ms(250 * step), &[], held(0), |_| 0);
+        reach.evaluate(ms(250 * step), &[], held(0), |_| 0);
     }
     let heard = ms(79 * 250 + 100);
     reach.record_report(heard, 1, "vm-1");
     let mut now = heard + ms(150);
     while now <= heard + PERIOD * 7 / 5 {
-        reach.look(now, &[], held(1), |_| 26);
+        reach.evaluate(now, &[], held(1), |_| 26);
         assert!(!reach.blocks[&1].unheard, "{now:?}");
         now += ms(250);
     }
-    reach.look(now, &[], held(1), |_| 26);
+    reach.evaluate(now, &[], held(1), |_| 26);
     assert!(reach.blocks[&1].unheard);
 }
 
-/// New machines came into the block of a holder that heard nobody: they had never been
-/// heard, proved nothing, and only raised how many strays were needed.
+/// Machines that joined a block after it became unheard had never been heard by its holder, so
+/// they were no evidence, but they raised the number of strays that were needed.
 #[test]
-fn new_machines_of_a_unheard_holder_are_not_needed_as_strays() {
+fn machines_that_join_an_unheard_block_do_not_raise_the_needed_strays() {
     let (mut reach, now) = (leader(), ms(60_000));
-    reach.hear(now, word(vec![1]));
-    assert_eq!(reach.moves(now, "n-0", &block(1)), []);
+    reach.receive_message(now, message(vec![1]));
+    assert_eq!(reach.blocks_to_move(now, "n-0", &block(1)), []);
     reach.record_stray(now, &report(1, 7), (1, 7), "n-1");
-    let moves = reach.moves(now, "n-0", &block(5));
+    let moves = reach.blocks_to_move(now, "n-0", &block(5));
     assert_eq!(
         (moves.len(), moves.first().map(|m| m.unheard)),
         (1, Some(true))
     );
-    // It counts from anew once it has heard somebody.
-    reach.hear(now, word(Vec::new()));
-    assert_eq!(reach.moves(now, "n-0", &block(5)), []);
-    reach.hear(now, word(vec![1]));
-    assert_eq!(reach.moves(now, "n-0", &block(5)), []);
+    // The count starts anew once the holder has heard a worker.
+    reach.receive_message(now, message(Vec::new()));
+    assert_eq!(reach.blocks_to_move(now, "n-0", &block(5)), []);
+    reach.receive_message(now, message(vec![1]));
+    assert_eq!(reach.blocks_to_move(now, "n-0", &block(5)), []);
 }
 
-/// A holder was unheard when its last machine went; it took the next one for one that it
-/// had only not heard yet.
+/// The last machine of an unheard block went, and the holder granted the next one a new grace
+/// period although it could not hear that one either.
 #[test]
 fn an_empty_block_stays_unheard_for_a_while() {
     let mut reach = Reachability::new(PERIOD);
     let held = |machines| move || BTreeMap::from([(1, ("a".to_owned(), machines))]);
     let mut now = ms(0);
     while now < ms(20_000) {
-        reach.look(now, &[], held(1), |_| 26);
+        reach.evaluate(now, &[], held(1), |_| 26);
         now += ms(250);
     }
     let is_unheard = |reach: &Reachability| reach.holder_hears_none("n-0", "n-0", 1);
-    reach.look(now, &[], held(0), |_| 0);
+    reach.evaluate(now, &[], held(0), |_| 0);
     assert!(is_unheard(&reach) && reach.is_suspect("n-0", "n-0"));
     now += ms(30_000);
-    reach.look(now, &[], held(1), |_| 26);
-    assert!(is_unheard(&reach), "the next one is not heard either");
+    reach.evaluate(now, &[], held(1), |_| 26);
+    assert!(is_unheard(&reach), "the next machine is not heard either");
     reach.record_report(now, 1, "vm-2");
-    reach.look(now + ms(250), &[], held(1), |_| 26);
+    reach.evaluate(now + ms(250), &[], held(1), |_| 26);
     assert!(!is_unheard(&reach));
 }
 
 #[test]
-fn an_empty_block_is_not_unheard_for_ever() {
+fn an_empty_block_does_not_stay_unheard_forever() {
     let mut reach = Reachability::new(PERIOD);
     let held = |machines| move || BTreeMap::from([(1, ("a".to_owned(), machines))]);
     for step in 0..400 {
         let machines = usize::from(step < 80);
-        reach.look(ms(250 * step), &[], held(machines), |_| machines);
+        reach.evaluate(ms(250 * step), &[], held(machines), |_| machines);
     }
     assert!(!reach.holder_hears_none("n-0", "n-0", 1));
 }
 
-/// A controller had lost its only machine, and would only take blocks again once two had
-/// answered it where there was one.
+/// A controller that had lost the only machine of a zone needed answers of two machines before
+/// it was eligible for blocks there again.
 #[test]
 fn no_more_answers_are_needed_than_there_are_machines() {
     let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 1))]);
     let mut now = ms(0);
     while now < ms(20_000) {
-        reach.look(now, &[], held, |_| 1);
+        reach.evaluate(now, &[], held, |_| 1);
         now += ms(250);
     }
-    reach.look(now, &[], BTreeMap::new, |_| 1);
+    reach.evaluate(now, &[], BTreeMap::new, |_| 1);
     assert!(!reach.can_serve_zone(now, "n-0", "n-0", "a"));
-    reach.answered(now, "a", "vm-1");
-    reach.look(now + ms(250), &[], BTreeMap::new, |_| 1);
+    reach.record_probe_answer(now, "a", "vm-1");
+    reach.evaluate(now + ms(250), &[], BTreeMap::new, |_| 1);
     assert!(reach.can_serve_zone(now, "n-0", "n-0", "a"));
 }
