--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -580,7 +580,7 @@
         }
         self.hand_out();
         self.send_orders();
-        self.gossip();
+        self.send_due_peer_messages();
     }
 
     fn request(&mut self, request: Request) {
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -250,7 +250,7 @@
     }
 
     /// Tells the others, when it is time or there is news for the leader.
-    pub(crate) fn gossip(&mut self) {
+    pub(crate) fn send_due_peer_messages(&mut self) {
         let now = self.now;
         if !self.store.ready {
             return;
--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -260,8 +260,8 @@
         holder: &str,
     ) -> StrayAction {
         let machine = &report.machine;
-        let knows = report.token == term;
-        let settled = knows && self.is_settled(now, block);
+        let knows_term = report.token == term;
+        let settled = knows_term && self.is_settled(now, block);
         let fresh = Stray {
             block,
             term,
@@ -275,15 +275,15 @@
             (stray.block, stray.term) = (block, term);
             (stray.settled, stray.times) = (settled, 0);
         }
-        let was_sent_back = now > stray.at + MIN_REDIRECT_INTERVAL && !stray.served;
-        if stray.times == 0 || was_sent_back {
+        let was_redirected = now > stray.at + MIN_REDIRECT_INTERVAL && !stray.served;
+        if stray.times == 0 || was_redirected {
             stray.times += 1;
             self.has_changes = true;
         }
         stray.served = false;
         stray.at = now;
         stray.settled |= settled;
-        let repeated = knows && stray.times > 1;
+        let repeated = knows_term && stray.times > 1;
         let settled = stray.settled;
         let others = self.strays.iter().filter(|(name, s)| {
             *name != machine && s.term == term && s.settled && now < s.at + STRAY_WINDOW
