--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -102,7 +102,7 @@
             Ok(spec) => spec,
             Err(e) => return self.refuse(conn, 400, &e.to_string()),
         };
-        if self.program < FormatLevel::PIPELINES {
+        if self.supported_level < FormatLevel::PIPELINES {
             spec.awaits.clear();
         }
         let id = spec.id.clone();
@@ -117,7 +117,7 @@
         if !self.in_contact() {
             return self.relay_to_peer(conn, "the state service can not be reached");
         }
-        if self.types.is_empty() {
+        if self.machine_types.is_empty() {
             return self.refuse_with_retry(conn, "the machine types are not known yet");
         }
         if let Err(why) = self.can_ever_run(&spec) {
@@ -267,7 +267,7 @@
             return Err("unknown zone");
         }
         let need = spec.amounts();
-        let fits_some = self.types.values().any(|t| {
+        let fits_some = self.machine_types.values().any(|t| {
             spec.allows_type(&t.name)
                 && fits(&need, &t.amounts())
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
--- a/crates/core/src/assigned_tasks.rs
+++ b/crates/core/src/assigned_tasks.rs
@@ -20,7 +20,7 @@
     pub spec: Rc<JobSpec>,
     pub block: BlockId,
     /// The term at hand-out.
-    pub handed_term: Term,
+    pub assigned_term: Term,
     pub state: AssignmentState,
     /// Its user has cancelled the job.
     pub cancelled: bool,
@@ -153,7 +153,7 @@
         let tasks: Vec<_> = self
             .assigned_tasks
             .range(id.task(0)..=id.task(u32::MAX))
-            .filter(|(_, slot)| !slot.cancelled)
+            .filter(|(_, assigned)| !assigned.cancelled)
             .map(|(task, _)| task.clone())
             .collect();
         for task in tasks {
@@ -166,11 +166,11 @@
         if self.sabotage == Some(crate::Sabotage::NoStops) {
             return;
         }
-        let Some(slot) = self.assigned_tasks.get_mut(task) else {
+        let Some(assigned) = self.assigned_tasks.get_mut(task) else {
             return;
         };
-        slot.cancelled = true;
-        match &mut slot.state {
+        assigned.cancelled = true;
+        match &mut assigned.state {
             AssignmentState::Free { .. } => self.set_task_state(task, AssignmentState::Returning),
             // Its start has not gone out.
             AssignmentState::Bound(bound) if bound.start_sent_with.is_none() => {
@@ -217,15 +217,15 @@
             let known = self
                 .assigned_tasks
                 .get(&task)
-                .map(|s| (s.block, s.handed_term));
+                .map(|s| (s.block, s.assigned_term));
             match (ours, known) {
                 (None, None) => {}
                 (None, Some(_)) => self.unassign(&task),
                 (Some(new), Some(old)) if new == old => {}
                 // The same hand-out, its term over and no longer told.
                 (Some((block, 0)), Some((old, _))) if block == old => {
-                    if let Some(slot) = self.assigned_tasks.get_mut(&task) {
-                        slot.handed_term = 0;
+                    if let Some(assigned) = self.assigned_tasks.get_mut(&task) {
+                        assigned.assigned_term = 0;
                     }
                 }
                 (Some((block, term)), known) => {
@@ -254,25 +254,25 @@
         task: TaskId,
         spec: Rc<JobSpec>,
         block: BlockId,
-        handed_term: Term,
+        assigned_term: Term,
         cancelled: bool,
     ) {
         let Some(held) = self.held_blocks.get_mut(&block) else {
             return;
         };
         // Handed under our own term: no earlier holder can have started it.
-        let ours = handed_term == held.term;
+        let ours = assigned_term == held.term;
         held.unlocated += 1;
-        log::debug!("{task}: handed to block {block} under term {handed_term}");
-        let slot = AssignedTask {
+        log::debug!("{task}: handed to block {block} under term {assigned_term}");
+        let assigned = AssignedTask {
             spec,
             block,
-            handed_term,
+            assigned_term,
             state: AssignmentState::Unlocated,
             cancelled,
             failed_on: Vec::new(),
         };
-        self.assigned_tasks.insert(task.clone(), slot);
+        self.assigned_tasks.insert(task.clone(), assigned);
         if let Some(bound) = self.started_before(&task) {
             self.set_task_state(&task, AssignmentState::Bound(bound));
         } else if ours {
@@ -290,11 +290,11 @@
 
     /// Changes where a task stands, with all that hangs on it.
     pub(crate) fn set_task_state(&mut self, task: &TaskId, state: AssignmentState) {
-        let Some(slot) = self.assigned_tasks.get_mut(task) else {
+        let Some(assigned) = self.assigned_tasks.get_mut(task) else {
             return;
         };
         let mut touched = Vec::new();
-        match &slot.state {
+        match &assigned.state {
             AssignmentState::Bound(bound) => {
                 if let Some(machine) = self.machines.get_mut(&bound.machine) {
                     machine.bound_tasks.remove(task);
@@ -305,7 +305,7 @@
                 self.unplaced.remove(task);
             }
             AssignmentState::Unlocated => {
-                if let Some(held) = self.held_blocks.get_mut(&slot.block) {
+                if let Some(held) = self.held_blocks.get_mut(&assigned.block) {
                     held.unlocated = held.unlocated.saturating_sub(1);
                 }
             }
@@ -313,8 +313,8 @@
                 self.unrecorded.remove(task);
             }
         }
-        slot.state = state;
-        match &slot.state {
+        assigned.state = state;
+        match &assigned.state {
             AssignmentState::Bound(bound) => {
                 if let Some(machine) = self.machines.get_mut(&bound.machine) {
                     machine.bound_tasks.insert(task.clone());
@@ -333,7 +333,7 @@
                 }
             }
             AssignmentState::Unlocated => {
-                if let Some(held) = self.held_blocks.get_mut(&slot.block) {
+                if let Some(held) = self.held_blocks.get_mut(&assigned.block) {
                     held.unlocated += 1;
                 }
             }
@@ -348,11 +348,12 @@
     /// been moved within the block by that holder, so until every machine of
     /// the block has been proven, it counts as lost instead.
     pub(crate) fn release_task(&mut self, task: &TaskId, evidence: AbsenceProof, wait: Duration) {
-        let Some(slot) = self.assigned_tasks.get(task) else {
+        let Some(assigned) = self.assigned_tasks.get(task) else {
             return;
         };
-        log::debug!("{task}: nowhere in block {}: {evidence}", slot.block);
-        let ours = self.held_blocks.get(&slot.block).map(|h| h.term) == Some(slot.handed_term);
+        log::debug!("{task}: nowhere in block {}: {evidence}", assigned.block);
+        let ours =
+            self.held_blocks.get(&assigned.block).map(|h| h.term) == Some(assigned.assigned_term);
         if !ours && let Some((machine, session, entry)) = self.listed_elsewhere(task) {
             self.set_task_state(task, AssignmentState::Unlocated);
             return self.apply_task_entry(&machine, session, &entry);
@@ -360,12 +361,12 @@
         // Handed to an earlier holder, it is nowhere only if the whole block is.
         let evidence = match ours {
             true => Some(evidence),
-            false => self.block_clearance(slot.block),
+            false => self.block_clearance(assigned.block),
         };
         let Some(evidence) = evidence else {
             return self.set_task_state(task, AssignmentState::Unlocated);
         };
-        let state = if slot.cancelled || slot.bound().is_some_and(|b| b.stop.is_some()) {
+        let state = if assigned.cancelled || assigned.bound().is_some_and(|b| b.stop.is_some()) {
             AssignmentState::Returning
         } else {
             AssignmentState::Free {
@@ -386,9 +387,9 @@
         if self.sabotage == Some(crate::Sabotage::FirstReportOnly) {
             return None;
         }
-        let slot = self.assigned_tasks.get(task)?;
-        let was = slot.bound().map(|b| (b.machine.as_str(), b.attempt));
-        let names = self.view.machines_by_block.get(&slot.block)?;
+        let assigned = self.assigned_tasks.get(task)?;
+        let was = assigned.bound().map(|b| (b.machine.as_str(), b.attempt));
+        let names = self.view.machines_by_block.get(&assigned.block)?;
         names.iter().find_map(|name| {
             let machine = self.machines.get(name).filter(|m| !m.lease.is_expired())?;
             let entry = machine.tasks.iter().find(|t| {
@@ -413,10 +414,10 @@
         // Only we may say that it is nowhere or done. If it was started and neither
         // was said, the task may still run: handed to us again under the same term, it
         // would be taken to have never been started.
-        if let Some(slot) = self.assigned_tasks.get_mut(task)
-            && let Some(bound) = slot.bound_mut().filter(|b| b.start_sent_with.is_some())
+        if let Some(assigned) = self.assigned_tasks.get_mut(task)
+            && let Some(bound) = assigned.bound_mut().filter(|b| b.start_sent_with.is_some())
         {
-            let (bound, block) = (bound.clone(), slot.block);
+            let (bound, block) = (bound.clone(), assigned.block);
             self.invariants.started_task_dropped(task, block, bound);
         }
         self.remove_assigned(task);
--- a/crates/core/src/assigned_tasks/tests.rs
+++ b/crates/core/src/assigned_tasks/tests.rs
@@ -144,8 +144,8 @@
         // The copy, with the attempt that was stopped since; then what is true.
         controller.apply_report(report(3, 4, 11), Origin::Report);
         controller.apply_report(report(17, 9, 12), Origin::Orders);
-        let slot = &controller.assigned_tasks[&task];
-        slot.bound().map(|b| (b.machine.clone(), b.attempt))
+        let assigned = &controller.assigned_tasks[&task];
+        assigned.bound().map(|b| (b.machine.clone(), b.attempt))
     };
     assert_eq!(stands(|_| {}), Some(("vm-1".to_owned(), 12)));
     #[cfg(feature = "sabotage")]
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -122,7 +122,7 @@
     /// The name of the machine.
     pub name: &'a str,
     /// The task, if it is handed to a block that we hold.
-    pub slot: Option<&'a AssignedTask>,
+    pub assigned: Option<&'a AssignedTask>,
 }
 
 impl Attempt<'_> {
@@ -157,12 +157,12 @@
         if entry.state != TaskState::Exited {
             return Err(ForgetRefusal::Alive);
         }
-        let bound = self.slot.and_then(AssignedTask::bound);
+        let bound = self.assigned.and_then(AssignedTask::bound);
         if bound.is_some_and(|b| b.machine == self.name && b.attempt == entry.attempt) {
             return Err(ForgetRefusal::StillBound);
         }
         let done = self
-            .slot
+            .assigned
             .is_some_and(|s| matches!(s.state, AssignmentState::Done));
         if entry.why == Some(Why::Done) && done {
             return Err(ForgetRefusal::NotRecorded);
--- a/crates/core/src/attempt/tests.rs
+++ b/crates/core/src/attempt/tests.rs
@@ -39,11 +39,11 @@
     }
 }
 
-fn slot(state: AssignmentState) -> AssignedTask {
+fn assigned(state: AssignmentState) -> AssignedTask {
     AssignedTask {
         spec: Rc::new(job_spec()),
         block: 1,
-        handed_term: 5,
+        assigned_term: 5,
         state,
         cancelled: false,
         failed_on: Vec::new(),
@@ -69,7 +69,7 @@
         let attempt = Attempt {
             machine: &machine,
             name: "vm-1",
-            slot: None,
+            assigned: None,
         };
         attempt.may_start(&bound, tenure)
     };
@@ -93,7 +93,7 @@
 #[test]
 fn only_ends_that_are_recorded_and_can_not_come_again_are_forgotten() {
     let done = || entry(TaskState::Exited, Some(Why::Done));
-    let decides = |entry: TaskReport, slot: Option<AssignedTask>, starts_late: bool| {
+    let decides = |entry: TaskReport, assigned: Option<AssignedTask>, starts_late: bool| {
         let mut machine = machine();
         if starts_late {
             machine.unanswered_starts.insert((task(), ATTEMPT));
@@ -101,16 +101,20 @@
         let attempt = Attempt {
             machine: &machine,
             name: "vm-1",
-            slot: slot.as_ref(),
+            assigned: assigned.as_ref(),
         };
         attempt.may_forget(&entry)
     };
     assert_eq!(decides(done(), None, false), Ok(()));
     let runs = decides(entry(TaskState::Running, None), None, false);
     assert_eq!(runs, Err(ForgetRefusal::Alive));
-    let bound = decides(done(), Some(slot(AssignmentState::Bound(bound()))), false);
+    let bound = decides(
+        done(),
+        Some(assigned(AssignmentState::Bound(bound()))),
+        false,
+    );
     assert_eq!(bound, Err(ForgetRefusal::StillBound));
-    let unrecorded = decides(done(), Some(slot(AssignmentState::Done)), false);
+    let unrecorded = decides(done(), Some(assigned(AssignmentState::Done)), false);
     assert_eq!(unrecorded, Err(ForgetRefusal::NotRecorded));
     assert_eq!(
         decides(done(), None, true),
@@ -128,7 +132,7 @@
         let attempt = Attempt {
             machine: &machine,
             name: "vm-1",
-            slot: None,
+            assigned: None,
         };
         let bound = Bound {
             evidence: Some(evidence),
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -122,7 +122,7 @@
                 let mut machine = Machine::new(record, term, self.now);
                 for image in self.last_known_images(name) {
                     let gb = self.image_size(&image);
-                    let kind = self.types.get(&machine.record.kind);
+                    let kind = self.machine_types.get(&machine.record.kind);
                     machine.note_image(&image, gb, kind);
                 }
                 self.machines.insert(name.to_owned(), machine);
@@ -324,24 +324,24 @@
         if self.sabotage == Some(crate::Sabotage::IdleWithUnrecordedEnds) {
             return false;
         }
-        let slot = self.assigned_tasks.get(task);
-        slot.is_some_and(|slot| matches!(slot.state, AssignmentState::Done))
+        let assigned = self.assigned_tasks.get(task);
+        assigned.is_some_and(|assigned| matches!(assigned.state, AssignmentState::Done))
     }
 
     /// One task on a machine.
     pub(crate) fn apply_task_entry(&mut self, name: &str, session: u64, entry: &TaskReport) {
         let task = &entry.task;
-        let Some(slot) = self.assigned_tasks.get_mut(task) else {
+        let Some(assigned) = self.assigned_tasks.get_mut(task) else {
             return;
         };
-        let spec = slot.spec.clone();
-        let here = match &slot.state {
+        let spec = assigned.spec.clone();
+        let here = match &assigned.state {
             AssignmentState::Bound(b) => b.machine == name && b.attempt == entry.attempt,
             // Found: what an earlier holder started goes on.
             AssignmentState::Unlocated | AssignmentState::Free { .. }
                 if entry.state != TaskState::Exited =>
             {
-                let stop = slot.cancelled.then_some(Stop {
+                let stop = assigned.cancelled.then_some(Stop {
                     grace: Duration::ZERO,
                     sent: false,
                 });
@@ -370,7 +370,7 @@
             return;
         }
         let kind = self.machines.get(name).map(|m| m.record.kind.clone());
-        let kind = kind.and_then(|k| self.types.get(&k).cloned());
+        let kind = kind.and_then(|k| self.machine_types.get(&k).cloned());
         let has_image = matches!(
             entry.state,
             TaskState::Running | TaskState::Waiting | TaskState::Saving
@@ -430,9 +430,9 @@
                         log::info!("{name}: task after task fails on it; avoided");
                     }
                 }
-                if let Some(slot) = self.assigned_tasks.get_mut(task) {
-                    slot.failed_on.push(name.to_owned());
-                    let times = slot.failed_on.len().min(6) as u32;
+                if let Some(assigned) = self.assigned_tasks.get_mut(task) {
+                    assigned.failed_on.push(name.to_owned());
+                    let times = assigned.failed_on.len().min(6) as u32;
                     wait = RETRY * 2u32.pow(times.saturating_sub(1));
                 }
             }
@@ -449,10 +449,10 @@
     /// Whether a job's tasks have failed on several machines: then it is the
     /// job, and no machine is to blame.
     fn job_fails(&self, task: &TaskId) -> bool {
-        let slots = self
+        let tasks = self
             .assigned_tasks
             .range(task.job.task(0)..=task.job.task(u32::MAX));
-        let mut machines: Vec<_> = slots.flat_map(|(_, s)| &s.failed_on).collect();
+        let mut machines: Vec<_> = tasks.flat_map(|(_, s)| &s.failed_on).collect();
         machines.sort();
         machines.dedup();
         machines.len() >= 2
--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -34,7 +34,7 @@
     /// Everybody needs the machine types; only the leader needs prices.
     pub(crate) fn cloud_tick(&mut self) {
         let now = self.now;
-        let wanted = self.types.is_empty() || self.leader.is_some();
+        let wanted = self.machine_types.is_empty() || self.leader.is_some();
         if wanted && now >= self.fleet.types_at && self.fleet.budget.take(now, 1.0, 0.0) {
             self.fleet.types_at = now + TIMEOUT;
             self.cloud_call(Method::Get, "/machine_types", Vec::new(), CloudCall::Types);
@@ -84,11 +84,11 @@
                     && let Ok(types) = decode::<MachineTypes>(body)
                 {
                     self.fleet.types_at = self.now + TYPES_PERIOD;
-                    if self.types.is_empty() {
+                    if self.machine_types.is_empty() {
                         log::info!("{} machine types known", types.types.len());
                     }
                     let types = types.types.into_iter();
-                    self.types = types.map(|t| (t.name.clone(), t)).collect();
+                    self.machine_types = types.map(|t| (t.name.clone(), t)).collect();
                 }
             }
             CloudCall::List => {
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -106,7 +106,7 @@
     /// Requests are answered as they came, whoever asks.
     NoPriorities,
     /// Late work has no floor.
-    NoFloors,
+    NoMinimumShares,
     /// What may have been spent of a record's shares is handed out again.
     SharesReissued,
     /// A controller that begins anew spends its shares once more.
@@ -208,8 +208,8 @@
 /// A request that the controller made and has no reply to yet.
 #[derive(Debug)]
 pub(crate) enum Pending {
-    NewHold,
-    TouchHold,
+    LeaseGrant,
+    LeaseRenewal,
     Snapshot(SnapshotPart),
     Watch {
         after: u64,
@@ -225,12 +225,12 @@
         starts: Vec<(TaskId, u64)>,
         term: u64,
         /// The worker has not answered lately.
-        doubtful: bool,
+        unresponsive: bool,
     },
-    Peer(String, u64),
+    PeerMessage(String, u64),
     FormatLevel(String),
     Reach,
-    Carried(ConnId),
+    RelayedRequest(ConnId),
     ForwardedReport(ConnId),
     Inspect {
         zone: String,
@@ -252,13 +252,13 @@
 }
 
 impl Pending {
-    fn lane(&self) -> OutboundKind {
+    fn connection_kind(&self) -> OutboundKind {
         match self {
             Self::Orders { .. } | Self::Inspect { .. } => OutboundKind::Orders,
-            Self::Peer(..)
+            Self::PeerMessage(..)
             | Self::FormatLevel(_)
             | Self::Reach
-            | Self::Carried(_)
+            | Self::RelayedRequest(_)
             | Self::ForwardedReport(_) => OutboundKind::Peers,
             _ => OutboundKind::Outside,
         }
@@ -266,13 +266,16 @@
 
     /// Whether the state service was asked.
     fn is_state(&self) -> bool {
-        !matches!(self, Self::Cloud(_)) && self.lane() == OutboundKind::Outside
+        !matches!(self, Self::Cloud(_)) && self.connection_kind() == OutboundKind::Outside
     }
 
-    fn is_doubtful(&self) -> bool {
+    fn targets_unresponsive_worker(&self) -> bool {
         matches!(
             self,
-            Self::Orders { doubtful: true, .. } | Self::Inspect { .. }
+            Self::Orders {
+                unresponsive: true,
+                ..
+            } | Self::Inspect { .. }
         )
     }
 }
@@ -282,9 +285,9 @@
 pub struct Controller {
     pub(crate) settings: Rc<Settings>,
     /// The limits of the state service that are to come.
-    pub(crate) lowered: StateLimits,
+    pub(crate) lowered_limits: StateLimits,
     /// The newest form of records that this program knows.
-    pub(crate) program: FormatLevel,
+    pub(crate) supported_level: FormatLevel,
     pub(crate) upgrade: Upgrade,
     pub(crate) sockets: Sockets,
     pub(crate) request_queue: RequestQueue,
@@ -297,7 +300,7 @@
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Duration,
     pub(crate) wall_clock: Duration,
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
     next_call: CallId,
     pub(crate) calls: HashMap<CallId, (Pending, Duration)>,
     pub(crate) view: View,
@@ -307,7 +310,7 @@
     /// Our shares of what may be let in.
     pub(crate) gate: Gate,
     /// Machine types by name; empty until the cloud has told them.
-    pub(crate) types: BTreeMap<String, MachineType>,
+    pub(crate) machine_types: BTreeMap<String, MachineType>,
     pub(crate) held_blocks: BTreeMap<BlockId, HeldBlock>,
     pub(crate) machines: BTreeMap<String, Machine>,
     pub(crate) assigned_tasks: BTreeMap<TaskId, AssignedTask>,
@@ -368,21 +371,21 @@
             request_queue: RequestQueue::default(),
             input_pending: false,
             last_processed_at: Duration::ZERO,
-            lowered: settings.params.state.lowered(),
-            program: FormatLevel::SUPPORTED,
+            lowered_limits: settings.params.state.lowered(),
+            supported_level: FormatLevel::SUPPORTED,
             upgrade: Upgrade::default(),
             tuning,
             rng,
             now: Duration::ZERO,
             wall_clock: Duration::ZERO,
-            out: Vec::new(),
+            outputs: Vec::new(),
             next_call: 0,
             calls: HashMap::new(),
             view: View::default(),
             invariants: Invariants::default(),
             admission: Admission::default(),
             gate: Gate::default(),
-            types: BTreeMap::new(),
+            machine_types: BTreeMap::new(),
             held_blocks: BTreeMap::new(),
             machines: BTreeMap::new(),
             assigned_tasks: BTreeMap::new(),
@@ -413,9 +416,9 @@
     /// A stand-in for a program that knows no newer form than `level`: what it
     /// can't read it does not see, as the program in production does not.
     #[cfg(feature = "sabotage")]
-    pub fn of_level(settings: Settings, seed: u64, level: FormatLevel) -> Self {
+    pub fn with_supported_level(settings: Settings, seed: u64, level: FormatLevel) -> Self {
         Self {
-            program: level,
+            supported_level: level,
             ..Self::new(settings, seed)
         }
     }
@@ -496,7 +499,7 @@
             self.sockets.connection_closed(id);
             self.close(vec![Close::Inbound(id)]);
         }
-        self.out
+        self.outputs
             .extend(batch.read_from.into_iter().map(Output::ReadFrom));
         for request in batch.expired_users {
             self.refuse_with_retry(request.conn, "too much to do");
@@ -536,7 +539,7 @@
 
     /// What leaves now.
     fn take_outputs(&mut self) -> Vec<Output> {
-        let mut out = std::mem::take(&mut self.out);
+        let mut out = std::mem::take(&mut self.outputs);
         for output in &mut out {
             if let Output::Answer(answer) = output {
                 self.relay.wrap_answer(answer);
@@ -611,22 +614,22 @@
                 }
             }
             (Listener::Internal, (Some("reach"), None, ..), Method::Post)
-                if self.program >= FormatLevel::PIPELINES =>
+                if self.supported_level >= FormatLevel::PIPELINES =>
             {
                 self.receive_reach_message(conn, &body);
             }
             (Listener::Internal, (Some("carry"), None, ..), Method::Post)
-                if self.program >= FormatLevel::PIPELINES =>
+                if self.supported_level >= FormatLevel::PIPELINES =>
             {
                 self.receive_relayed_request(conn, &body);
             }
             (Listener::Internal, (Some("forward"), None, ..), Method::Post)
-                if self.program >= FormatLevel::PIPELINES =>
+                if self.supported_level >= FormatLevel::PIPELINES =>
             {
                 self.receive_forwarded_report(conn, &body);
             }
             (Listener::Internal, (Some("level"), None, ..), Method::Get)
-                if self.program >= FormatLevel::PIPELINES =>
+                if self.supported_level >= FormatLevel::PIPELINES =>
             {
                 self.tell_level(conn);
             }
@@ -650,14 +653,16 @@
         let Some((pending, sent)) = self.calls.remove(&call) else {
             return;
         };
-        self.sockets
-            .call_finished(pending.lane(), pending.is_doubtful());
+        self.sockets.call_finished(
+            pending.connection_kind(),
+            pending.targets_unresponsive_worker(),
+        );
         if pending.is_state() && matches!(reply, Reply::Answer { .. }) {
             self.store.answered = self.now;
         }
         match pending {
-            Pending::NewHold => self.lease_grant_answered(&reply, sent),
-            Pending::TouchHold => self.lease_renewal_answered(&reply, sent),
+            Pending::LeaseGrant => self.lease_grant_answered(&reply, sent),
+            Pending::LeaseRenewal => self.lease_renewal_answered(&reply, sent),
             Pending::Snapshot(part) => self.snapshot_answered(part, sent, &reply),
             Pending::Watch { after } => self.watch_answered(after, sent, &reply),
             Pending::Read { after, asks } => self.read_answered(after, sent, asks, &reply),
@@ -671,11 +676,13 @@
                 starts,
                 term,
                 ..
-            } => self.orders_done(&machine, &starts, term, &reply),
-            Pending::Peer(peer, version) => self.peer_message_answered(&peer, version, &reply),
+            } => self.orders_answered(&machine, &starts, term, &reply),
+            Pending::PeerMessage(peer, version) => {
+                self.peer_message_answered(&peer, version, &reply)
+            }
             Pending::FormatLevel(node) => self.level_told(&node, &reply),
             Pending::Reach => {}
-            Pending::Carried(conn) => self.relay_answered(conn, &reply),
+            Pending::RelayedRequest(conn) => self.relay_answered(conn, &reply),
             Pending::ForwardedReport(conn) => self.forward_answered(conn, &reply),
             Pending::Inspect { zone, machine } => self.inspect_answered(&zone, &machine, &reply),
         }
@@ -738,12 +745,14 @@
     ) -> CallId {
         self.next_call += 1;
         let id = self.next_call;
-        let close = self
-            .sockets
-            .call_started(self.now, pending.lane(), pending.is_doubtful());
+        let close = self.sockets.call_started(
+            self.now,
+            pending.connection_kind(),
+            pending.targets_unresponsive_worker(),
+        );
         self.close(close);
         self.calls.insert(id, (pending, self.now));
-        self.out.push(Output::Call(Call {
+        self.outputs.push(Output::Call(Call {
             id,
             to,
             method,
@@ -755,11 +764,11 @@
     }
 
     pub(crate) fn close(&mut self, close: Vec<Close>) {
-        self.out.extend(close.into_iter().map(Output::Close));
+        self.outputs.extend(close.into_iter().map(Output::Close));
     }
 
     pub(crate) fn answer(&mut self, conn: ConnId, status: u16, body: Vec<u8>) {
-        self.out.push(Output::Answer(Answer {
+        self.outputs.push(Output::Answer(Answer {
             conn,
             status,
             body,
@@ -785,7 +794,7 @@
         let body = oliveshift_wire::encode(&Refusal {
             error: error.to_owned(),
         });
-        self.out.push(Output::Answer(Answer {
+        self.outputs.push(Output::Answer(Answer {
             conn,
             status: 503,
             body,
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -226,7 +226,7 @@
     fn coming(&self) -> Vec<Offer> {
         let mut coming = Vec::new();
         let mut add = |offer: Offer, count: u32| {
-            if self.types.contains_key(&offer.kind) {
+            if self.machine_types.contains_key(&offer.kind) {
                 coming.extend((0..count).map(|_| offer.clone()));
             }
         };
@@ -266,7 +266,7 @@
 
     /// How long the fetch of a job's image takes where that is fastest.
     pub(crate) fn fetch_s(&self, spec: &JobSpec) -> f64 {
-        let rate = self.types.values().map(|t| t.fetch_gb_per_s);
+        let rate = self.machine_types.values().map(|t| t.fetch_gb_per_s);
         spec.image_gb / rate.fold(f64::MIN_POSITIVE, f64::max)
     }
 
@@ -354,12 +354,12 @@
 
     /// The usual boot time of the type that is up soonest.
     pub(crate) fn shortest_boot_s(&self) -> f64 {
-        let boot = self.types.values().map(|t| t.boot_s);
+        let boot = self.machine_types.values().map(|t| t.boot_s);
         boot.fold(f64::INFINITY, f64::min)
     }
 
     fn boot_s(&self, kind: &str) -> f64 {
-        self.types.get(kind).map_or(60.0, |k| k.boot_s)
+        self.machine_types.get(kind).map_or(60.0, |k| k.boot_s)
     }
 
     /// All room that work may be counted on.
@@ -376,7 +376,7 @@
 
     /// A machine that is not up yet.
     fn add_whole(&self, stock: &mut Stock, offer: &Offer) {
-        if let Some(kind) = self.types.get(&offer.kind) {
+        if let Some(kind) = self.machine_types.get(&offer.kind) {
             stock.add(&offer.kind, &offer.zone, offer.spot, kind.amounts());
         }
     }
@@ -403,7 +403,7 @@
         self.fleet.rent_at = now + Duration::from_millis(500);
         let rented = self.coming();
         let mut stock = self.stock(&rented, true);
-        let types: Vec<_> = self.types.values().cloned().collect();
+        let types: Vec<_> = self.machine_types.values().cloned().collect();
         let closed = |offer: &Offer| self.fleet.closed.contains_key(offer);
         let mut loads: BTreeMap<&str, u32> = BTreeMap::new();
         for machine in self.view.machines.values() {
--- a/crates/core/src/floors.rs
+++ b/crates/core/src/floors.rs
@@ -85,7 +85,7 @@
         given: &BTreeMap<Flow, f64>,
     ) -> BTreeSet<Flow> {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::NoFloors) {
+        if self.sabotage == Some(crate::Sabotage::NoMinimumShares) {
             return BTreeSet::new();
         }
         let passed = now.saturating_sub(self.entitled_at).as_secs_f64();
@@ -111,7 +111,7 @@
         waits: impl Fn(&JobId) -> bool,
     ) -> BTreeSet<JobId> {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Some(crate::Sabotage::NoFloors) {
+        if self.sabotage == Some(crate::Sabotage::NoMinimumShares) {
             return BTreeSet::new();
         }
         let passed = now.saturating_sub(self.at).as_secs_f64();
--- a/crates/core/src/forwarding/tests.rs
+++ b/crates/core/src/forwarding/tests.rs
@@ -219,12 +219,15 @@
 /// What a forwarded report is answered by: the status of the peer's request, and the
 /// answer in the envelope.
 fn answered(controller: &mut Controller, body: &[u8]) -> (u16, Option<ForwardedAnswer>) {
-    controller.out.clear();
+    controller.outputs.clear();
     controller.receive_forwarded_report(PEER, body);
-    let mut answers = controller.out.drain(..).filter_map(|output| match output {
-        Output::Answer(answer) => Some(answer),
-        _ => None,
-    });
+    let mut answers = controller
+        .outputs
+        .drain(..)
+        .filter_map(|output| match output {
+            Output::Answer(answer) => Some(answer),
+            _ => None,
+        });
     let mut answer = answers.next().expect("an answer");
     assert!(answers.next().is_none(), "one answer");
     drop(answers);
--- a/crates/core/src/handout.rs
+++ b/crates/core/src/handout.rs
@@ -125,7 +125,7 @@
     /// Makes and carries out a plan, if we lead and there is reason to.
     pub(crate) fn hand_out(&mut self) {
         let now = self.now;
-        let contact = self.in_contact() && !self.types.is_empty();
+        let contact = self.in_contact() && !self.machine_types.is_empty();
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -275,7 +275,7 @@
                     && fits(&need, &t.amounts())
                     && !(aside && scarce.contains(&t.name))
             };
-            let types = self.types.values().filter(fit);
+            let types = self.machine_types.values().filter(fit);
             Rc::new(types.map(|t| t.name.clone()).collect())
         });
         types.clone()
@@ -300,7 +300,7 @@
                 held_back && self.sabotage != Some(crate::Sabotage::ReservedForBlockedWork);
             if queued.waited_s > patience && !held_back {
                 let fits = self.types_for(plan, &queued.spec, false);
-                if fits.len() < self.types.len() {
+                if fits.len() < self.machine_types.len() {
                     scarce.extend(fits.iter().cloned());
                 }
             }
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -187,13 +187,19 @@
             return self.refuse_with_retry(conn, why);
         };
         log::debug!("a user's {} is carried on to {peer}: {why}", request.path);
-        self.call_peer(peer, "/carry", &request, timeout, Pending::Carried(conn));
+        self.call_peer(
+            peer,
+            "/carry",
+            &request,
+            timeout,
+            Pending::RelayedRequest(conn),
+        );
     }
 
     /// What a peer made of it.
     pub(crate) fn relay_answered(&mut self, conn: ConnId, reply: &Reply) {
         match self.relay.unwrap_answer(conn, reply) {
-            Some(answer) => self.out.push(Output::Answer(answer)),
+            Some(answer) => self.outputs.push(Output::Answer(answer)),
             None => self.refuse_with_retry(conn, "no controller could be asked"),
         }
     }
--- a/crates/core/src/machine_status.rs
+++ b/crates/core/src/machine_status.rs
@@ -145,7 +145,10 @@
     }
 
     fn look(&self, name: &str, machine: &Machine) -> MachineStatus {
-        let total = self.types.get(&machine.record.kind).map(|k| k.amounts());
+        let total = self
+            .machine_types
+            .get(&machine.record.kind)
+            .map(|k| k.amounts());
         let silent = machine.silence(self.now) >= self.silence_limit();
         MachineStatus {
             term: machine.term,
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -106,11 +106,11 @@
             return Vec::new();
         };
         let may_forget = |entry: &&TaskReport| {
-            let slot = self.assigned_tasks.get(&entry.task);
+            let assigned = self.assigned_tasks.get(&entry.task);
             let attempt = Attempt {
                 machine,
                 name,
-                slot,
+                assigned,
             };
             attempt.may_forget(entry).is_ok()
         };
@@ -129,13 +129,13 @@
     fn start_order(&mut self, name: &str, task: &TaskId, carried_by: u64) -> Option<Order> {
         let tenure = self.may_act().then(|| self.store.tenure());
         let machine = self.machines.get(name)?;
-        let slot = self.assigned_tasks.get(task)?;
-        let bound = slot.bound()?;
+        let assigned = self.assigned_tasks.get(task)?;
+        let bound = assigned.bound()?;
         let attempt = bound.attempt;
         let decided = Attempt {
             machine,
             name,
-            slot: Some(slot),
+            assigned: Some(assigned),
         };
         let decision = decided.may_start(bound, tenure);
         #[cfg(feature = "sabotage")]
@@ -199,8 +199,8 @@
                 self.order_queue.insert_at(machine.next_orders_at, name);
                 continue;
             }
-            let doubtful = machine.unanswered_orders > 0;
-            if !self.sockets.may_send_order(doubtful) {
+            let unresponsive = machine.unanswered_orders > 0;
+            if !self.sockets.may_send_order(unresponsive) {
                 self.order_queue.insert_at(now + CROWDED, name);
                 continue;
             }
@@ -239,7 +239,7 @@
                 machine: name,
                 starts,
                 term: token,
-                doubtful,
+                unresponsive,
             };
             self.call(
                 Target::Worker(addr),
@@ -252,7 +252,7 @@
         }
     }
 
-    pub(crate) fn orders_done(
+    pub(crate) fn orders_answered(
         &mut self,
         name: &str,
         starts: &[(TaskId, u64)],
@@ -330,10 +330,10 @@
     /// The starts have surely not been executed and go out once more.
     fn unsent(&mut self, name: &str, starts: &[(TaskId, u64)]) {
         for (task, attempt) in starts {
-            let Some(slot) = self.assigned_tasks.get_mut(task) else {
+            let Some(assigned) = self.assigned_tasks.get_mut(task) else {
                 continue;
             };
-            let Some(bound) = slot.bound_mut() else {
+            let Some(bound) = assigned.bound_mut() else {
                 continue;
             };
             let same = bound.machine == name && bound.attempt == *attempt;
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -208,15 +208,15 @@
 
     /// Stops a task to make room, with time to save.
     pub(crate) fn preempt(&mut self, task: &TaskId) {
-        let Some(slot) = self.assigned_tasks.get_mut(task) else {
+        let Some(assigned) = self.assigned_tasks.get_mut(task) else {
             return;
         };
-        let grace = if slot.spec.saves() {
-            slot.spec.save_time() + Duration::from_millis(500)
+        let grace = if assigned.spec.saves() {
+            assigned.spec.save_time() + Duration::from_millis(500)
         } else {
             Duration::ZERO
         };
-        let Some(bound) = slot.bound_mut() else {
+        let Some(bound) = assigned.bound_mut() else {
             return;
         };
         if bound.start_sent_with.is_none() {
@@ -329,7 +329,7 @@
             preempt,
             ..self.bare_message(version)
         };
-        let pending = Pending::Peer(peer.clone(), version);
+        let pending = Pending::PeerMessage(peer.clone(), version);
         self.call_peer(peer, "/peer", &message, TIMEOUT, pending);
     }
 
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -32,7 +32,7 @@
 impl Controller {
     /// Places what has no machine yet, most urgent first.
     pub(crate) fn place(&mut self) {
-        if self.unplaced.is_empty() || !self.may_act() || self.types.is_empty() {
+        if self.unplaced.is_empty() || !self.may_act() || self.machine_types.is_empty() {
             return;
         }
         let now = self.now;
@@ -54,29 +54,32 @@
     }
 
     fn place_one(&mut self, task: &TaskId) {
-        let Some(slot) = self.assigned_tasks.get(task) else {
+        let Some(assigned) = self.assigned_tasks.get(task) else {
             return;
         };
-        let (block, job) = (slot.block, &task.job);
+        let (block, job) = (assigned.block, &task.job);
         // One that failed somewhere is not like the others of its job.
-        let alike = slot.failed_on.is_empty();
+        let alike = assigned.failed_on.is_empty();
         if alike && self.futile.is_known(self.now, block, job) {
             return;
         }
-        let Some((name, session, term)) = self.choose(slot) else {
+        let Some((name, session, term)) = self.choose(assigned) else {
             if alike {
                 self.futile.note(self.now, block, job);
             }
             let patience = self.tuning.place_patience;
-            if let AssignmentState::Free { since, .. } = slot.state
+            if let AssignmentState::Free { since, .. } = assigned.state
                 && self.now > since + patience
             {
-                log::debug!("{task}: no room left in block {}, given back", slot.block);
+                log::debug!(
+                    "{task}: no room left in block {}, given back",
+                    assigned.block
+                );
                 self.set_task_state(task, AssignmentState::Returning);
             }
             return;
         };
-        let AssignmentState::Free { evidence, .. } = slot.state else {
+        let AssignmentState::Free { evidence, .. } = assigned.state else {
             return;
         };
         let attempt = self.next_attempt(task, term);
@@ -109,9 +112,9 @@
         term * ATTEMPTS_PER_TERM + self.attempts
     }
 
-    fn choose(&self, slot: &AssignedTask) -> Option<(String, u64, u64)> {
-        let names = self.view.machines_by_block.get(&slot.block)?;
-        let spec = &slot.spec;
+    fn choose(&self, assigned: &AssignedTask) -> Option<(String, u64, u64)> {
+        let names = self.view.machines_by_block.get(&assigned.block)?;
+        let spec = &assigned.spec;
         let candidates: Vec<_> = names
             .iter()
             .filter_map(|name| {
@@ -120,7 +123,7 @@
                     && spec.allows_type(&machine.record.kind)
                     && spec.allows_zone(&machine.record.zone)
                     && (spec.spot || !machine.record.spot)
-                    && !slot.failed_on.contains(name);
+                    && !assigned.failed_on.contains(name);
                 let candidate = allowed.then(|| self.candidate(machine, spec))??;
                 Some((name, candidate))
             })
@@ -176,8 +179,8 @@
     pub(crate) fn used(&self, machine: &Machine) -> Amounts {
         let mut used = Amounts::default();
         for task in &machine.bound_tasks {
-            if let Some(slot) = self.assigned_tasks.get(task) {
-                used = plus(&used, &slot.spec.amounts());
+            if let Some(assigned) = self.assigned_tasks.get(task) {
+                used = plus(&used, &assigned.spec.amounts());
             }
         }
         for entry in &machine.tasks {
@@ -192,7 +195,7 @@
     }
 
     fn candidate(&self, machine: &Machine, spec: &JobSpec) -> Option<Candidate> {
-        let total = self.types.get(&machine.record.kind)?.amounts();
+        let total = self.machine_types.get(&machine.record.kind)?.amounts();
         let cached = machine.has_image(&spec.image);
         let bound = machine.bound_tasks.iter();
         let bound = bound.filter_map(|task| self.view.spec(&task.job));
--- a/crates/core/src/recorder.rs
+++ b/crates/core/src/recorder.rs
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct ChunkWrite {
     /// The chunk's version that the write depends on.
-    base: u64,
+    base_version: u64,
     txn: Txn,
     step: WriteStep,
     /// It, or one before it on the same conditions, has got no answer: it may
@@ -48,7 +48,7 @@
     impossible: bool,
     /// Tasks that the write hands out, with their blocks: they count as
     /// handed while it may still take effect.
-    pub handed: Vec<(u32, u32)>,
+    pub assignments: Vec<(u32, u32)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -179,12 +179,12 @@
             return true;
         };
         let (first, count) = job.chunk_span(part);
-        let slots = self
+        let tasks = self
             .assigned_tasks
             .range(id.task(first)..id.task(first.saturating_add(count as u32)));
         let mut more = false;
-        for (_, slot) in slots {
-            match slot.state {
+        for (_, assigned) in tasks {
+            match assigned.state {
                 AssignmentState::Returning => return true,
                 AssignmentState::Done => {}
                 AssignmentState::Bound(_)
@@ -205,32 +205,32 @@
         };
         let limits = self.limits();
         let (first, _) = job.chunk_span(part);
-        let mut places = chunk.task_statuses.clone();
+        let mut statuses = chunk.task_statuses.clone();
         let mut done = 0;
         let mut blocks = Vec::new();
         // The other conditions are on the chunk and the job; what goes beyond
         // the limit goes with the next write.
         let most_blocks = limits.txn_conds().saturating_sub(2);
-        for (i, place) in places.iter_mut().enumerate() {
-            let TaskStatus::Assigned { block, term } = *place else {
+        for (i, status) in statuses.iter_mut().enumerate() {
+            let TaskStatus::Assigned { block, term } = *status else {
                 continue;
             };
             let task = id.task(first + i as u32);
-            let Some(slot) = self.assigned_tasks.get(&task) else {
+            let Some(assigned) = self.assigned_tasks.get(&task) else {
                 continue;
             };
             let known = blocks.contains(&block);
-            if (slot.block, slot.handed_term) != (block, term)
+            if (assigned.block, assigned.assigned_term) != (block, term)
                 || (!known && blocks.len() >= most_blocks)
             {
                 continue;
             }
-            match slot.state {
+            match assigned.state {
                 AssignmentState::Done => {
-                    *place = TaskStatus::Done;
+                    *status = TaskStatus::Done;
                     done += 1;
                 }
-                AssignmentState::Returning => *place = TaskStatus::Waiting,
+                AssignmentState::Returning => *status = TaskStatus::Waiting,
                 _ => continue,
             }
             if !known {
@@ -276,7 +276,7 @@
             }));
             return NextWrite::Write(Txn { conds, changes });
         }
-        match self.put_chunk(key, first, places) {
+        match self.put_chunk(key, first, statuses) {
             Some(put) => NextWrite::Write(Txn {
                 conds,
                 changes: vec![put],
@@ -310,16 +310,16 @@
         &self,
         key: String,
         first: u32,
-        mut places: Vec<TaskStatus>,
+        mut statuses: Vec<TaskStatus>,
     ) -> Option<Change> {
         let (level, most) = (self.level(), self.limits().value_bytes());
-        let pack = |places: &[TaskStatus]| {
-            let value = ChunkRecord::pack(level, first, places)?.to_value();
+        let pack = |statuses: &[TaskStatus]| {
+            let value = ChunkRecord::pack(level, first, statuses)?.to_value();
             (level < FormatLevel::PIPELINES || json_len(&value) <= most).then_some(value)
         };
-        let value = pack(&places).or_else(|| {
-            for place in &mut places {
-                if let TaskStatus::Assigned { block, term } = place
+        let value = pack(&statuses).or_else(|| {
+            for status in &mut statuses {
+                if let TaskStatus::Assigned { block, term } = status
                     && self
                         .view
                         .blocks
@@ -329,7 +329,7 @@
                     *term = 0;
                 }
             }
-            pack(&places)
+            pack(&statuses)
         });
         if value.is_none() {
             log::error!("{key}: too large to be written");
@@ -347,22 +347,22 @@
         id: &JobId,
         part: u32,
         txn: Txn,
-        handed: Vec<(u32, u32)>,
+        assignments: Vec<(u32, u32)>,
         urgency: Urgency,
     ) -> bool {
-        let base = self.view.chunk_version(id, part);
+        let base_version = self.view.chunk_version(id, part);
         if !self.send_txn(txn.clone(), Purpose::Chunk(id.clone(), part), urgency) {
             return false;
         }
-        let busy = ChunkWrite {
-            base,
+        let write = ChunkWrite {
+            base_version,
             txn,
             step: WriteStep::Sent,
             in_doubt: false,
             impossible: false,
-            handed,
+            assignments,
         };
-        self.chunk_writes.insert((id.clone(), part), busy);
+        self.chunk_writes.insert((id.clone(), part), write);
         true
     }
 
@@ -372,17 +372,17 @@
         // Records that the write left out, or that it lost, are tried again.
         let (id, part) = &key;
         self.mark_chunk_dirty(id, *part);
-        let Some(busy) = self.chunk_writes.get_mut(&key) else {
+        let Some(write) = self.chunk_writes.get_mut(&key) else {
             return;
         };
-        if busy.txn != txn {
+        if write.txn != txn {
             return;
         }
-        busy.in_doubt |= outcome == Outcome::Unknown;
-        busy.impossible = outcome == Outcome::Impossible;
-        let wait = if busy.impossible { PATIENCE } else { RETRY };
-        match WriteStep::after(outcome, busy.in_doubt, now) {
-            Some(step) => busy.step = step,
+        write.in_doubt |= outcome == Outcome::Unknown;
+        write.impossible = outcome == Outcome::Impossible;
+        let wait = if write.impossible { PATIENCE } else { RETRY };
+        match WriteStep::after(outcome, write.in_doubt, now) {
+            Some(step) => write.step = step,
             None => {
                 self.chunk_writes.remove(&key);
                 let (id, part) = key;
@@ -400,9 +400,9 @@
         }
         let view = &self.view;
         let before = self.chunk_writes.len();
-        self.chunk_writes.retain(|(id, part), busy| {
-            let shown = matches!(busy.step, WriteStep::VisibleAt(r) if view.revision >= r);
-            let moved = view.chunk_version(id, *part) != busy.base
+        self.chunk_writes.retain(|(id, part), write| {
+            let shown = matches!(write.step, WriteStep::VisibleAt(r) if view.revision >= r);
+            let moved = view.chunk_version(id, *part) != write.base_version
                 || view.jobs.get(id).is_none_or(Job::settled);
             !shown && !moved
         });
@@ -437,10 +437,10 @@
             }
             let purpose = Purpose::Chunk(id.clone(), part);
             if self.send_txn(txn.clone(), purpose, Urgency::Safety)
-                && let Some(busy) = self.chunk_writes.get_mut(&(id, part))
+                && let Some(write) = self.chunk_writes.get_mut(&(id, part))
             {
-                busy.step = WriteStep::Sent;
-                busy.txn = txn;
+                write.step = WriteStep::Sent;
+                write.txn = txn;
             }
         }
     }
@@ -449,7 +449,7 @@
     fn no_op_write(&self, id: &JobId, part: u32) -> Option<Txn> {
         let job = self.view.jobs.get(id)?;
         let (first, count) = job.chunk_span(part);
-        let places = match job.chunks.get(&part) {
+        let statuses = match job.chunks.get(&part) {
             Some(chunk) => chunk.task_statuses.clone(),
             None => vec![TaskStatus::Waiting; count],
         };
@@ -460,7 +460,7 @@
         };
         Some(Txn {
             conds: vec![cond],
-            changes: vec![self.put_chunk(key, first, places)?],
+            changes: vec![self.put_chunk(key, first, statuses)?],
         })
     }
 }
--- a/crates/core/src/recorder/tests.rs
+++ b/crates/core/src/recorder/tests.rs
@@ -116,15 +116,15 @@
     };
     assert!(!controller.txn_fits(&txn));
     let key = (id.clone(), 0);
-    let busy = ChunkWrite {
-        base: 3,
+    let write = ChunkWrite {
+        base_version: 3,
         txn,
         step: WriteStep::Retry(Duration::ZERO),
         in_doubt: true,
         impossible: true,
-        handed: vec![(7, 1)],
+        assignments: vec![(7, 1)],
     };
-    controller.chunk_writes.insert(key.clone(), busy);
+    controller.chunk_writes.insert(key.clone(), write);
     let now = |s| Now {
         monotonic: Duration::from_secs(s),
         wall_clock: Duration::from_secs(1_800_000_000 + s),
--- a/crates/core/src/rooms.rs
+++ b/crates/core/src/rooms.rs
@@ -204,7 +204,7 @@
     fn room(&self, name: &str) -> Option<Room> {
         let record = self.view.machines.get(name)?;
         let block = self.view.blocks.get(&record.block)?;
-        let kind = self.types.get(&record.kind)?;
+        let kind = self.machine_types.get(&record.kind)?;
         let (seen, fresh) = self.machine_status(name, block)?;
         let total = kind.amounts();
         let tasks = self.tasks_on(seen, record.block, fresh);
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -288,7 +288,7 @@
             (each * (1.0 - part), each * (1.0 - LEADER_SHARE))
         };
         let limits = if self.store.lowered_limits_active {
-            &self.lowered
+            &self.lowered_limits
         } else {
             &self.settings.params.state
         };
@@ -387,7 +387,7 @@
             Reply::Answer { status: 200, body } => decode::<Page>(body).ok(),
             _ => None,
         };
-        let program = self.program;
+        let program = self.supported_level;
         match (page, &mut self.store.snapshot) {
             (Some(page), Some(snapshot)) => {
                 snapshot.take_page(page, |event| upgrade::can_read(program, event));
@@ -398,7 +398,7 @@
     }
 
     fn take_snapshot_changes(&mut self, reply: &Reply) -> bool {
-        let program = self.program;
+        let program = self.supported_level;
         match reply {
             Reply::Answer { status: 200, body } => {
                 let Ok(changes) = decode::<Events>(body) else {
@@ -547,7 +547,7 @@
         // The view is whole at its revision. An answer that was overtaken would bring
         // back what has been deleted since.
         let known = self.view.revision;
-        let program = self.program;
+        let program = self.supported_level;
         events.retain(|event| event.version() > known && upgrade::can_read(program, event));
         // A job comes before what continues it, as its key does.
         events.sort_by(|a, b| (a.version(), a.key()).cmp(&(b.version(), b.key())));
--- a/crates/core/src/store/session.rs
+++ b/crates/core/src/store/session.rs
@@ -25,11 +25,11 @@
             None => {
                 let ttl_ms = self.tuning.member_lease.as_millis() as u64;
                 let body = encode(&NewLease { ttl_ms });
-                self.state_call(Method::Post, "/holds".into(), body, Pending::NewHold);
+                self.state_call(Method::Post, "/holds".into(), body, Pending::LeaseGrant);
             }
             Some(hold) => {
                 let path = format!("/holds/{hold}/touch");
-                self.state_call(Method::Post, path, Vec::new(), Pending::TouchHold);
+                self.state_call(Method::Post, path, Vec::new(), Pending::LeaseRenewal);
             }
         }
     }
--- a/crates/core/src/upgrade.rs
+++ b/crates/core/src/upgrade.rs
@@ -61,9 +61,9 @@
     pub fn level(&self) -> FormatLevel {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::EarlyFormatSwitch) {
-            return self.program;
+            return self.supported_level;
         }
-        self.view.level().min(self.program)
+        self.view.level().min(self.supported_level)
     }
 
     /// The sizes that we keep to: from the switch on those to come, as they
@@ -74,29 +74,29 @@
             return &self.settings.params.state;
         }
         if self.level() >= FormatLevel::PIPELINES {
-            &self.lowered
+            &self.lowered_limits
         } else {
             &self.settings.params.state
         }
     }
 
     pub(crate) fn upgrade_tick(&mut self) {
-        if !self.store.ready || self.program < FormatLevel::PIPELINES {
+        if !self.store.ready || self.supported_level < FormatLevel::PIPELINES {
             return;
         }
         let format = self.view.level();
-        if format > self.program {
+        if format > self.supported_level {
             if !self.upgrade.ended {
                 self.upgrade.ended = true;
-                self.out.push(Output::Exit(format!(
+                self.outputs.push(Output::Exit(format!(
                     "the records are of level {}, this program reads up to level {}: \
                      a newer one has to run here",
-                    format.0, self.program.0
+                    format.0, self.supported_level.0
                 )));
             }
             return;
         }
-        if format == self.program {
+        if format == self.supported_level {
             return self.note_lowered();
         }
         if self.view.is_empty() {
@@ -133,7 +133,7 @@
     fn write_format(&mut self, conds: Vec<Cond>) -> bool {
         self.upgrade.format_at = self.now + AGAIN;
         let record = FormatRecord {
-            level: self.program,
+            level: self.supported_level,
         };
         let txn = put(conds, Key::Format, &record);
         self.send_txn(txn, Purpose::Upgrade(Step::Format), Urgency::Session)
@@ -151,7 +151,8 @@
             return false;
         };
         let up = self.view.members.get(node);
-        proof.level >= self.program && up.is_none_or(|m| m.record.incarnation == proof.incarnation)
+        proof.level >= self.supported_level
+            && up.is_none_or(|m| m.record.incarnation == proof.incarnation)
     }
 
     fn write_own_level(&mut self) {
@@ -171,7 +172,7 @@
             version: self.view.level_version(&node),
         }];
         let record = LevelRecord {
-            level: self.program,
+            level: self.supported_level,
             incarnation,
         };
         let step = Step::FormatLevel(node, asker);
@@ -198,7 +199,7 @@
         });
         let conds = [lead, format].into_iter().chain(proofs);
         let conds = conds.take(self.limits().txn_conds()).collect();
-        log::info!("all controllers are of level {}", self.program.0);
+        log::info!("all controllers are of level {}", self.supported_level.0);
         self.write_format(conds);
     }
 
@@ -223,7 +224,7 @@
         let word = LevelWord {
             node: self.settings.node.clone(),
             incarnation: self.incarnation,
-            level: self.program.0,
+            level: self.supported_level.0,
         };
         // Writing into memory can't fail.
         let body = borsh::to_vec(&word).unwrap_or_default();
@@ -238,7 +239,7 @@
         let Ok(word) = borsh::from_slice::<LevelWord>(body) else {
             return;
         };
-        let enough = word.node == *node && word.level >= self.program.0;
+        let enough = word.node == *node && word.level >= self.supported_level.0;
         if enough && self.leader.is_some() && !self.is_proven(node) {
             log::info!("{node} says that it is of level {}", word.level);
             self.write_level(word.node, word.incarnation, None);
@@ -252,7 +253,7 @@
                 if let Outcome::Done(_) = outcome {
                     log::info!(
                         "all write in the form of level {} from now on",
-                        self.program.0
+                        self.supported_level.0
                     );
                 }
             }
@@ -273,7 +274,7 @@
     /// The state service has refused a write as one too many: if lower limits
     /// are to come, they have come.
     pub(crate) fn rate_refused(&mut self) {
-        let lower = self.lowered.write_rps < self.settings.params.state.write_rps;
+        let lower = self.lowered_limits.write_rps < self.settings.params.state.write_rps;
         if lower && !self.store.lowered_limits_active && self.level() >= FormatLevel::PIPELINES {
             log::info!("the state service takes fewer writes now");
             self.store.lowered_limits_active = true;
@@ -297,7 +298,7 @@
             version: 0,
         }];
         let record = FormatRecord {
-            level: self.program,
+            level: self.supported_level,
         };
         let txn = put(conds, Key::LoweredLimits, &record);
         self.send_txn(txn, Purpose::Upgrade(Step::LoweredLimits), Urgency::Safety);
@@ -308,12 +309,12 @@
         let controllers = self.all_nodes().into_iter().map(|node| {
             let proof = self.view.levels.get(&node).map(|l| l.record);
             let proof = proof.filter(|_| self.is_proven(&node));
-            let switched = self.view.level() >= self.program;
+            let switched = self.view.level() >= self.supported_level;
             ControllerLevel {
                 up: self.view.members.contains_key(&node),
                 level: proof
                     .map(|p| p.level.0)
-                    .or(switched.then_some(self.program.0)),
+                    .or(switched.then_some(self.supported_level.0)),
                 written_off: proof.is_some_and(|p| p.incarnation == 0),
                 node,
             }
@@ -321,7 +322,7 @@
         let status = UpgradeStatus {
             node: self.settings.node.clone(),
             leader: self.view.leader.as_ref().map(|l| l.record.node.clone()),
-            program: self.program.0,
+            program: self.supported_level.0,
             format: self.view.level().0,
             controllers: controllers.collect(),
         };
@@ -345,7 +346,7 @@
             self.refuse_json(conn, 404, "no such controller in the settings");
         } else if self.view.members.contains_key(&node) {
             self.refuse_json(conn, 409, "that controller is up");
-        } else if self.is_proven(&node) || self.view.level() >= self.program {
+        } else if self.is_proven(&node) || self.view.level() >= self.supported_level {
             self.answer(conn, 200, json(&WriteOff { without: node }));
         } else if !self.write_level(node, 0, Some(conn)) {
             self.refuse_json(conn, 503, "too many requests at once");
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/usage.rs
@@ -155,9 +155,9 @@
         }
         let mut tasks = Vec::new();
         let parts = (id.clone(), 0)..=(id.clone(), u32::MAX);
-        for (_, busy) in self.chunk_writes.range(parts) {
+        for (_, write) in self.chunk_writes.range(parts) {
             let new = |(index, _): &&(u32, u32)| job.task_status(*index) == TaskStatus::Waiting;
-            tasks.extend(busy.handed.iter().filter(new).copied());
+            tasks.extend(write.assignments.iter().filter(new).copied());
         }
         tasks
     }
--- a/crates/testkit/src/world/processes.rs
+++ b/crates/testkit/src/world/processes.rs
@@ -37,7 +37,7 @@
     pub(super) fn start(&mut self, node: usize) {
         let seed = self.rng.u64(..);
         let n = &mut self.nodes[node];
-        let mut controller = Controller::of_level(n.settings.clone(), seed, n.level);
+        let mut controller = Controller::with_supported_level(n.settings.clone(), seed, n.level);
         controller.sabotage = self.sabotage;
         if let Some(horizon) = self.horizon {
             controller.tuning.horizon = horizon;
--- a/crates/testkit/tests/admission.rs
+++ b/crates/testkit/tests/admission.rs
@@ -451,7 +451,7 @@
             assert!(now < Duration::from_secs(4000));
         }
         let mut broken = Floors::default();
-        broken.sabotage = Some(Sabotage::NoFloors);
+        broken.sabotage = Some(Sabotage::NoMinimumShares);
         let late = BTreeMap::from([(
             flow(0),
             Oldest {
--- a/crates/testkit/tests/overload.rs
+++ b/crates/testkit/tests/overload.rs
@@ -296,7 +296,7 @@
 #[test]
 fn floors_that_are_ignored_are_noticed() {
     let starved = (0..12).flat_map(|seed| {
-        let outcome = day(seed, Vec::new(), Some(Sabotage::NoFloors), END);
+        let outcome = day(seed, Vec::new(), Some(Sabotage::NoMinimumShares), END);
         sums(seed, &outcome).starved
     });
     assert!(starved.count() > 0);
