--- a/crates/core/src/attempt/tests.rs
+++ b/crates/core/src/attempt/tests.rs
@@ -14,7 +14,7 @@
 fn machine() -> Machine {
     let record = MachineRecord {
         block: 1,
-        piece: 0,
+        list_number: 0,
         kind: "small".into(),
         zone: "a".into(),
         spot: false,
--- a/crates/core/src/machine_lists.rs
+++ b/crates/core/src/machine_lists.rs
@@ -111,11 +111,11 @@
             conds: vec![lead],
             changes: Vec::new(),
         };
-        for ((id, piece), list) in lists {
-            let key = Key::Machines(id, piece).path();
+        for ((id, list_number), list) in lists {
+            let key = Key::Machines(id, list_number).path();
             txn.conds.push(Cond {
                 key: key.clone(),
-                version: self.view.machine_list_version(id, piece),
+                version: self.view.machine_list_version(id, list_number),
             });
             txn.changes.push(Change::Put {
                 key,
@@ -155,11 +155,11 @@
         let first = txn.changes.first().and_then(|change| match change {
             Change::Put { key, .. } | Change::Delete { key } => Key::parse(key),
         });
-        let Some(Key::Machines(id, piece)) = first else {
+        let Some(Key::Machines(id, list_number)) = first else {
             return;
         };
-        let key = Key::Machines(id, piece).path();
-        let version = self.view.machine_list_version(id, piece);
+        let key = Key::Machines(id, list_number).path();
+        let version = self.view.machine_list_version(id, list_number);
         if txn
             .conds
             .iter()
@@ -171,7 +171,7 @@
             }
             return;
         }
-        let mut lists = Lists::from([((id, piece), self.list_of(id, piece))]);
+        let mut lists = Lists::from([((id, list_number), self.list_of(id, list_number))]);
         if self.cut_to_size(&mut lists) {
             log::info!("block {id}: a write in doubt is too large by now and is settled");
             self.write_lists(lists);
@@ -198,7 +198,7 @@
     }
 
     /// The number of a list that a block does not have yet.
-    fn next_piece(&self, id: BlockId, lists: &Lists) -> u32 {
+    fn next_list_number(&self, id: BlockId, lists: &Lists) -> u32 {
         let all = (id, 0)..=(id, u32::MAX);
         let known = self.view.machine_lists.range(all.clone()).next_back();
         let planned = lists.range(all).next_back();
@@ -220,7 +220,7 @@
                 while !self.list_fits(id, list) {
                     over.extend(list.pop());
                 }
-                from = (id, self.next_piece(id, lists));
+                from = (id, self.next_list_number(id, lists));
                 lists.insert(from, over);
             }
         }
@@ -242,7 +242,7 @@
             let Some(machine) = self.view.machines.get(name) else {
                 continue;
             };
-            let at = (machine.block, machine.piece);
+            let at = (machine.block, machine.list_number);
             if !has_room(&lists, &at) {
                 continue;
             }
@@ -311,17 +311,17 @@
         lists: &Lists,
         machine: MachineListEntry,
     ) -> Option<((BlockId, u32), Vec<MachineListEntry>)> {
-        (0..=self.next_piece(id, lists)).find_map(|piece| {
-            let at = (id, piece);
+        (0..=self.next_list_number(id, lists)).find_map(|list_number| {
+            let at = (id, list_number);
             let planned = lists.get(&at).cloned();
-            let mut list = planned.unwrap_or_else(|| self.list_of(id, piece));
+            let mut list = planned.unwrap_or_else(|| self.list_of(id, list_number));
             list.push(machine.clone());
             self.list_fits(id, &list).then_some((at, list))
         })
     }
 
-    fn list_of(&self, id: BlockId, piece: u32) -> Vec<MachineListEntry> {
-        let listing = self.view.machine_lists.get(&(id, piece));
+    fn list_of(&self, id: BlockId, list_number: u32) -> Vec<MachineListEntry> {
+        let listing = self.view.machine_lists.get(&(id, list_number));
         let machine = |name: &String| {
             let record = self.view.machines.get(name)?;
             Some(MachineListEntry {
--- a/crates/core/src/recorder.rs
+++ b/crates/core/src/recorder.rs
@@ -403,7 +403,7 @@
         self.chunk_writes.retain(|(id, part), write| {
             let shown = matches!(write.step, WriteStep::VisibleAt(r) if view.revision >= r);
             let moved = view.chunk_version(id, *part) != write.base_version
-                || view.jobs.get(id).is_none_or(Job::settled);
+                || view.jobs.get(id).is_none_or(Job::is_cleaned_up);
             !shown && !moved
         });
         if self.chunk_writes.len() != before
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,4 +1,5 @@
-//! The records in the state service: the only thing that outlives a process.
+//! The records kept in the state service, the only state that survives a restart
+//! of a controller: their keys, fields and stored forms.
 
 use std::collections::BTreeMap;
 
@@ -10,66 +11,67 @@
 /// The prefix of all keys.
 pub const KEY_PREFIX: &str = "oliveshift/";
 
-/// A block of machines; names the range of tasks' place, never a process.
+/// The id of a block of machines. Tasks are assigned to a block, never to the
+/// controller that holds it.
 pub type BlockId = u32;
-/// The version of a block's record: its workers' token.
+/// The version of a block's record, which its workers use as fencing token.
 pub type Term = u64;
 
-/// The format of the records that a controller writes and can read. See
+/// The format level of the records that a controller writes and can read. See
 /// docs/design.md, "Two versions at once".
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FormatLevel(pub u32);
 
 impl FormatLevel {
-    /// The first form: jobs do not await others.
+    /// The first format: jobs cannot await other jobs.
     pub const FIRST: Self = Self(1);
-    /// Jobs that await others, records that fit 2 KiB.
+    /// Jobs can await other jobs, and records fit into 2 KiB.
     pub const PIPELINES: Self = Self(2);
-    /// What this program reads and writes.
+    /// The highest level that this program reads and writes.
     pub const SUPPORTED: Self = Self::PIPELINES;
 }
 
-/// A key, taken apart.
+/// A parsed key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Key {
-    /// Who leads.
+    /// The leader.
     Leader,
-    /// A controller that is up.
+    /// A controller that is a member of the cluster.
     Member(String),
     /// The lease of a block.
     Block(BlockId),
-    /// The machines of a block; the list is continued under further numbers.
+    /// One of a block's lists of machines, by block and list number.
     Machines(BlockId, u32),
     /// A job.
     Job(JobId),
-    /// What of a job's description does not fit its record.
+    /// Part of a job's description that does not fit into the job's record.
     SpecOverflow(JobId, u32),
-    /// Part of a job's tasks.
+    /// A chunk of a job's tasks.
     Chunk(JobId, u32),
     /// The operators' settings.
     Settings,
-    /// The format in which all controllers write.
+    /// The format level in which all controllers write.
     Format,
-    /// The format that a controller is able to read and write.
+    /// The highest format level that a controller can read and write.
     FormatLevel(String),
-    /// The lower limits of the state service hold.
+    /// Marks that the lowered limits of the state service apply.
     LoweredLimits,
-    /// What may be let in.
+    /// What each controller may admit.
     Admission,
 }
 
 impl Key {
-    /// The key as the state service has it.
+    /// The key as text, as the state service stores it.
     pub fn path(&self) -> String {
         match self {
             Self::Leader => format!("{KEY_PREFIX}leader"),
             Self::Member(name) => format!("{KEY_PREFIX}member/{name}"),
             Self::Block(id) => format!("{KEY_PREFIX}block/{id}"),
             Self::Machines(id, 0) => format!("{KEY_PREFIX}machines/{id}"),
-            Self::Machines(id, piece) => format!("{KEY_PREFIX}machines/{id}/{piece}"),
+            Self::Machines(id, list_number) => format!("{KEY_PREFIX}machines/{id}/{list_number}"),
             Self::Job(id) => format!("{KEY_PREFIX}job/{id}"),
-            Self::SpecOverflow(id, piece) => format!("{KEY_PREFIX}more/{id}/{piece}"),
+            Self::SpecOverflow(id, k) => format!("{KEY_PREFIX}more/{id}/{k}"),
             Self::Chunk(id, part) => format!("{KEY_PREFIX}part/{id}/{part}"),
             Self::Settings => format!("{KEY_PREFIX}settings"),
             Self::Format => format!("{KEY_PREFIX}format"),
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Takes a key apart; none for keys that we don't know.
+    /// Parses a key; `None` if it is unknown to this program.
     pub fn parse(path: &str) -> Option<Self> {
         fn numbered<T: std::str::FromStr>(rest: &str) -> Option<(T, u32)> {
             let (id, number) = rest.split_once('/')?;
@@ -100,7 +102,9 @@
             Some(("block", id)) => Self::Block(id.parse().ok()?),
             Some(("machines", rest)) => match rest.parse() {
                 Ok(id) => Self::Machines(id, 0),
-                Err(_) => numbered(rest).map(|(id, piece)| Self::Machines(id, piece))?,
+                Err(_) => {
+                    numbered(rest).map(|(id, list_number)| Self::Machines(id, list_number))?
+                }
             },
             Some(("job", id)) => Self::Job(id.parse().ok()?),
             Some(("more", rest)) => numbered(rest).map(|(id, k)| Self::SpecOverflow(id, k))?,
@@ -110,20 +114,21 @@
     }
 }
 
-/// `format`, written once for each new level.
+/// `format`: the format level in use, written once for each new level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormatRecord {
-    /// The level of which all controllers are.
+    /// The level that all controllers can read and write.
     pub level: FormatLevel,
 }
 
-/// `level/NAME`: what a controller is able to read and write. Outlives it.
+/// `level/NAME`: the highest format level that a controller can read and write. The
+/// record stays when the controller stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LevelRecord {
-    /// Its level.
+    /// The controller's level.
     pub level: FormatLevel,
-    /// The incarnation that this was found out of; 0: an operator's word that
-    /// the controller never comes back.
+    /// The incarnation that reported the level; 0 if an operator declared that the
+    /// controller never returns.
     pub incarnation: u64,
 }
 
@@ -132,34 +137,35 @@
 pub struct MemberRecord {
     /// The controller's name.
     pub node: String,
-    /// Its incarnation: another one after each start.
+    /// Its incarnation, which is new after each start.
     pub incarnation: u64,
     /// Its zone.
     pub zone: String,
 }
 
-/// `block/ID`. Written for nothing but leasing the block.
+/// `block/ID`: the lease of a block. It is written only to lease the block, so its
+/// version is the term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlockRecord {
-    /// The zone in which all its machines lie.
+    /// The zone of all its machines.
     pub zone: String,
     /// The controller that holds it.
     pub holder: String,
-    /// In which incarnation.
+    /// The holder's incarnation.
     pub incarnation: u64,
 }
 
-/// `machines/ID`: the machines of a block. A machine is taken out only when it
-/// is surely gone.
+/// `machines/ID`: a list of machines of a block. A machine is removed from it only
+/// once it is known to be gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MachineListRecord {
-    /// The first level's form.
+    /// The form of the first level.
     Flat(FlatMachineList),
-    /// From the second level on: half of the size.
+    /// The form from the second level on, half the size.
     Grouped(GroupedMachineList),
 }
 
-/// The first level's list.
+/// A list of machines in the form of the first level.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlatMachineList {
     /// The zone of the block.
@@ -168,20 +174,20 @@
     pub machines: Vec<MachineListEntry>,
 }
 
-/// The second level's list.
+/// A list of machines in the form of the second level.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupedMachineList {
     /// The zone of the block.
     pub zone: String,
-    /// Its machines by type: ordinary ones, then spot ones, each with name and
-    /// address.
+    /// Its machines by type: on-demand machines, then spot machines, each with name
+    /// and address.
     pub kinds: BTreeMap<String, [Vec<(String, String)>; 2]>,
 }
 
-/// A machine of a block. Never changes.
+/// A machine in a block's list. Its fields never change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineListEntry {
-    /// Its name.
+    /// The machine's name.
     pub name: String,
     /// The machine type.
     pub kind: String,
@@ -192,7 +198,7 @@
 }
 
 impl MachineListRecord {
-    /// A list in the form of a level.
+    /// Creates a list in the form of the given level.
     pub fn new(level: FormatLevel, zone: String, machines: Vec<MachineListEntry>) -> Self {
         if level < FormatLevel::PIPELINES {
             return Self::Flat(FlatMachineList { zone, machines });
@@ -222,7 +228,7 @@
         }
     }
 
-    /// The zone and the machines, whatever the form.
+    /// The zone and the machines, for either form.
     pub fn into_parts(self) -> (String, Vec<MachineListEntry>) {
         match self {
             Self::Flat(FlatMachineList { zone, machines }) => (zone, machines),
@@ -244,13 +250,13 @@
     }
 }
 
-/// A machine as the records have it.
+/// A machine as the records show it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MachineRecord {
     /// The block that it belongs to.
     pub block: BlockId,
-    /// Which of the block's keys names it.
-    pub piece: u32,
+    /// The number of the block's list that names it.
+    pub list_number: u32,
     /// The machine type.
     pub kind: String,
     /// Its zone.
@@ -265,38 +271,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// Accepted and not over.
+    /// Accepted, neither done nor cancelled.
     Open,
     /// All tasks are done.
     Done,
-    /// Its user cancelled it.
+    /// Cancelled.
     Cancelled,
 }
 
-/// `job/ID`. The fields with a default came with the second level.
+/// `job/ID`: a job. The fields with a default were added with the second level.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// Its phase.
     pub phase: Phase,
     /// How many tasks it has.
     pub tasks: u32,
-    /// When it was accepted, in ms of the time of day: orders the queue.
+    /// When it was accepted, in ms of wall-clock time; the queue is ordered by it.
     #[serde(rename = "at_ms")]
     pub accepted_ms: u64,
-    /// How many tasks a chunk record holds.
+    /// How many tasks each chunk record holds.
     #[serde(rename = "chunk")]
     pub chunk_size: u32,
-    /// The description; left out once nothing of the job is anywhere.
+    /// The description; removed once the job is over and none of its tasks is assigned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// How many records `more/ID/K` continue the description.
+    /// How many records `more/ID/K` hold the rest of the description.
     #[serde(rename = "more", default, skip_serializing_if = "is_default")]
     pub spec_overflow_count: u32,
-    /// When it was done, in ms of the time of day: those that await it count
-    /// from then.
+    /// When it was done, in ms of wall-clock time. Jobs that await it count their
+    /// waiting time from then.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done_ms: Option<u64>,
-    /// A service, without its description: it must not be awaited.
+    /// Whether the job is a service. Kept apart from the description, which may have
+    /// been removed, because a service must not be awaited.
     #[serde(default, skip_serializing_if = "is_default")]
     pub service: bool,
 }
@@ -305,32 +312,32 @@
     *value == T::default()
 }
 
-/// `more/ID/K`: what of a description does not fit its record, in the order of
-/// the numbers.
+/// `more/ID/K`: the part of a description that does not fit into the job's record.
+/// The parts are joined in the order of their numbers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SpecOverflowRecord {
-    /// Machine types allowed.
+    /// Allowed machine types.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub types: Vec<String>,
-    /// Part of the text that names the awaited jobs.
+    /// Part of the packed ids of the awaited jobs, see [`pack_ids`].
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub awaits: String,
 }
 
-/// Why a job can't be recorded.
+/// Why a job is too large to be recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum JobTooLarge {
-    /// Its names alone are too long.
-    #[error("the job's names are too long to be kept")]
+    /// The record is too large even without its lists.
+    #[error("the job's names are too long to be stored")]
     Names,
-    /// It names too many types and jobs.
-    #[error("the job names more machine types and jobs than can be kept")]
+    /// The lists of machine types and awaited jobs need too many records.
+    #[error("the job names more machine types and jobs than can be stored")]
     Lists,
 }
 
 impl JobRecord {
-    /// The value in the store. At the first level it is a list, which must not
-    /// have one field more than programs of that level know.
+    /// The value as stored. At the first level it is a list, which must not have
+    /// more fields than programs of that level know.
     pub fn to_value(&self, level: FormatLevel) -> Value {
         if level < FormatLevel::PIPELINES {
             to_list(self)
@@ -339,34 +346,35 @@
         }
     }
 
-    /// The records that keep a job: this one whole if it fits, or else with
-    /// its lists in further records.
+    /// The records that store the job: this one alone if it fits into a value, or
+    /// else this one without its lists, which go into overflow records.
     pub fn split(
         mut self,
         id: &JobId,
         level: FormatLevel,
         limits: &StateLimits,
     ) -> Result<Vec<(Key, Value)>, JobTooLarge> {
-        let most = limits.value_bytes();
+        let max_bytes = limits.value_bytes();
         let whole = self.to_value(level);
-        if json_len(&whole) <= most {
+        if json_len(&whole) <= max_bytes {
             return Ok(vec![(Key::Job(id.clone()), whole)]);
         }
-        let mut pieces = Vec::new();
+        let mut overflow = Vec::new();
         if let Some(spec) = &mut self.spec {
             let types = spec.types.as_mut().map(std::mem::take);
             let awaits = pack_ids(&std::mem::take(&mut spec.awaits));
-            pieces = SpecOverflowRecord::pieces(types.unwrap_or_default(), &awaits, most);
+            overflow =
+                SpecOverflowRecord::split_lists(types.unwrap_or_default(), &awaits, max_bytes);
         }
-        self.spec_overflow_count = pieces.len() as u32;
+        self.spec_overflow_count = overflow.len() as u32;
         let short = self.to_value(level);
-        if json_len(&short) > most {
+        if json_len(&short) > max_bytes {
             return Err(JobTooLarge::Names);
         }
         let mut records = vec![(Key::Job(id.clone()), short)];
-        records.extend(pieces.iter().enumerate().map(|(k, piece)| {
+        records.extend(overflow.iter().enumerate().map(|(k, record)| {
             let key = Key::SpecOverflow(id.clone(), k as u32);
-            (key, to_map(piece))
+            (key, to_map(record))
         }));
         if records.len() > limits.txn_ops {
             return Err(JobTooLarge::Lists);
@@ -374,17 +382,18 @@
         Ok(records)
     }
 
-    /// Makes a description whole again.
+    /// Joins a description with its overflow records; `None` if the packed ids are
+    /// malformed.
     pub fn join<'a>(
         mut spec: JobSpec,
-        pieces: impl IntoIterator<Item = &'a SpecOverflowRecord>,
+        overflow_records: impl IntoIterator<Item = &'a SpecOverflowRecord>,
     ) -> Option<JobSpec> {
         let mut awaits = String::new();
-        for piece in pieces {
+        for record in overflow_records {
             if let Some(types) = &mut spec.types {
-                types.extend(piece.types.iter().cloned());
+                types.extend(record.types.iter().cloned());
             }
-            awaits += &piece.awaits;
+            awaits += &record.awaits;
         }
         if !awaits.is_empty() {
             spec.awaits = unpack_ids(&awaits)?;
@@ -392,16 +401,16 @@
         Some(spec)
     }
 
-    /// The same without what nobody needs of a job that is cancelled, as the
-    /// record may have been written when larger ones were allowed.
-    pub fn trimmed(mut self, level: FormatLevel, most: usize) -> Self {
-        if json_len(&self.to_value(level)) > most
+    /// The record of a cancelled job, without fields that are no longer needed if it
+    /// exceeds `max_bytes`. It may have been written when larger values were allowed.
+    pub fn trimmed(mut self, level: FormatLevel, max_bytes: usize) -> Self {
+        if json_len(&self.to_value(level)) > max_bytes
             && let Some(spec) = &mut self.spec
         {
             spec.types = None;
             spec.awaits.clear();
         }
-        if json_len(&self.to_value(level)) > most
+        if json_len(&self.to_value(level)) > max_bytes
             && let Some(spec) = &mut self.spec
         {
             spec.class.clear();
@@ -412,44 +421,44 @@
 }
 
 impl SpecOverflowRecord {
-    /// Cuts lists into records of at most so many bytes.
-    fn pieces(types: Vec<String>, awaits: &str, most: usize) -> Vec<Self> {
-        let mut pieces = vec![Self::default()];
+    /// Splits the lists into records of at most `max_bytes` each.
+    fn split_lists(types: Vec<String>, awaits: &str, max_bytes: usize) -> Vec<Self> {
+        let mut records = vec![Self::default()];
         for kind in types {
-            // What a type adds, with its comma, is at most its own length in
-            // JSON and one more.
-            let last = pieces.last().map_or(0, |p| json_len(&to_map(p))) + "\"types\":[],".len();
-            if last + json_len(&kind) + 1 > most {
-                pieces.push(Self::default());
+            // A type adds at most its length in JSON and one byte for the comma.
+            let last = records.last().map_or(0, |p| json_len(&to_map(p))) + "\"types\":[],".len();
+            if last + json_len(&kind) + 1 > max_bytes {
+                records.push(Self::default());
             }
-            if let Some(piece) = pieces.last_mut() {
-                piece.types.push(kind);
+            if let Some(record) = records.last_mut() {
+                record.types.push(kind);
             }
         }
         let mut rest = awaits;
         while !rest.is_empty() {
-            let last = pieces.last().map_or(0, |p| json_len(&to_map(p))) + ",\"awaits\":\"\"".len();
-            let fits = most.saturating_sub(last).min(rest.len());
+            let last =
+                records.last().map_or(0, |p| json_len(&to_map(p))) + ",\"awaits\":\"\"".len();
+            let fits = max_bytes.saturating_sub(last).min(rest.len());
             let (now, later) = rest.split_at(fits);
-            if let Some(piece) = pieces.last_mut() {
-                piece.awaits.push_str(now);
+            if let Some(record) = records.last_mut() {
+                record.awaits.push_str(now);
             }
             rest = later;
             if !rest.is_empty() {
-                pieces.push(Self::default());
+                records.push(Self::default());
             }
         }
-        pieces
+        records
     }
 }
 
-/// Digits in which differences are written.
-const DIGITS: &[u8; 36] = b"0123456789abcdefghijklmnopqrstuvwxyz";
-/// The most digits of an id that is written as a number.
-const NUMBER_DIGITS: usize = 18;
+/// Digits of the differences between ids, in base 36.
+const BASE36_DIGITS: &[u8; 36] = b"0123456789abcdefghijklmnopqrstuvwxyz";
+/// The most digits of an id that is packed as a number; longer ids are packed as text.
+const MAX_NUMERIC_ID_DIGITS: usize = 18;
 
-/// Many ids as a short text: per length of the ids the differences between
-/// neighbours (`6:a3.1.1f`), ids that are too long for numbers as they are.
+/// Packs ids into a short text: for each length of id the differences between
+/// neighbours in base 36 (`6:a3.1.1f`); ids too long for numbers stay as text.
 pub fn pack_ids(ids: &[JobId]) -> String {
     let mut groups: BTreeMap<usize, Vec<&str>> = BTreeMap::new();
     for id in ids {
@@ -471,8 +480,8 @@
                 text.push('.');
             }
             match digits.parse::<u64>() {
-                Ok(number) if len <= NUMBER_DIGITS => {
-                    push_number(&mut text, number - before);
+                Ok(number) if len <= MAX_NUMERIC_ID_DIGITS => {
+                    push_base36(&mut text, number - before);
                     before = number;
                 }
                 _ => text += digits,
@@ -482,10 +491,10 @@
     text
 }
 
-fn push_number(text: &mut String, mut number: u64) {
+fn push_base36(text: &mut String, mut number: u64) {
     let mut digits = Vec::new();
     loop {
-        digits.push(DIGITS[(number % 36) as usize]);
+        digits.push(BASE36_DIGITS[(number % 36) as usize]);
         number /= 36;
         if number == 0 {
             break;
@@ -494,7 +503,7 @@
     text.extend(digits.into_iter().rev().map(char::from));
 }
 
-/// The ids of such a text, in order; none if it is not one.
+/// The sorted ids of a text written by [`pack_ids`]; `None` if it is malformed.
 pub fn unpack_ids(text: &str) -> Option<Vec<JobId>> {
     let mut ids = Vec::new();
     for group in text.split(',') {
@@ -502,7 +511,7 @@
         let len: usize = len.parse().ok()?;
         let mut number = 0u64;
         for part in rest.split('.') {
-            let digits = if len <= NUMBER_DIGITS {
+            let digits = if len <= MAX_NUMERIC_ID_DIGITS {
                 number = number.checked_add(u64::from_str_radix(part, 36).ok()?)?;
                 format!("{number:0len$}")
             } else {
@@ -518,97 +527,99 @@
     Some(ids)
 }
 
-/// Where a task is, as recorded.
+/// The status of a task, as recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TaskStatus {
-    /// Nowhere.
+    /// Not assigned to a block.
     #[default]
     Waiting,
-    /// Possibly on one of the block's machines.
+    /// Assigned to a block, and possibly running on one of its machines.
     Assigned {
         /// The block.
         block: BlockId,
-        /// The block's term at hand-out.
+        /// The block's term when the task was assigned.
         term: Term,
     },
     /// Completed.
     Done,
 }
 
-/// `part/ID/K`: a chunk of a job. The key sorts behind `job/`, so that a first
-/// read meets each job before its chunks.
+/// `part/ID/K`: the statuses of a chunk of a job's tasks. The key sorts after `job/`,
+/// so a read of all records sees each job before its chunks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChunkRecord {
-    /// The first level's.
+    /// The form of the first level.
     Ranges(TaskRanges),
-    /// From the second level on.
+    /// The form from the second level on.
     Symbols(TaskSymbols),
 }
 
-/// Ranges of tasks, from and up to, numbered within the job. Tasks in no range
-/// wait. The worst case takes 50 bytes a task.
+/// Half-open ranges of task indexes within the job. Tasks in no range are waiting.
+/// The worst case takes 50 bytes per task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRanges {
     /// Ranges of done tasks.
     pub done: Vec<(u32, u32)>,
-    /// Ranges handed to a block under a term.
-    pub handed: Vec<(u32, u32, BlockId, Term)>,
+    /// Ranges assigned to a block under a term.
+    #[serde(rename = "handed")]
+    pub assigned: Vec<(u32, u32, BlockId, Term)>,
 }
 
-/// A letter for each task, and the blocks and terms that the letters stand
-/// for.
+/// One symbol per task, and the blocks and terms that the symbols of assigned tasks
+/// refer to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskSymbols {
-    /// The blocks and their terms.
-    pub to: Vec<(BlockId, Term)>,
-    /// What is with each task.
+    /// The blocks and terms, in the order of `BLOCK_SYMBOLS`.
+    #[serde(rename = "to")]
+    pub block_terms: Vec<(BlockId, Term)>,
+    /// One symbol for each task.
     pub tasks: String,
 }
 
-/// The most that one task can add to a chunk's record at the first level:
+/// The most bytes that one task can add to a chunk's record at the first level:
 /// `[100000,100000,4294967295,9007199254740992],`.
-const RANGE_BYTES: f64 = 50.0;
-/// The same for a block and its term in the second level's form:
+const MAX_RANGE_ENTRY_BYTES: f64 = 50.0;
+/// The most bytes that a block and its term can add at the second level:
 /// `[4294967295,9007199254740992],`.
-const PAIR_BYTES: usize = 30;
-/// What such a record has besides: `{"to":[],"tasks":""}` and some more.
-const LETTERS_BYTES: usize = 40;
-/// Most tasks in a chunk.
-const CHUNK: u32 = 256;
-/// A task that waits, one that is done, and those for blocks. None of them
-/// takes more than one byte in JSON.
-const WAITING: u8 = b'.';
-const DONE: u8 = b'+';
+const MAX_BLOCK_TERM_BYTES: usize = 30;
+/// The bytes of a record at the second level without its entries:
+/// `{"to":[],"tasks":""}` and a margin.
+const SYMBOLS_OVERHEAD_BYTES: usize = 40;
+/// The most tasks in a chunk.
+const MAX_CHUNK_TASKS: u32 = 256;
+/// The symbols of waiting, done and assigned tasks. Each takes one byte in JSON.
+const WAITING_SYMBOL: u8 = b'.';
+const DONE_SYMBOL: u8 = b'+';
 const BLOCK_SYMBOLS: &[u8; 90] =
     b"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz!#$%&'()*,-/:;<=>?@[]^_`{|}~";
 
-/// How many tasks a chunk may hold for the store to take its record.
+/// How many tasks a chunk may hold so that its record fits into a value.
 pub fn max_chunk_tasks(level: FormatLevel, value_kb: f64) -> u32 {
     if level >= FormatLevel::PIPELINES {
-        return CHUNK;
+        return MAX_CHUNK_TASKS;
     }
-    let fits = (value_kb.min(48.0) * 1024.0 - 200.0) / RANGE_BYTES;
-    (fits as u32).clamp(8, CHUNK)
+    let fits = (value_kb.min(48.0) * 1024.0 - 200.0) / MAX_RANGE_ENTRY_BYTES;
+    (fits as u32).clamp(8, MAX_CHUNK_TASKS)
 }
 
-/// To how many blocks under as many terms the tasks of a chunk may be handed
-/// for the store to take its record, whatever the numbers are.
+/// To how many pairs of block and term the tasks of a chunk may be assigned so that
+/// its record fits into a value, whatever the numbers are.
 pub fn max_block_terms(level: FormatLevel, value_bytes: usize, count: usize) -> usize {
     if level < FormatLevel::PIPELINES {
         return usize::MAX;
     }
-    let fits = value_bytes.saturating_sub(LETTERS_BYTES + count) / PAIR_BYTES;
+    let fits = value_bytes.saturating_sub(SYMBOLS_OVERHEAD_BYTES + count) / MAX_BLOCK_TERM_BYTES;
     fits.min(BLOCK_SYMBOLS.len())
 }
 
 impl ChunkRecord {
-    /// Packs the places of the tasks from `first` on, in the form of a level.
-    /// None if the letters do not suffice.
-    pub fn pack(level: FormatLevel, first: u32, places: &[TaskStatus]) -> Option<Self> {
+    /// Packs the statuses of the tasks from index `first` on, in the form of a level.
+    /// `None` if there are more pairs of block and term than symbols.
+    pub fn pack(level: FormatLevel, first: u32, statuses: &[TaskStatus]) -> Option<Self> {
         if level < FormatLevel::PIPELINES {
-            Some(Self::ranges(first, places))
+            Some(Self::ranges(first, statuses))
         } else {
-            Self::letters(places)
+            Self::symbols(statuses)
         }
     }
 
@@ -616,7 +627,7 @@
     pub fn to_value(&self) -> Value {
         match self {
             Self::Ranges(ranges) => to_list(ranges),
-            Self::Symbols(letters) => to_map(letters),
+            Self::Symbols(symbols) => to_map(symbols),
         }
     }
 
@@ -633,14 +644,14 @@
         let mut ranges = TaskRanges::default();
         let mut at = 0;
         while at < all.len() {
-            let place = all[at];
-            let run = all[at..].iter().take_while(|p| **p == place).count();
+            let status = all[at];
+            let run = all[at..].iter().take_while(|p| **p == status).count();
             let (from, to) = (first + at as u32, first + (at + run) as u32);
-            match place {
+            match status {
                 TaskStatus::Waiting => {}
                 TaskStatus::Done => ranges.done.push((from, to)),
                 TaskStatus::Assigned { block, term } => {
-                    ranges.handed.push((from, to, block, term));
+                    ranges.assigned.push((from, to, block, term));
                 }
             }
             at += run;
@@ -648,85 +659,92 @@
         Self::Ranges(ranges)
     }
 
-    fn letters(places: &[TaskStatus]) -> Option<Self> {
-        let TaskSymbols { mut to, mut tasks } = TaskSymbols::default();
-        for place in places {
-            let letter = match place {
-                TaskStatus::Waiting => WAITING,
-                TaskStatus::Done => DONE,
+    fn symbols(statuses: &[TaskStatus]) -> Option<Self> {
+        let TaskSymbols {
+            mut block_terms,
+            mut tasks,
+        } = TaskSymbols::default();
+        for status in statuses {
+            let symbol = match status {
+                TaskStatus::Waiting => WAITING_SYMBOL,
+                TaskStatus::Done => DONE_SYMBOL,
                 TaskStatus::Assigned { block, term } => {
                     let pair = (*block, *term);
-                    let at = to.iter().position(|p| *p == pair).unwrap_or_else(|| {
-                        to.push(pair);
-                        to.len() - 1
-                    });
+                    let at = block_terms
+                        .iter()
+                        .position(|p| *p == pair)
+                        .unwrap_or_else(|| {
+                            block_terms.push(pair);
+                            block_terms.len() - 1
+                        });
                     *BLOCK_SYMBOLS.get(at)?
                 }
             };
-            tasks.push(char::from(letter));
+            tasks.push(char::from(symbol));
         }
-        Some(Self::Symbols(TaskSymbols { to, tasks }))
+        Some(Self::Symbols(TaskSymbols { block_terms, tasks }))
     }
 
-    /// Unpacks the places of `count` tasks from `first` on. A letter that
-    /// stands for nothing can't be read: none.
+    /// Unpacks the statuses of `count` tasks from index `first` on; `None` if a symbol
+    /// is unknown or refers to no block.
     pub fn unpack(&self, first: u32, count: usize) -> Option<Vec<TaskStatus>> {
-        let mut places = vec![TaskStatus::Waiting; count];
-        let mut fill = |from: u32, to: u32, place| {
+        let mut statuses = vec![TaskStatus::Waiting; count];
+        let mut fill = |from: u32, to: u32, status| {
             for at in from.max(first)..to {
-                if let Some(p) = places.get_mut((at - first) as usize) {
-                    *p = place;
+                if let Some(p) = statuses.get_mut((at - first) as usize) {
+                    *p = status;
                 } else {
                     break;
                 }
             }
         };
         match self {
-            Self::Ranges(TaskRanges { done, handed }) => {
-                for &(from, to, block, term) in handed {
+            Self::Ranges(TaskRanges { done, assigned }) => {
+                for &(from, to, block, term) in assigned {
                     fill(from, to, TaskStatus::Assigned { block, term });
                 }
                 for &(from, to) in done {
                     fill(from, to, TaskStatus::Done);
                 }
             }
-            Self::Symbols(TaskSymbols { to, tasks }) => {
-                for (place, letter) in places.iter_mut().zip(tasks.bytes()) {
-                    *place = match letter {
-                        WAITING => TaskStatus::Waiting,
-                        DONE => TaskStatus::Done,
-                        letter => {
-                            let at = BLOCK_SYMBOLS.iter().position(|l| *l == letter)?;
-                            let &(block, term) = to.get(at)?;
+            Self::Symbols(TaskSymbols { block_terms, tasks }) => {
+                for (status, symbol) in statuses.iter_mut().zip(tasks.bytes()) {
+                    *status = match symbol {
+                        WAITING_SYMBOL => TaskStatus::Waiting,
+                        DONE_SYMBOL => TaskStatus::Done,
+                        symbol => {
+                            let at = BLOCK_SYMBOLS.iter().position(|l| *l == symbol)?;
+                            let &(block, term) = block_terms.get(at)?;
                             TaskStatus::Assigned { block, term }
                         }
                     };
                 }
             }
         }
-        Some(places)
+        Some(statuses)
     }
 }
 
-/// A record as a list of its fields in order: the first level's form. Readers
-/// of such a list take neither more nor fewer fields than they know.
+/// A record as a list of its fields in order, the form of the first level. Readers
+/// of a list accept exactly the fields that they know.
 pub fn to_list<T: Serialize>(record: &T) -> Value {
     rmpv::ext::to_value(record).unwrap_or(Value::Nil)
 }
 
-/// A record as a map by the names of its fields: readers ignore those that
-/// they don't know, so later levels can add some.
+/// A record as a map by field name. Readers ignore fields that they don't know, so
+/// later levels can add some.
 pub fn to_map<T: Serialize>(record: &T) -> Value {
     rmp_serde::from_slice(&oliveshift_wire::encode(record)).unwrap_or(Value::Nil)
 }
 
-/// A record from a value in either form; none if another version wrote what we
-/// can't read.
+/// Reads a record from a value in either form; `None` if it was written in a format
+/// that this program can't read.
 pub fn from_value<T: DeserializeOwned>(value: Value) -> Option<T> {
     if !value.is_map() {
         return rmpv::ext::from_value(value).ok();
     }
-    // `rmpv` by itself takes choices as numbers only, not by their names.
+    // `rmpv` reads enum variants only by number, not by name, so the value is encoded
+    // and decoded again.
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, &value).ok()?;
     rmp_serde::from_slice(&bytes).ok()
@@ -743,50 +761,50 @@
     }
 
     #[test]
-    fn chunks_survive_packing() {
-        let mut places = vec![TaskStatus::Waiting; 12];
-        places[3] = TaskStatus::Done;
-        places[4] = TaskStatus::Done;
-        for (i, p) in places.iter_mut().enumerate().skip(6) {
+    fn chunk_records_round_trip() {
+        let mut statuses = vec![TaskStatus::Waiting; 12];
+        statuses[3] = TaskStatus::Done;
+        statuses[4] = TaskStatus::Done;
+        for (i, p) in statuses.iter_mut().enumerate().skip(6) {
             *p = TaskStatus::Assigned {
                 block: (i / 9) as u32,
                 term: 7,
             };
         }
         for level in [FormatLevel::FIRST, FormatLevel::PIPELINES] {
-            let packed = ChunkRecord::pack(level, 256, &places).expect("it fits");
+            let packed = ChunkRecord::pack(level, 256, &statuses).expect("it fits");
             let back = ChunkRecord::from_value(packed.to_value()).expect("its own form");
-            assert_eq!(back.unpack(256, 12), Some(places.clone()), "{level:?}");
+            assert_eq!(back.unpack(256, 12), Some(statuses.clone()), "{level:?}");
         }
         let bad = ChunkRecord::Symbols(TaskSymbols {
-            to: vec![(1, 2)],
+            block_terms: vec![(1, 2)],
             tasks: "+1".into(),
         });
         assert_eq!(bad.unpack(0, 2), None);
     }
 
     #[test]
-    fn the_worst_chunk_fits_the_store() {
+    fn the_largest_chunk_record_fits_into_a_value() {
         for kb in [2.0, 16.0, 32.0] {
-            let most = (kb * 1024.0) as usize;
+            let max_bytes = (kb * 1024.0) as usize;
             let worst = |term: u64| TaskStatus::Assigned {
                 block: u32::MAX,
                 term: (1 << 53) - term,
             };
             for level in [FormatLevel::FIRST, FormatLevel::PIPELINES] {
                 let count = max_chunk_tasks(level, kb) as usize;
-                let pairs = max_block_terms(level, most, count).min(count);
-                let places: Vec<_> = (0..count).map(|i| worst((i % pairs) as u64)).collect();
+                let pairs = max_block_terms(level, max_bytes, count).min(count);
+                let statuses: Vec<_> = (0..count).map(|i| worst((i % pairs) as u64)).collect();
                 let first = 100_000 - count as u32;
-                let record = ChunkRecord::pack(level, first, &places).expect("it fits");
+                let record = ChunkRecord::pack(level, first, &statuses).expect("it fits");
                 let size = json_len(&record.to_value());
-                assert!(size <= most, "{level:?} {kb}: {size}");
+                assert!(size <= max_bytes, "{level:?} {kb}: {size}");
             }
         }
     }
 
     #[test]
-    fn ids_survive_packing() {
+    fn packed_ids_round_trip() {
         let long = "j-00000000000000000000000000000000000007";
         let mut ids: Vec<_> = ["j-7", "j-07", "j-000007", "j-999999999999999999", long]
             .map(id)
@@ -859,17 +877,17 @@
         ]
     }
 
-    /// Values as the commit named `production` in `deploy/service.toml` wrote
-    /// them: read, and written again to the byte at its level.
+    /// Values written by the commit named `production` in `deploy/service.toml` can be
+    /// read and are written again byte for byte at their level.
     #[test]
-    fn the_first_levels_records_keep_their_form() {
+    fn first_level_records_keep_their_stored_form() {
         fn check<T: PartialEq + std::fmt::Debug>(
-            gold: &str,
+            stored: &str,
             record: T,
             write: impl Fn(&T) -> Value,
             read: impl Fn(Value) -> Option<T>,
         ) {
-            let bytes = hex(gold);
+            let bytes = hex(stored);
             let value: Value = rmp_serde::from_slice(&bytes).expect("MessagePack");
             assert_eq!(read(value.clone()).as_ref(), Some(&record));
             assert_eq!(write(&record), value);
@@ -895,9 +913,9 @@
             ),
             ("92a46561737490", Vec::new()),
         ];
-        for (gold, machines) in lists {
+        for (stored, machines) in lists {
             let to = MachineListRecord::to_value;
-            check(gold, list(machines), to, MachineListRecord::from_value);
+            check(stored, list(machines), to, MachineListRecord::from_value);
         }
         let service = JobSpec {
             types: None,
@@ -931,22 +949,27 @@
                 job(Phase::Open, Some(service)),
             ),
         ];
-        for (gold, job) in jobs {
+        for (stored, job) in jobs {
             let to = |job: &JobRecord| job.to_value(FormatLevel::FIRST);
-            check(gold, job, to, from_value);
+            check(stored, job, to, from_value);
         }
-        let places = [
+        let statuses = [
             TaskStatus::Done,
             TaskStatus::Assigned { block: 4, term: 41 },
             TaskStatus::Assigned { block: 5, term: 42 },
         ];
-        let chunk = ChunkRecord::pack(FormatLevel::FIRST, 0, &places).expect("it fits");
-        let gold = "9291920001929401020429940203052a";
-        check(gold, chunk, ChunkRecord::to_value, ChunkRecord::from_value);
+        let chunk = ChunkRecord::pack(FormatLevel::FIRST, 0, &statuses).expect("it fits");
+        let stored = "9291920001929401020429940203052a";
+        check(
+            stored,
+            chunk,
+            ChunkRecord::to_value,
+            ChunkRecord::from_value,
+        );
     }
 
     #[test]
-    fn the_second_levels_records_come_back() {
+    fn second_level_records_round_trip() {
         let second = FormatLevel::PIPELINES;
         let list = MachineListRecord::new(second, "east".into(), machines());
         let back =
@@ -969,13 +992,13 @@
             let Value::Map(mut fields) = record.to_value(second) else {
                 panic!("a map");
             };
-            // What later levels add does not disturb.
+            // Fields added by later levels are ignored.
             fields.push(("later".into(), Value::from(3)));
             assert_eq!(from_value(Value::Map(fields)), Some(record));
         }
     }
 
-    /// A description that is larger than a value may be goes into several.
+    /// A description that does not fit into one value is split over several records.
     #[test]
     fn long_descriptions_are_split_and_joined() {
         let limits = StateLimits {
@@ -1002,10 +1025,11 @@
         }
         let mut values = records.into_iter().map(|(_, value)| value);
         let first: JobRecord = values.next().and_then(from_value).expect("a job");
-        let pieces: Vec<SpecOverflowRecord> =
-            values.map(|v| from_value(v).expect("a piece")).collect();
-        assert_eq!(first.spec_overflow_count as usize, pieces.len());
-        let whole = JobRecord::join(first.spec.expect("a description"), &pieces);
+        let overflow: Vec<SpecOverflowRecord> = values
+            .map(|v| from_value(v).expect("an overflow record"))
+            .collect();
+        assert_eq!(first.spec_overflow_count as usize, overflow.len());
+        let whole = JobRecord::join(first.spec.expect("a description"), &overflow);
         assert_eq!(whole, Some(long.clone()));
 
         let short = job(Phase::Cancelled, Some(long.clone())).trimmed(FormatLevel::PIPELINES, 2048);
@@ -1021,16 +1045,16 @@
             job(Phase::Open, Some(spec)).split(&id, FormatLevel::PIPELINES, &limits)
         };
         assert_eq!(split(too_many), Err(JobTooLarge::Lists));
-        let unkeepable = JobSpec {
+        let long_names = JobSpec {
             class: "\u{1}".repeat(200),
             image: "\u{1}".repeat(200),
             ..spec()
         };
-        assert_eq!(split(unkeepable), Err(JobTooLarge::Names));
+        assert_eq!(split(long_names), Err(JobTooLarge::Names));
     }
 
     #[test]
-    fn keys_come_back() {
+    fn keys_round_trip() {
         let id = id("j-000007");
         for key in [
             Key::Leader,
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -51,8 +51,8 @@
     /// Records that continue the description: how many there are to be, what
     /// is to be continued, and those that there are.
     pub spec_overflow_count: u32,
-    begun: Option<Box<JobSpec>>,
-    pub spec_overflow: BTreeMap<u32, Piece>,
+    partial_spec: Option<Box<JobSpec>>,
+    pub spec_overflow: BTreeMap<u32, SpecOverflow>,
     /// The chunks that have a record.
     pub chunks: BTreeMap<u32, Chunk>,
     /// Tasks done.
@@ -63,7 +63,7 @@
 
 /// A record that continues a description.
 #[derive(Clone, Debug, Default)]
-pub struct Piece {
+pub struct SpecOverflow {
     /// Its version.
     pub version: u64,
     /// What it says, until the description is whole.
@@ -121,7 +121,7 @@
     }
 
     /// Whether nothing of it is left to do or to clean up.
-    pub fn settled(&self) -> bool {
+    pub fn is_cleaned_up(&self) -> bool {
         self.phase != Phase::Open
             && self.spec.is_none()
             && self.chunks.is_empty()
@@ -148,7 +148,7 @@
     }
 
     /// How it stands for those that name it.
-    fn named(&self) -> Named {
+    fn awaited_state(&self) -> Named {
         match self.phase {
             Phase::Open => Named::Open,
             Phase::Done => Named::Done(Duration::from_millis(self.done_ms.unwrap_or(0))),
@@ -258,12 +258,12 @@
             Key::Leader => self.leader.as_ref().map_or(0, |r| r.version),
             Key::Member(name) => self.members.get(name).map_or(0, |r| r.version),
             Key::Block(id) => self.blocks.get(id).map_or(0, |r| r.version),
-            Key::Machines(id, piece) => self.machine_list_version(*id, *piece),
+            Key::Machines(id, list_number) => self.machine_list_version(*id, *list_number),
             Key::Job(id) => self.jobs.get(id).map_or(0, |j| j.version),
-            Key::SpecOverflow(id, piece) => {
+            Key::SpecOverflow(id, number) => {
                 let spec_overflow = self.jobs.get(id).map(|j| &j.spec_overflow);
                 spec_overflow
-                    .and_then(|p| p.get(piece))
+                    .and_then(|p| p.get(number))
                     .map_or(0, |p| p.version)
             }
             Key::Chunk(id, part) => self.chunk_version(id, *part),
@@ -287,9 +287,9 @@
     }
 
     /// The version of one of a block's lists; 0: none.
-    pub fn machine_list_version(&self, id: BlockId, piece: u32) -> u64 {
+    pub fn machine_list_version(&self, id: BlockId, list_number: u32) -> u64 {
         self.machine_lists
-            .get(&(id, piece))
+            .get(&(id, list_number))
             .map_or(0, |l| l.version)
     }
 
@@ -332,21 +332,22 @@
                 let record = from_value(value)?;
                 self.blocks.insert(*id, Versioned { version, record });
             }
-            Key::Machines(id, piece) => {
+            Key::Machines(id, list_number) => {
                 let list = MachineListRecord::from_value(value)?;
                 let (zone, machines) = list.into_parts();
-                self.put_list(*id, *piece, &zone, machines, version);
+                self.put_list(*id, *list_number, &zone, machines, version);
             }
             Key::Job(id) => {
                 let record: JobRecord = from_value(value)?;
                 self.put_job(id, record, version);
             }
-            Key::SpecOverflow(id, piece) => {
+            Key::SpecOverflow(id, number) => {
                 let record = Some(from_value(value)?);
                 let job = self.jobs.get_mut(id)?;
-                job.spec_overflow.insert(*piece, Piece { version, record });
-                self.make_whole(id);
-                self.refresh(id);
+                job.spec_overflow
+                    .insert(*number, SpecOverflow { version, record });
+                self.assemble_spec(id);
+                self.update_active(id);
             }
             Key::Chunk(id, part) => {
                 let record = ChunkRecord::from_value(value)?;
@@ -362,7 +363,7 @@
                     },
                 );
                 job.count(*part, true);
-                self.refresh(id);
+                self.update_active(id);
             }
             Key::Settings => {
                 self.settings = Some(Versioned {
@@ -393,7 +394,7 @@
     fn put_list(
         &mut self,
         id: BlockId,
-        piece: u32,
+        list_number: u32,
         zone: &str,
         machines: Vec<MachineListEntry>,
         version: u64,
@@ -406,7 +407,7 @@
             listing.names.insert(machine.name.clone());
             let record = MachineRecord {
                 block: id,
-                piece,
+                list_number,
                 kind: machine.kind,
                 zone: zone.to_owned(),
                 spot: machine.spot,
@@ -422,10 +423,10 @@
         let names = listing.names.clone();
         let old = self
             .machine_lists
-            .insert((id, piece), listing)
+            .insert((id, list_number), listing)
             .unwrap_or_default();
         for name in old.names.difference(&names) {
-            let here = |m: &MachineRecord| (m.block, m.piece) == (id, piece);
+            let here = |m: &MachineRecord| (m.block, m.list_number) == (id, list_number);
             if self.machines.get(name).is_some_and(here) {
                 self.machines.remove(name);
                 if let Some(machines_by_block) = self.machines_by_block.get_mut(&id) {
@@ -450,7 +451,7 @@
             flow: None,
             service: false,
             spec_overflow_count: 0,
-            begun: None,
+            partial_spec: None,
             spec_overflow: BTreeMap::new(),
             chunks: BTreeMap::new(),
             done: 0,
@@ -465,14 +466,14 @@
         job.done_ms = record.done_ms;
         job.service |= record.service;
         job.spec_overflow_count = record.spec_overflow_count;
-        job.begun = None;
+        job.partial_spec = None;
         // The description never changes, so one copy serves all versions.
         match record.spec {
             Some(spec) if job.spec.is_none() => {
                 job.service = spec.shape == Shape::Service;
                 job.flow = Some(Flow::of(&spec));
                 if record.phase == Phase::Open && record.spec_overflow_count > 0 {
-                    job.begun = Some(Box::new(spec));
+                    job.partial_spec = Some(Box::new(spec));
                 } else {
                     job.spec = Some(Rc::new(spec));
                 }
@@ -481,7 +482,7 @@
             None => job.spec = None,
         }
         match job.phase {
-            Phase::Open => self.make_whole(id),
+            Phase::Open => self.assemble_spec(id),
             Phase::Done => {
                 let at = Duration::from_millis(job.done_ms.unwrap_or(0));
                 job.waits_for_dependencies = false;
@@ -494,22 +495,22 @@
                 }
             }
         }
-        self.follow_graph();
-        self.refresh(id);
+        self.apply_dependency_changes();
+        self.update_active(id);
     }
 
     /// Takes an open job into the graph once all of its description is there.
-    fn make_whole(&mut self, id: &JobId) {
+    fn assemble_spec(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.phase == Phase::Open) else {
             return;
         };
-        if let Some(begun) = job
-            .begun
+        if let Some(partial_spec) = job
+            .partial_spec
             .take_if(|_| job.spec_overflow.len() as u32 >= job.spec_overflow_count)
         {
             let spec_overflow = job.spec_overflow.values_mut().map(|p| p.record.take());
             let spec_overflow: Vec<_> = spec_overflow.flatten().collect();
-            job.spec = JobRecord::join(*begun, &spec_overflow).map(Rc::new);
+            job.spec = JobRecord::join(*partial_spec, &spec_overflow).map(Rc::new);
         }
         let Some(spec) = job.spec.clone() else {
             job.waits_for_dependencies = true;
@@ -524,23 +525,26 @@
             arrived,
         };
         let awaits = spec.awaits.iter().map(|awaited| {
-            let named = self.jobs.get(awaited).map_or(Named::Open, Job::named);
-            (awaited.clone(), named)
+            let awaited_state = self
+                .jobs
+                .get(awaited)
+                .map_or(Named::Open, Job::awaited_state);
+            (awaited.clone(), awaited_state)
         });
         self.graph.open(id.clone(), own, awaits);
-        self.follow_standing(id);
-        self.follow_graph();
+        self.update_readiness(id);
+        self.apply_dependency_changes();
     }
 
     /// What has changed for jobs with those that they await.
-    fn follow_graph(&mut self) {
+    fn apply_dependency_changes(&mut self) {
         for id in self.graph.take_changed() {
-            self.follow_standing(&id);
-            self.refresh(&id);
+            self.update_readiness(&id);
+            self.update_active(&id);
         }
     }
 
-    fn follow_standing(&mut self, id: &JobId) {
+    fn update_readiness(&mut self, id: &JobId) {
         let Some(standing) = self.graph.standing(id) else {
             return;
         };
@@ -571,9 +575,9 @@
         self.graph.claim(id).map_or(spec.priority, |c| c.priority)
     }
 
-    fn refresh(&mut self, id: &JobId) {
-        let rests = |job: &Job| job.waits_for_dependencies || job.settled();
-        if self.jobs.get(id).is_none_or(rests) {
+    fn update_active(&mut self, id: &JobId) {
+        let is_inactive = |job: &Job| job.waits_for_dependencies || job.is_cleaned_up();
+        if self.jobs.get(id).is_none_or(is_inactive) {
             self.active.remove(id);
         } else {
             self.active.insert(id.clone());
@@ -594,19 +598,19 @@
             Key::Block(id) => {
                 self.blocks.remove(id);
             }
-            Key::Machines(id, piece) => {
-                self.put_list(*id, *piece, "", Vec::new(), version);
-                self.machine_lists.remove(&(*id, *piece));
+            Key::Machines(id, list_number) => {
+                self.put_list(*id, *list_number, "", Vec::new(), version);
+                self.machine_lists.remove(&(*id, *list_number));
             }
             Key::Job(id) => {
                 self.jobs.remove(id);
-                self.refresh(id);
+                self.update_active(id);
             }
-            Key::SpecOverflow(id, piece) => {
+            Key::SpecOverflow(id, number) => {
                 if let Some(job) = self.jobs.get_mut(id) {
-                    job.spec_overflow.remove(piece);
+                    job.spec_overflow.remove(number);
                 }
-                self.refresh(id);
+                self.update_active(id);
             }
             Key::Chunk(id, part) => {
                 if let Some(job) = self.jobs.get_mut(id) {
@@ -618,7 +622,7 @@
                     }
                     job.chunks.remove(part);
                 }
-                self.refresh(id);
+                self.update_active(id);
             }
             Key::Settings => self.settings = None,
             Key::Format => self.format = None,
