--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of oliveshift, as a state machine without I/O.
+//! The controller of oliveshift, as a state machine without I/O.
 //!
-//! [`Controller::take`] takes the time and one [`Input`], [`Controller::turn`]
-//! lets the controller act on what came in; both return what to send and
-//! answer. Time and the seed for random numbers come in from outside,
-//! so the same inputs always give the same outputs.
+//! [`Controller::receive`] takes the time and one [`Input`], and
+//! [`Controller::run_turn`] processes the inputs received so far; both return the
+//! [`Output`]s, such as calls to make and requests to answer. Time and the seed for
+//! random numbers are passed in, so the same inputs always give the same outputs.
 
 mod admission;
 mod assigned_tasks;
--- a/crates/core/src/machine_lists.rs
+++ b/crates/core/src/machine_lists.rs
@@ -1,10 +1,10 @@
-//! Which machines are in which block: written by the leader alone, for many
-//! machines at a time. What does not fit a block's record goes into further
-//! ones.
+//! The lists of machines of each block. Only the leader writes them, for many
+//! machines in one transaction. Machines that do not fit into a block's first list
+//! go into further lists.
 //!
-//! A machine must never be in two blocks. Only one write is under way, and one
-//! without an answer is sent again with the same conditions until it is
-//! settled, so what the next one builds upon is known.
+//! A machine must never be in two blocks. Only one write is in flight, and a write
+//! without an answer is repeated with the same conditions until its outcome is
+//! known, so the next write starts from known lists.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,55 +24,53 @@
     store::{Outcome, Purpose, Urgency},
 };
 
-/// Most lists in one write, and most machines in them: a transaction has a
-/// limit in bytes.
-const MOST_LISTS: usize = 8;
-const MOST_MACHINES: usize = 250;
-/// What a machine takes in its block's list at the first level, in bytes, at
-/// most.
-const ENTRY_BYTES: f64 = 200.0;
+/// The most lists in one write, and the most machines in them: the size of a
+/// transaction is limited.
+const MAX_LISTS_PER_WRITE: usize = 8;
+const MAX_MACHINES_PER_WRITE: usize = 250;
+/// The most bytes that a machine takes in a list at the first format level.
+const MAX_FLAT_ENTRY_BYTES: f64 = 200.0;
 
-/// How long it takes at least from one write to the next while writes are
-/// short: a machine that has come up waits for it, one that is gone does not
-/// mind at all. Most lists change for a single machine otherwise, and each
-/// costs a write.
-const GATHER: Duration = Duration::from_millis(400);
-const GATHER_GONE: Duration = Duration::from_millis(2000);
+/// The minimum time between two writes, so that a list is not written anew for each
+/// single machine. New machines wait for the write, so additions skip the interval
+/// while the write budget has room to spare; removals are not urgent.
+const MIN_ADD_INTERVAL: Duration = Duration::from_millis(400);
+const MIN_REMOVE_INTERVAL: Duration = Duration::from_millis(2000);
 
-/// A write under way.
+/// A write of machine lists in flight.
 #[derive(Debug)]
 pub(crate) struct MachineListWrite {
     txn: Txn,
     step: WriteStep,
-    /// It, or one before it on the same conditions, has got no answer.
+    /// Whether this write, or an earlier one with the same conditions, got no answer.
     in_doubt: bool,
-    /// The service does not take it as it is.
+    /// Whether the state service rejects the write as malformed or too large.
     impossible: bool,
 }
 
-/// Lists to be written: by block and number.
+/// Lists to be written, by block and list number.
 type Lists = BTreeMap<(BlockId, u32), Vec<MachineListEntry>>;
 
 impl Controller {
-    /// How many machines a block may have: enough blocks that each controller
-    /// has several to give away, and few enough that leasing them anew after
-    /// a crash takes few writes.
+    /// How many machines a block may have. There should be enough blocks that each
+    /// controller holds several that can be moved, but so few that leasing them again
+    /// after a crash takes few writes.
     fn block_size(&self) -> usize {
         let waiting = self.leader.as_ref().map_or(0, |l| l.reports.len());
         let machines = self.view.machines.len() + waiting;
         let blocks = self.settings.peers_and_me() * self.tuning.blocks_each;
-        let mut most = self.tuning.block_most;
+        let mut max_machines = self.tuning.block_most;
         if self.level() < FormatLevel::PIPELINES {
-            let fits = self.limits().value_kb * 1024.0 / ENTRY_BYTES;
-            most = most.min(fits as usize);
+            let fits = self.limits().value_kb * 1024.0 / MAX_FLAT_ENTRY_BYTES;
+            max_machines = max_machines.min(fits as usize);
         }
         machines
             .div_ceil(blocks.max(1))
-            .clamp(self.tuning.block_least.min(most), most)
+            .clamp(self.tuning.block_least.min(max_machines), max_machines)
     }
 
-    /// Takes machines that have reported into blocks of their zone, and
-    /// removes those that are surely gone.
+    /// Adds machines that have reported to blocks of their zone, and removes machines
+    /// that are known to be gone.
     pub(crate) fn update_machine_lists(&mut self) {
         let now = self.now;
         let revision = self.view.revision;
@@ -82,22 +80,22 @@
         if let Some(write) = &leader.lists {
             match write.step {
                 WriteStep::VisibleAt(shown) if revision >= shown => leader.lists = None,
-                WriteStep::Retry(at) if now >= at => return self.repeat_lists(),
+                WriteStep::Retry(at) if now >= at => return self.retry_list_write(),
                 _ => return,
             }
         }
         let since = now.saturating_sub(leader.lists_at);
         let due = if leader.reports.is_empty() {
             let mut gone = self.fleet.gone.keys();
-            since >= GATHER_GONE && gone.any(|name| self.view.machines.contains_key(name))
+            since >= MIN_REMOVE_INTERVAL && gone.any(|name| self.view.machines.contains_key(name))
         } else {
-            since >= GATHER || self.has_spare_writes()
+            since >= MIN_ADD_INTERVAL || self.has_spare_writes()
         };
         if !due {
             return;
         }
-        let (lists, full) = self.new_lists();
-        for zone in full {
+        let (lists, full_zones) = self.plan_lists();
+        for zone in full_zones {
             self.new_block(zone);
         }
         self.write_lists(lists);
@@ -140,11 +138,11 @@
         }
     }
 
-    /// Sends a write that got no answer once more. If it is larger than the
-    /// service takes by now, its repeat proves nothing: the first of its lists
-    /// is written as it was instead, which keeps the other from ever taking
-    /// effect or finds that it has.
-    fn repeat_lists(&mut self) {
+    /// Repeats a write that got no answer. If it is now larger than the service accepts,
+    /// a repeat would not show its outcome. Its first list is then written with its
+    /// present content instead: this either makes the conditions of the earlier write
+    /// fail from then on, or conflicts because that write has taken effect.
+    fn retry_list_write(&mut self) {
         let write = self.leader.as_ref().and_then(|l| l.lists.as_ref());
         let Some((txn, impossible)) = write.map(|w| (w.txn.clone(), w.impossible)) else {
             return;
@@ -165,15 +163,18 @@
             .iter()
             .any(|c| c.key == key && c.version != version)
         {
-            // The view shows that it has changed, so the write is settled.
+            // The view shows another version of the list, so the outcome is known.
             if let Some(leader) = &mut self.leader {
                 leader.lists = None;
             }
             return;
         }
-        let mut lists = Lists::from([((id, list_number), self.list_of(id, list_number))]);
-        if self.cut_to_size(&mut lists) {
-            log::info!("block {id}: a write in doubt is too large by now and is settled");
+        let mut lists = Lists::from([((id, list_number), self.current_list(id, list_number))]);
+        if self.split_oversized(&mut lists) {
+            log::info!(
+                "block {id}: machine list write without an answer is now too large to repeat; \
+                 rewriting list {list_number} to settle it"
+            );
             self.write_lists(lists);
             if let Some(write) = self.leader.as_mut().and_then(|l| l.lists.as_mut()) {
                 write.in_doubt = true;
@@ -192,12 +193,12 @@
             || json_len(&self.list_value(id, machines.to_vec())) <= self.limits().value_bytes()
     }
 
-    /// Most lists in one write.
-    fn most_lists(&self) -> usize {
-        MOST_LISTS.min(self.limits().txn_ops)
+    /// The most lists in one write.
+    fn max_lists(&self) -> usize {
+        MAX_LISTS_PER_WRITE.min(self.limits().txn_ops)
     }
 
-    /// The number of a list that a block does not have yet.
+    /// The number for the next new list of a block.
     fn next_list_number(&self, id: BlockId, lists: &Lists) -> u32 {
         let all = (id, 0)..=(id, u32::MAX);
         let known = self.view.machine_lists.range(all.clone()).next_back();
@@ -206,37 +207,36 @@
         last.map_or(0, |last| last + 1)
     }
 
-    /// Lists may have been written when larger ones were allowed: what does
-    /// not fit goes into further lists in the same write. These come later in
-    /// the order of the keys, so that a first read, which reads page after
-    /// page, never misses a machine that moves meanwhile. False if that takes
-    /// more lists than one write can hold.
-    fn cut_to_size(&self, lists: &mut Lists) -> bool {
+    /// Moves machines that do not fit into their list to new lists in the same write:
+    /// lists may have been written when larger values were allowed. New lists come
+    /// later in key order, so that a read of all records, page by page, never misses a
+    /// machine that moves meanwhile. False if one write can't hold all the lists.
+    fn split_oversized(&self, lists: &mut Lists) -> bool {
         for at in lists.keys().copied().collect::<Vec<_>>() {
             let (id, _) = at;
             let mut from = at;
             while let Some(list) = lists.get_mut(&from).filter(|l| !self.list_fits(id, l)) {
-                let mut over = Vec::new();
+                let mut excess = Vec::new();
                 while !self.list_fits(id, list) {
-                    over.extend(list.pop());
+                    excess.extend(list.pop());
                 }
                 from = (id, self.next_list_number(id, lists));
-                lists.insert(from, over);
+                lists.insert(from, excess);
             }
         }
-        lists.len() <= self.most_lists()
+        lists.len() <= self.max_lists()
     }
 
-    /// The lists that have to change, and the zones in which all blocks are
-    /// full.
-    fn new_lists(&self) -> (Lists, BTreeSet<String>) {
+    /// The lists that have to be written, and the zones with machines to add but no
+    /// block that can take them.
+    fn plan_lists(&self) -> (Lists, BTreeSet<String>) {
         let mut lists = Lists::new();
-        let mut full = BTreeSet::new();
-        let most = self.most_lists();
+        let mut full_zones = BTreeSet::new();
+        let max_lists = self.max_lists();
         let size = self.block_size();
         let has_room = |lists: &Lists, at: &(BlockId, u32)| {
             let machines: usize = lists.values().map(Vec::len).sum();
-            lists.contains_key(at) || (lists.len() < most && machines < MOST_MACHINES)
+            lists.contains_key(at) || (lists.len() < max_lists && machines < MAX_MACHINES_PER_WRITE)
         };
         for name in self.fleet.gone.keys() {
             let Some(machine) = self.view.machines.get(name) else {
@@ -247,9 +247,11 @@
                 continue;
             }
             let mut trial = lists.clone();
-            let list = trial.entry(at).or_insert_with(|| self.list_of(at.0, at.1));
+            let list = trial
+                .entry(at)
+                .or_insert_with(|| self.current_list(at.0, at.1));
             list.retain(|m| m.name != *name);
-            if self.cut_to_size(&mut trial) {
+            if self.split_oversized(&mut trial) {
                 lists = trial;
             }
         }
@@ -260,7 +262,7 @@
             if known || self.fleet.returning(&report.machine) || !taken.insert(&report.machine) {
                 continue;
             }
-            // How many a block has by the lists as they will be.
+            // The number of machines of a block once the planned lists are written.
             let count = |id: &BlockId| {
                 let planned = lists.range((*id, 0)..=(*id, u32::MAX));
                 planned.fold(self.view.machine_count(id), |n, (at, list)| {
@@ -271,27 +273,27 @@
             let blocks = self.view.blocks.iter();
             let mut open = blocks
                 .filter(|(id, b)| b.record.zone == report.zone && count(id) < size)
-                .filter(|(id, b)| self.may_hear_new(**id, &b.record))
+                .filter(|(id, b)| self.can_serve_new_machine(**id, &b.record))
                 .peekable();
             if open.peek().is_none() {
-                full.insert(report.zone.clone());
+                full_zones.insert(report.zone.clone());
                 continue;
             }
-            // What this write can't hold goes into the next.
+            // Machines that do not fit into this write are added by a later one.
             let place = open.find_map(|(id, _)| {
-                let (at, list) = self.list_with(*id, &lists, listed(report))?;
+                let (at, list) = self.list_with_room(*id, &lists, list_entry(report))?;
                 has_room(&lists, &at).then_some((at, list))
             });
             if let Some((at, list)) = place {
                 lists.insert(at, list);
             }
         }
-        (lists, full)
+        (lists, full_zones)
     }
 
-    /// Whether the holder of a block may hear a machine that comes into it; true where
-    /// no controller may.
-    fn may_hear_new(&self, id: BlockId, block: &BlockRecord) -> bool {
+    /// Whether the holder of a block can serve a new machine in the block, as far as is
+    /// known; true if no controller can serve the zone.
+    fn can_serve_new_machine(&self, id: BlockId, block: &BlockRecord) -> bool {
         let us = &self.settings.node;
         let serves = |node: &String| {
             self.reachability
@@ -303,9 +305,9 @@
         !self.view.members.keys().any(serves)
     }
 
-    /// The first of a block's lists that has room for a machine, with it; a
-    /// new one if need be. None if the machine alone is too large.
-    fn list_with(
+    /// The first of a block's lists that has room for a machine, with the machine
+    /// added; a new list if needed. `None` if the machine alone is too large.
+    fn list_with_room(
         &self,
         id: BlockId,
         lists: &Lists,
@@ -314,13 +316,13 @@
         (0..=self.next_list_number(id, lists)).find_map(|list_number| {
             let at = (id, list_number);
             let planned = lists.get(&at).cloned();
-            let mut list = planned.unwrap_or_else(|| self.list_of(id, list_number));
+            let mut list = planned.unwrap_or_else(|| self.current_list(id, list_number));
             list.push(machine.clone());
             self.list_fits(id, &list).then_some((at, list))
         })
     }
 
-    fn list_of(&self, id: BlockId, list_number: u32) -> Vec<MachineListEntry> {
+    fn current_list(&self, id: BlockId, list_number: u32) -> Vec<MachineListEntry> {
         let listing = self.view.machine_lists.get(&(id, list_number));
         let machine = |name: &String| {
             let record = self.view.machines.get(name)?;
@@ -349,7 +351,7 @@
     }
 }
 
-fn listed(report: &Report) -> MachineListEntry {
+fn list_entry(report: &Report) -> MachineListEntry {
     MachineListEntry {
         name: report.machine.clone(),
         kind: report.kind.clone(),
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,4 +1,4 @@
-//! The controller's copy of the records, kept whole by watches.
+//! The controller's copy of the records, kept up to date by watches.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -22,51 +22,54 @@
     TaskStatus, from_value,
 };
 
-/// A job as recorded, with what follows from the jobs that it awaits.
+/// A job as recorded, combined with the state of the jobs that it awaits.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The version of `job/ID`; 0 while only chunks were seen.
+    /// The version of `job/ID`.
     pub version: u64,
-    /// Its phase; cancelled also if a job before it is, whether or not its own
-    /// record says so yet.
+    /// Its phase. Also cancelled if a job that it awaits is cancelled, even before its
+    /// own record says so.
     pub phase: Phase,
-    /// It is open, and some job that it awaits is not done.
+    /// Whether it is open and awaits a job that is not done, or its description is not
+    /// complete yet.
     pub waits_for_dependencies: bool,
     /// How many tasks it has.
     pub tasks: u32,
-    /// Tasks in a chunk.
+    /// How many tasks each chunk holds.
     pub chunk_size: u32,
-    /// When it was accepted.
+    /// When it was accepted, in ms of wall-clock time.
     pub accepted_ms: u64,
-    /// When the last job that it awaits was done, or it was accepted.
+    /// When the last job that it awaits was done; the time of acceptance if it awaits
+    /// none.
     pub ready_ms: u64,
-    /// When it was done, if that is known.
+    /// When it was done, if known.
     pub done_ms: Option<u64>,
-    /// The description, unless compacted.
+    /// The description, unless it is incomplete or has been removed by compaction.
     pub spec: Option<Rc<JobSpec>>,
-    /// The flow that it belongs to, as soon as that is known.
+    /// The flow that it belongs to; known once a description has been seen.
     pub flow: Option<Flow>,
-    /// It is known to be a service.
+    /// Whether it is known to be a service.
     pub service: bool,
-    /// Records that continue the description: how many there are to be, what
-    /// is to be continued, and those that there are.
+    /// How many records hold the rest of the description.
     pub spec_overflow_count: u32,
+    /// The description without its overflow, until all overflow records are there.
     partial_spec: Option<Box<JobSpec>>,
+    /// The overflow records seen so far, by number.
     pub spec_overflow: BTreeMap<u32, SpecOverflow>,
-    /// The chunks that have a record.
+    /// The chunks that have a record, by number.
     pub chunks: BTreeMap<u32, Chunk>,
-    /// Tasks done.
+    /// How many tasks are done.
     pub done: u32,
-    /// Tasks handed to each block.
+    /// How many tasks are assigned to each block.
     pub assigned: BTreeMap<BlockId, u32>,
 }
 
-/// A record that continues a description.
+/// A record that holds part of a description.
 #[derive(Clone, Debug, Default)]
 pub struct SpecOverflow {
     /// Its version.
     pub version: u64,
-    /// What it says, until the description is whole.
+    /// The record; taken out once the description is complete.
     record: Option<SpecOverflowRecord>,
 }
 
@@ -75,41 +78,41 @@
 pub struct Chunk {
     /// The version of its record.
     pub version: u64,
-    /// Where its tasks are.
+    /// The status of each of its tasks.
     pub task_statuses: Vec<TaskStatus>,
 }
 
 impl Job {
-    /// Tasks handed and not done or given back.
+    /// How many tasks are assigned to any block.
     pub fn assigned_total(&self) -> u32 {
         self.assigned.values().sum()
     }
 
-    /// Tasks that wait.
+    /// How many tasks are waiting to be assigned.
     pub fn waiting(&self) -> u32 {
         self.tasks
             .saturating_sub(self.done)
             .saturating_sub(self.assigned_total())
     }
 
-    /// The first task of a chunk and how many it has.
+    /// The index of a chunk's first task, and the number of its tasks.
     pub fn chunk_span(&self, part: u32) -> (u32, usize) {
         let first = part.saturating_mul(self.chunk_size);
         let count = self.tasks.saturating_sub(first).min(self.chunk_size);
         (first, count as usize)
     }
 
-    /// The chunk that a task is in.
+    /// The number of the chunk that holds a task.
     pub fn chunk_of(&self, index: u32) -> u32 {
         index / self.chunk_size.max(1)
     }
 
-    /// How many chunks there are.
+    /// How many chunks the job has, with or without a record.
     pub fn chunk_count(&self) -> u32 {
         self.tasks.div_ceil(self.chunk_size.max(1))
     }
 
-    /// Where a task is.
+    /// The status of a task; waiting if its chunk has no record.
     pub fn task_status(&self, index: u32) -> TaskStatus {
         let part = self.chunk_of(index);
         let first = part * self.chunk_size;
@@ -120,7 +123,8 @@
             .unwrap_or_default()
     }
 
-    /// Whether nothing of it is left to do or to clean up.
+    /// Whether the job is over and its description, overflow and chunks are gone from
+    /// the records.
     pub fn is_cleaned_up(&self) -> bool {
         self.phase != Phase::Open
             && self.spec.is_none()
@@ -128,12 +132,12 @@
             && self.spec_overflow.is_empty()
     }
 
-    /// Whether all its tasks are recorded as done while it is not.
+    /// Whether all tasks are recorded as done while the job is still open.
     pub fn is_complete(&self) -> bool {
         self.phase == Phase::Open && self.done >= self.tasks
     }
 
-    /// What its record says at least, whatever its phase.
+    /// Its record without the description, the overflow and the service flag.
     pub fn record(&self) -> JobRecord {
         JobRecord {
             phase: self.phase,
@@ -147,7 +151,7 @@
         }
     }
 
-    /// How it stands for those that name it.
+    /// Its state for the jobs that await it.
     fn awaited_state(&self) -> Named {
         match self.phase {
             Phase::Open => Named::Open,
@@ -156,12 +160,13 @@
         }
     }
 
-    fn count(&mut self, part: u32, add: bool) {
+    /// Adds the tasks of a chunk to the job's counts, or subtracts them.
+    fn count_chunk(&mut self, part: u32, add: bool) {
         let Some(chunk) = self.chunks.get(&part) else {
             return;
         };
-        for place in &chunk.task_statuses {
-            match place {
+        for status in &chunk.task_statuses {
+            match status {
                 TaskStatus::Waiting => {}
                 TaskStatus::Done if add => self.done += 1,
                 TaskStatus::Done => self.done = self.done.saturating_sub(1),
@@ -190,7 +195,7 @@
     pub record: T,
 }
 
-/// One of a block's lists of machines.
+/// One of a block's lists of machines, as recorded.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
     /// Its version.
@@ -199,49 +204,51 @@
     pub names: BTreeSet<String>,
 }
 
-/// All records.
+/// All records as of one revision, with indexes over them.
 #[derive(Debug, Default)]
 pub struct View {
-    /// All changes up to here are in.
+    /// The revision up to which all changes are applied.
     pub revision: u64,
-    /// Who leads.
+    /// The leader.
     pub leader: Option<Versioned<MemberRecord>>,
-    /// Who is up.
+    /// The members: the controllers that are up.
     pub members: BTreeMap<String, Versioned<MemberRecord>>,
     /// The blocks.
     pub blocks: BTreeMap<BlockId, Versioned<BlockRecord>>,
     /// The machines.
     pub machines: BTreeMap<String, MachineRecord>,
-    /// The machines of each block.
+    /// The names of each block's machines, over all of its lists.
     pub machines_by_block: BTreeMap<BlockId, BTreeSet<String>>,
-    /// Each block's lists of machines.
+    /// The lists of machines, by block and list number.
     pub machine_lists: BTreeMap<(BlockId, u32), Listing>,
-    /// Machines that the last changes have brought or taken.
+    /// Machines added or removed by the latest changes, for the caller to take.
     pub changed_machines: Vec<String>,
     /// The jobs.
     pub jobs: HashMap<JobId, Job>,
-    /// Jobs on which something is left to do now: those that wait for others
-    /// are not among them.
+    /// Jobs on which something is left to do now. Jobs that wait for others are not
+    /// among them.
     pub active: BTreeSet<JobId>,
-    /// What lies between the open jobs.
+    /// The dependencies between the open jobs.
     graph: Graph<JobId>,
     /// The operators' settings.
     pub settings: Option<Versioned<Value>>,
-    /// The format in which all write.
+    /// The format level in which all controllers write.
     pub format: Option<Versioned<FormatRecord>>,
-    /// The formats that the controllers are able to write.
+    /// The highest format level of each controller.
     pub levels: BTreeMap<String, Versioned<LevelRecord>>,
-    /// What may be let in.
+    /// What each controller may admit.
     pub admission: Option<Versioned<AdmissionRecord>>,
-    /// The version of the record that the lower limits hold; 0: none.
+    /// The version of the record that says that the lowered limits apply; 0 if there
+    /// is none.
     pub lowered_limits_version: u64,
-    /// What is broken on purpose.
+    /// The fault injected by a test.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<crate::Sabotage>,
 }
 
 impl View {
-    /// Takes a change; returns the key if it was news.
+    /// Applies a change. Returns its key, or `None` if the change was already known or
+    /// can't be read.
     pub fn apply(&mut self, event: Event) -> Option<Key> {
         match event {
             Event::Put {
@@ -275,7 +282,7 @@
         }
     }
 
-    /// Whether nothing has ever been recorded.
+    /// Whether no format, controller, block, machine list or job is recorded.
     pub fn is_empty(&self) -> bool {
         self.leader.is_none()
             && self.format.is_none()
@@ -286,25 +293,25 @@
             && self.jobs.is_empty()
     }
 
-    /// The version of one of a block's lists; 0: none.
+    /// The version of one of a block's lists; 0 if there is none.
     pub fn machine_list_version(&self, id: BlockId, list_number: u32) -> u64 {
         self.machine_lists
             .get(&(id, list_number))
             .map_or(0, |l| l.version)
     }
 
-    /// The version of what is recorded of a controller's level; 0: nothing.
+    /// The version of a controller's level record; 0 if there is none.
     pub fn level_version(&self, node: &str) -> u64 {
         self.levels.get(node).map_or(0, |r| r.version)
     }
 
-    /// The format in which all write.
+    /// The format level in which all controllers write.
     pub fn level(&self) -> FormatLevel {
         let format = self.format.as_ref();
         format.map_or(FormatLevel::FIRST, |f| f.record.level)
     }
 
-    /// The version of a chunk's record; 0: none.
+    /// The version of a chunk's record; 0 if there is none.
     pub fn chunk_version(&self, id: &JobId, part: u32) -> u64 {
         self.jobs
             .get(id)
@@ -314,7 +321,8 @@
 
     fn put(&mut self, path: &str, value: Value, version: u64) -> Option<Key> {
         let key = Key::parse(path)?;
-        // Pages of a first read may be newer than the changes read after it.
+        // Later pages of a read of all records may be newer than the changes that are
+        // applied after them.
         if self.version(&key) >= version {
             return None;
         }
@@ -335,7 +343,7 @@
             Key::Machines(id, list_number) => {
                 let list = MachineListRecord::from_value(value)?;
                 let (zone, machines) = list.into_parts();
-                self.put_list(*id, *list_number, &zone, machines, version);
+                self.put_machine_list(*id, *list_number, &zone, machines, version);
             }
             Key::Job(id) => {
                 let record: JobRecord = from_value(value)?;
@@ -354,7 +362,7 @@
                 let job = self.jobs.get_mut(id)?;
                 let (first, count) = job.chunk_span(*part);
                 let task_statuses = record.unpack(first, count)?;
-                job.count(*part, false);
+                job.count_chunk(*part, false);
                 job.chunks.insert(
                     *part,
                     Chunk {
@@ -362,7 +370,7 @@
                         task_statuses,
                     },
                 );
-                job.count(*part, true);
+                job.count_chunk(*part, true);
                 self.update_active(id);
             }
             Key::Settings => {
@@ -389,9 +397,9 @@
         Some(key)
     }
 
-    /// Follows one of a block's lists; the machines that came or went are
-    /// `news`. A machine that another list of the block has by now stays.
-    fn put_list(
+    /// Applies one of a block's lists and notes added and removed machines in
+    /// `changed_machines`. A machine that has moved to another list is not removed.
+    fn put_machine_list(
         &mut self,
         id: BlockId,
         list_number: u32,
@@ -426,8 +434,8 @@
             .insert((id, list_number), listing)
             .unwrap_or_default();
         for name in old.names.difference(&names) {
-            let here = |m: &MachineRecord| (m.block, m.list_number) == (id, list_number);
-            if self.machines.get(name).is_some_and(here) {
+            let is_listed_here = |m: &MachineRecord| (m.block, m.list_number) == (id, list_number);
+            if self.machines.get(name).is_some_and(is_listed_here) {
                 self.machines.remove(name);
                 if let Some(machines_by_block) = self.machines_by_block.get_mut(&id) {
                     machines_by_block.remove(name);
@@ -458,8 +466,8 @@
             assigned: BTreeMap::new(),
         });
         job.version = version;
-        // A job that is cancelled with one before it stays so, whatever its
-        // own record says yet.
+        // A job that was cancelled with a job that it awaits stays cancelled while its
+        // own record still says that it is open.
         if record.phase != Phase::Open {
             job.phase = record.phase;
         }
@@ -467,7 +475,7 @@
         job.service |= record.service;
         job.spec_overflow_count = record.spec_overflow_count;
         job.partial_spec = None;
-        // The description never changes, so one copy serves all versions.
+        // The description never changes, so the copy from an earlier version is kept.
         match record.spec {
             Some(spec) if job.spec.is_none() => {
                 job.service = spec.shape == Shape::Service;
@@ -499,7 +507,7 @@
         self.update_active(id);
     }
 
-    /// Takes an open job into the graph once all of its description is there.
+    /// Adds an open job to the dependency graph once its description is complete.
     fn assemble_spec(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| j.phase == Phase::Open) else {
             return;
@@ -536,7 +544,7 @@
         self.apply_dependency_changes();
     }
 
-    /// What has changed for jobs with those that they await.
+    /// Updates the jobs whose readiness has changed with the jobs that they await.
     fn apply_dependency_changes(&mut self) {
         for id in self.graph.take_changed() {
             self.update_readiness(&id);
@@ -565,12 +573,13 @@
         }
     }
 
-    /// What an open job may claim for itself and for those that need it.
+    /// The priority and latest start of an open job, with the needs of the jobs that
+    /// await it; `None` if it is not in the dependency graph.
     pub fn claim(&self, id: &JobId) -> Option<Claim> {
         self.graph.claim(id)
     }
 
-    /// The priority that a job has by itself or by those that need it.
+    /// The effective priority of a job; its own if it is not in the dependency graph.
     pub fn priority(&self, id: &JobId, spec: &JobSpec) -> Priority {
         self.graph.claim(id).map_or(spec.priority, |c| c.priority)
     }
@@ -599,7 +608,7 @@
                 self.blocks.remove(id);
             }
             Key::Machines(id, list_number) => {
-                self.put_list(*id, *list_number, "", Vec::new(), version);
+                self.put_machine_list(*id, *list_number, "", Vec::new(), version);
                 self.machine_lists.remove(&(*id, *list_number));
             }
             Key::Job(id) => {
@@ -614,9 +623,9 @@
             }
             Key::Chunk(id, part) => {
                 if let Some(job) = self.jobs.get_mut(id) {
-                    // What a job that is over has done is kept as a number.
+                    // A job that is over keeps its count of done tasks.
                     let done = job.done;
-                    job.count(*part, false);
+                    job.count_chunk(*part, false);
                     if job.phase != Phase::Open {
                         job.done = done;
                     }
@@ -635,17 +644,17 @@
         Some(key)
     }
 
-    /// A job's description, while something of it is left to do.
+    /// A job's description; `None` once it has been removed by compaction.
     pub fn spec(&self, id: &JobId) -> Option<&Rc<JobSpec>> {
         self.jobs.get(id)?.spec.as_ref()
     }
 
-    /// How many machines a block has.
+    /// The number of machines of a block.
     pub fn machine_count(&self, id: &BlockId) -> usize {
         self.machines_by_block.get(id).map_or(0, BTreeSet::len)
     }
 
-    /// Whether a block's holder is up in the incarnation that was given it.
+    /// Whether a block's holder is up in the incarnation to which the block was leased.
     pub fn holder_is_up(&self, block: &BlockRecord) -> bool {
         self.members
             .get(&block.holder)
