--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -1,5 +1,5 @@
-//! Where what is known about links comes from and what is done about it;
-//! [`crate::reach`] decides.
+//! Collects the evidence about links to workers and acts on it: strays, probes, messages
+//! between controllers, moves of blocks, and resignation. [`crate::reachability`] decides.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,14 +18,14 @@
     store::Urgency,
 };
 
-/// When to give a word to a peer, and a question to a machine, up.
-const TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeouts of a reachability message to a peer and of a probe of a machine.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(800);
 const INSPECT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Whoever reaches no workers leaves the lead to the others for so long.
-const LEAD_BACKOFF: Duration = Duration::from_secs(2);
+/// How long a controller that reaches no workers leaves a vacant leadership to other candidates.
+const CANDIDACY_BACKOFF: Duration = Duration::from_secs(2);
 
 impl Controller {
-    /// A worker came whose block we don't hold.
+    /// Handles the report of a worker whose block this controller does not hold.
     pub(crate) fn handle_stray_report(&mut self, conn: ConnId, report: Report, block: BlockId) {
         let held = self.view.blocks.get(&block);
         let up = held
@@ -41,22 +41,25 @@
         let action = self
             .reachability
             .record_stray(self.now, &report, lease, &holder);
-        log::debug!("{}: came here, though {holder} holds it", report.machine);
+        log::debug!(
+            "{}: stray: reported here although {holder} holds it",
+            report.machine
+        );
         let forwards =
             report.token <= term && self.reachability.cannot_reach_holder(&report.machine);
         if forwards && self.forward_to_holder(conn, &report, lease, &holder, action) {
             return;
         }
-        self.keep_or_redirect(conn, report, self.now, action);
+        self.hold_or_redirect(conn, report, self.now, action);
     }
 
-    /// Keeps a stray's report until its block is leased anew, or sends the worker to its
-    /// holder, as the advice says. The report came at a time that may be some time ago.
-    pub(crate) fn keep_or_redirect(
+    /// Holds a stray's report until its block is leased anew, or redirects the worker to its
+    /// holder. `received_at` is when the report arrived, which may be some time ago.
+    pub(crate) fn hold_or_redirect(
         &mut self,
         conn: ConnId,
         report: Report,
-        came_at: Duration,
+        received_at: Duration,
         action: StrayAction,
     ) {
         let waits = match action {
@@ -67,12 +70,14 @@
         #[cfg(feature = "sabotage")]
         let waits = waits && self.sabotage != Some(crate::Sabotage::NoReachability);
         match waits {
-            true => self.reachability.hold_report(came_at, conn, report, action),
+            true => self
+                .reachability
+                .hold_report(received_at, conn, report, action),
             false => self.serve_or_redirect(conn, report),
         }
     }
 
-    /// Answers a report that need not wait, by the records as they are now.
+    /// Answers a report that is not held, by the current records.
     fn serve_or_redirect(&mut self, conn: ConnId, report: Report) {
         let record = self.view.machines.get(&report.machine);
         let block = record.and_then(|m| self.view.blocks.get(&m.block));
@@ -85,8 +90,7 @@
         }
     }
 
-    /// Answers those strays whose block has been leased anew, and those that
-    /// have waited for long enough.
+    /// Answers the held reports whose block has been leased anew or whose deadline has passed.
     pub(crate) fn answer_waiting_strays(&mut self) {
         let view = &self.view;
         let over = self
@@ -101,8 +105,8 @@
         }
     }
 
-    /// Whether a machine came to some controller lately that does not hold it, so that
-    /// it and its tasks live whatever its holder hears.
+    /// Whether a machine recently reported to a controller that does not hold it. It and its tasks
+    /// are alive then, even if its holder does not hear it.
     pub(crate) fn reported_to_non_holder(&self, machine: &str) -> bool {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::SilentToHolder) {
@@ -111,6 +115,7 @@
         self.reachability.has_strayed(self.now, machine)
     }
 
+    /// Re-evaluates the links, probes machines and sends the reachability message if it is due.
     pub(crate) fn links_tick(&mut self) {
         let now = self.now;
         if !self.store.ready {
@@ -139,54 +144,57 @@
             held
         };
         let machines_of = |zone: &str| machines.values().filter(|m| m.zone == zone).count();
-        let everywhere = &self.settings.params.zones;
+        let all_zones = &self.settings.params.zones;
         self.reachability
-            .evaluate(now, everywhere, held, machines_of);
+            .evaluate(now, all_zones, held, machines_of);
         let of_zone = |zone: &str| {
             let zone = zone.to_owned();
             let here = machines.iter().filter(move |(_, m)| m.zone == zone);
             here.map(|(name, _)| name.as_str())
         };
         let rng = &mut self.rng;
-        let ask = self
+        let probes = self
             .reachability
             .machines_to_probe(now, of_zone, |n| rng.usize(0..n));
-        let ask: Vec<_> = ask.into_iter().map(str::to_owned).collect();
-        for machine in ask {
+        let probes: Vec<_> = probes.into_iter().map(str::to_owned).collect();
+        for machine in probes {
             self.inspect(machine);
         }
         if self.level() < FormatLevel::PIPELINES {
             return;
         }
         let node = &self.settings.node;
-        if let Some(word) = self.reachability.next_message(now, node, self.incarnation) {
+        if let Some(message) = self.reachability.next_message(now, node, self.incarnation) {
             let peers: Vec<_> = self.peer_links.keys().cloned().collect();
             for peer in peers {
-                self.call_peer(peer, "/reach", &word, TIMEOUT, Pending::Reach);
+                self.call_peer(peer, "/reach", &message, MESSAGE_TIMEOUT, Pending::Reach);
             }
         }
     }
 
-    /// A user's request can't be served here, as the state service can't be
-    /// reached or did not answer: a peer that reaches it may.
-    pub(crate) fn relay_to_peer(&mut self, conn: ConnId, why: &str) {
+    /// Relays a user's request to a peer with contact to the state service, as this controller
+    /// can't reach the service or got no answer from it.
+    pub(crate) fn relay_to_peer(&mut self, conn: ConnId, reason: &str) {
         let peers: Vec<_> = self.peers_in_contact().cloned().collect();
         #[cfg(feature = "sabotage")]
         let peers = match self.sabotage {
             Some(crate::Sabotage::NoReachability) => Vec::new(),
             _ => peers,
         };
-        // Whoever is behind gets to the peer's answer, or to its absence, too late: a
-        // poll carried on with 0.3 s left was answered after its 2 s.
-        let behind = !self.request_queue.is_empty();
-        if peers.is_empty() || behind || self.level() < FormatLevel::PIPELINES {
-            return self.refuse_with_retry(conn, why);
+        // A controller with a backlog handles the peer's answer, or its timeout, too late: a
+        // poll that was relayed with 0.3 s left was answered after its limit of 2 s.
+        let has_backlog = !self.request_queue.is_empty();
+        if peers.is_empty() || has_backlog || self.level() < FormatLevel::PIPELINES {
+            return self.refuse_with_retry(conn, reason);
         }
         let peer = peers[self.rng.usize(0..peers.len())].clone();
         let Some((request, timeout)) = self.relay.take_request(self.now, conn) else {
-            return self.refuse_with_retry(conn, why);
+            return self.refuse_with_retry(conn, reason);
         };
-        log::debug!("a user's {} is carried on to {peer}: {why}", request.path);
+        log::debug!(
+            "relaying a user's request for {} to {peer}: {reason}",
+            request.path
+        );
         self.call_peer(
             peer,
             "/carry",
@@ -196,15 +204,15 @@
         );
     }
 
-    /// What a peer made of it.
+    /// Handles a peer's reply to a relayed request.
     pub(crate) fn relay_answered(&mut self, conn: ConnId, reply: &Reply) {
         match self.relay.unwrap_answer(conn, reply) {
             Some(answer) => self.outputs.push(Output::Answer(answer)),
-            None => self.refuse_with_retry(conn, "no controller could be asked"),
+            None => self.refuse_with_retry(conn, "no controller could serve the request"),
         }
     }
 
-    /// A peer carries a user's request to us.
+    /// Serves a user's request that a peer relays to this controller.
     pub(crate) fn receive_relayed_request(&mut self, conn: ConnId, body: &[u8]) {
         let Some(CarriedRequest { asks, path, body }) = self.decode_peer_message(conn, body) else {
             return;
@@ -219,23 +227,23 @@
         }
     }
 
-    /// A peer tells of its links.
+    /// Handles a reachability message of a peer.
     pub(crate) fn receive_reach_message(&mut self, conn: ConnId, body: &[u8]) {
-        let Some(word) = self.decode_peer_message::<ReachWord>(conn, body) else {
+        let Some(message) = self.decode_peer_message::<ReachWord>(conn, body) else {
             return;
         };
-        if !self.peer_links.contains_key(&word.from) {
+        if !self.peer_links.contains_key(&message.from) {
             return self.refuse(conn, 403, "not a controller of this deployment");
         }
-        let member = self.view.members.get(&word.from);
-        // What a process from before has said is about links of before.
-        if member.is_none_or(|m| m.record.incarnation == word.incarnation) {
-            self.reachability.receive_message(self.now, word);
+        let member = self.view.members.get(&message.from);
+        // A message from an earlier incarnation is about links that no longer exist.
+        if member.is_none_or(|m| m.record.incarnation == message.incarnation) {
+            self.reachability.receive_message(self.now, message);
         }
         self.answer(conn, 200, Vec::new());
     }
 
-    /// Asks a machine's worker whether we can reach it.
+    /// Probes a machine: asks its worker directly for its state.
     pub(crate) fn inspect(&mut self, machine: String) {
         let Some(record) = self.view.machines.get(&machine) else {
             return;
@@ -246,7 +254,7 @@
         self.call(to, Method::Get, path, Vec::new(), INSPECT_TIMEOUT, pending);
     }
 
-    /// What came of a question to a machine.
+    /// Handles the reply to a probe of a machine.
     pub(crate) fn inspect_answered(&mut self, zone: &str, machine: &str, reply: &Reply) {
         if matches!(reply, Reply::Answer { status: 200, .. }) {
             self.reachability
@@ -255,8 +263,8 @@
         }
     }
 
-    /// Leases blocks away from holders that their workers don't reach; whoever
-    /// leads and is one of these leaves the lead to others.
+    /// For the leader: leases blocks away from holders that their workers do not reach, and
+    /// resigns if it reaches no workers itself while another holder does.
     pub(crate) fn move_unreachable_blocks(&mut self) {
         let now = self.now;
         #[cfg(feature = "sabotage")]
@@ -265,7 +273,7 @@
         }
         let blocks = self.view.blocks.iter();
         let blocks = blocks.filter(|(_, b)| self.view.holder_is_up(&b.record));
-        let looked: Vec<_> = blocks
+        let statuses: Vec<_> = blocks
             .map(|(id, b)| BlockStatus {
                 id: *id,
                 term: b.version,
@@ -274,9 +282,9 @@
             })
             .collect();
         let us = &self.settings.node;
-        let moves = self.reachability.blocks_to_move(now, us, &looked);
+        let moves = self.reachability.blocks_to_move(now, us, &statuses);
         let others = self.reachability.is_isolated()
-            && looked.iter().any(|b| {
+            && statuses.iter().any(|b| {
                 let zone = self.view.blocks.get(&b.id).map(|b| &b.record.zone);
                 let serves =
                     |zone: &String| self.reachability.can_serve_zone(now, us, b.holder, zone);
@@ -286,19 +294,25 @@
             true => BTreeMap::new(),
             false => self.loads(),
         };
-        for found in moves {
-            let Some(block) = self.view.blocks.get(&found.block).cloned() else {
+        for block_move in moves {
+            let Some(block) = self.view.blocks.get(&block_move.block).cloned() else {
                 continue;
             };
             let (zone, from) = (block.record.zone, block.record.holder);
             let holder = self.best_holder(&zone, &loads, Some(&from));
             let Some(holder) = holder else { continue };
-            let reason = LeaseReason::Unreachable(found.reason);
-            if self.lease_block(found.block, block.version, zone.clone(), &holder, &reason) {
-                let size = self.view.machine_count(&found.block) + 1;
+            let reason = LeaseReason::Unreachable(block_move.reason);
+            if self.lease_block(
+                block_move.block,
+                block.version,
+                zone.clone(),
+                &holder,
+                &reason,
+            ) {
+                let size = self.view.machine_count(&block_move.block) + 1;
                 *loads.entry(holder).or_default() += size;
                 self.reachability
-                    .record_move(now, &from, &zone, found.unheard);
+                    .record_move(now, &from, &zone, block_move.unheard);
             }
         }
         if self.reachability.should_resign(now, others) {
@@ -306,6 +320,7 @@
         }
     }
 
+    /// Gives up the leadership by deleting the leader record.
     fn resign(&mut self) {
         let Some(lead) = self.leader_cond() else {
             return;
@@ -317,12 +332,12 @@
         };
         if self.duty(Duty::Resign, txn, Urgency::Safety) {
             self.reachability.record_resignation(self.now);
-            log::info!("we reach no workers and leave the lead to others");
+            log::info!("resigning from leadership: this controller reaches no workers");
         }
     }
 
-    /// Whether we leave the lead to others, of whom nobody has had the time to
-    /// take it.
+    /// Whether this controller, which reaches no workers, lets other members take a vacant
+    /// leadership first.
     pub(crate) fn defers_candidacy(&mut self) -> bool {
         if self.view.leader.is_some() {
             self.leaderless_since = None;
@@ -331,6 +346,6 @@
         let since = *self.leaderless_since.get_or_insert(self.now);
         self.reachability.is_isolated()
             && self.view.members.len() > 1
-            && self.now < since + LEAD_BACKOFF
+            && self.now < since + CANDIDACY_BACKOFF
     }
 }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,13 +1,12 @@
-//! Users' requests that a controller can't serve, as it does not reach the
-//! state service, carried on to one that does.
+//! Relays users' requests that a controller can't serve, because it does not reach the state
+//! service, to a peer that does.
 //!
-//! A controller that is cut from the state service alone, or turned away by it,
-//! sent users away until the load balancer had taken it out, and they came again
-//! after a second or more. What can be told needs proof from the state service,
-//! which a peer has: it serves the request as if it had come in there, so its
-//! answer is worth as much. The job's id makes it safe that both may have begun
-//! with it. Nothing is carried twice, and no answer of a peer that does not know
-//! the path is taken for the user's.
+//! Without the relay, a controller that had lost only the state service, or was refused by it,
+//! turned users away until the load balancer removed it, and they retried after a second or
+//! more. An answer needs proof from the state service, which the peer has: it serves the request
+//! like one of its own, so its answer is equally valid. The job's id makes it safe if both
+//! controllers have started to process the request. No request is relayed twice, and the reply
+//! of a peer that does not know the path is never taken for the user's answer.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,38 +17,40 @@
 
 use crate::call::{Answer, ConnId, Method, Reply};
 
-/// How many requests are kept until they are answered, and how many are with
-/// peers at a time: users come elsewhere within seconds.
-const MOST_KEPT: usize = 512;
-const MOST_OUT: usize = 16;
-/// A user waits so long for how a job is, and for anything else; some of it is
-/// left for the way back.
-const POLL_WAITS: Duration = Duration::from_millis(1800);
-const USER_WAITS: Duration = Duration::from_millis(4500);
-/// A peer that has not answered after this will not.
-const MOST: Duration = Duration::from_millis(1500);
-/// Less than this is not worth a try.
-const LEAST: Duration = Duration::from_millis(150);
-
+/// Upper bounds for the requests that are stored until they are answered, and for those that are
+/// at peers at a time. Users whose request is not relayed reach another controller within
+/// seconds.
+const MAX_STORED: usize = 512;
+const MAX_AT_PEERS: usize = 16;
+/// How long after its arrival a relayed request may be answered: a poll of a job's state, and
+/// any other request. Users wait somewhat longer, which leaves time for the way back.
+const POLL_TIMEOUT: Duration = Duration::from_millis(1800);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(4500);
+/// Longest wait for a peer's answer; a peer that is slower will not answer at all.
+const MAX_PEER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// With less time than this remaining a request is not relayed.
+const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// A user's request, and when it arrived.
 #[derive(Debug)]
-struct Kept {
+struct StoredRequest {
     at: Duration,
     request: CarriedRequest,
 }
 
-/// The one owner of what is carried, both ways.
+/// The relayed requests of a controller, in both directions.
 #[derive(Debug, Default)]
 pub(crate) struct Relay {
-    /// Requests of users that have no answer yet.
-    kept: BTreeMap<ConnId, Kept>,
-    /// Those that are with a peer.
-    out: BTreeSet<ConnId>,
-    /// Requests that peers have carried to us.
-    carried: BTreeSet<ConnId>,
+    /// Users' requests that are neither answered nor relayed yet.
+    stored: BTreeMap<ConnId, StoredRequest>,
+    /// Requests that a peer is processing.
+    at_peers: BTreeSet<ConnId>,
+    /// Requests that peers have relayed to this controller.
+    from_peers: BTreeSet<ConnId>,
 }
 
 impl Relay {
-    /// A user's request has come in.
+    /// Stores a user's request when it arrives, in case it has to be relayed.
     pub fn store_request(
         &mut self,
         now: Duration,
@@ -63,40 +64,42 @@
             Method::Post => false,
             _ => return,
         };
-        if self.kept.len() >= MOST_KEPT {
-            self.kept.pop_first();
+        if self.stored.len() >= MAX_STORED {
+            self.stored.pop_first();
         }
         let request = CarriedRequest {
             asks,
             path: path.to_owned(),
             body: body.to_vec(),
         };
-        self.kept.insert(conn, Kept { at: now, request });
+        self.stored.insert(conn, StoredRequest { at: now, request });
     }
 
-    /// A request that can't be served here: what to send to a peer, and how long
-    /// to wait. None if it was not a user's, or if there is no time or no room.
+    /// Takes a stored request to send it to a peer, with the time to wait for the answer. `None`
+    /// if it is not a user's request, or if too little time remains or too many are at peers.
     pub fn take_request(
         &mut self,
         now: Duration,
         conn: ConnId,
     ) -> Option<(CarriedRequest, Duration)> {
-        let kept = self.kept.remove(&conn)?;
-        let waits = match kept.request.asks {
-            true => POLL_WAITS,
-            false => USER_WAITS,
+        let stored = self.stored.remove(&conn)?;
+        let timeout = match stored.request.asks {
+            true => POLL_TIMEOUT,
+            false => REQUEST_TIMEOUT,
         };
-        let left = waits.saturating_sub(now.saturating_sub(kept.at)).min(MOST);
-        if left < LEAST || self.out.len() >= MOST_OUT {
+        let remaining = timeout
+            .saturating_sub(now.saturating_sub(stored.at))
+            .min(MAX_PEER_TIMEOUT);
+        if remaining < MIN_PEER_TIMEOUT || self.at_peers.len() >= MAX_AT_PEERS {
             return None;
         }
-        self.out.insert(conn);
-        Some((kept.request, left))
+        self.at_peers.insert(conn);
+        Some((stored.request, remaining))
     }
 
-    /// What a peer made of it; none if that is no answer for a user.
+    /// Extracts the user's answer from a peer's reply; `None` if the reply holds none.
     pub fn unwrap_answer(&mut self, conn: ConnId, reply: &Reply) -> Option<Answer> {
-        self.out.remove(&conn);
+        self.at_peers.remove(&conn);
         let Reply::Answer { status: 200, body } = reply else {
             return None;
         };
@@ -109,16 +112,16 @@
         })
     }
 
-    /// A peer has carried a request to us.
+    /// Records that a request was relayed by a peer.
     pub fn request_received(&mut self, conn: ConnId) {
-        self.carried.insert(conn);
+        self.from_peers.insert(conn);
     }
 
-    /// An answer leaves; one to what a peer has carried here goes in an envelope,
-    /// so that it can't be mistaken for one to the peer itself.
+    /// Prepares an outgoing answer. The answer to a relayed request is wrapped in a message, so
+    /// that it can't be mistaken for an answer to the peer itself.
     pub fn wrap_answer(&mut self, answer: &mut Answer) {
-        self.kept.remove(&answer.conn);
-        if !self.carried.remove(&answer.conn) {
+        self.stored.remove(&answer.conn);
+        if !self.from_peers.remove(&answer.conn) {
             return;
         }
         let inner = CarriedAnswer {
@@ -127,7 +130,7 @@
             retry_after_ms: answer.retry_after.take().map(|d| d.as_millis() as u64),
         };
         answer.status = 200;
-        // Writing into memory can't fail.
+        // Serializing into memory can't fail.
         answer.body = borsh::to_vec(&inner).unwrap_or_default();
     }
 }
@@ -145,28 +148,31 @@
     }
 
     #[test]
-    fn a_request_is_carried_once_and_in_time() {
+    fn a_request_is_relayed_once_and_in_time() {
         let mut relay = Relay::default();
         at(&mut relay, 1, Method::Get);
-        let (request, left) = relay.take_request(ms(2500), 1).expect("time is left");
-        assert_eq!((request.asks, left), (true, ms(300)));
-        assert_eq!(relay.take_request(ms(2500), 1), None, "twice");
+        let (request, remaining) = relay.take_request(ms(2500), 1).expect("time is left");
+        assert_eq!((request.asks, remaining), (true, ms(300)));
+        assert_eq!(relay.take_request(ms(2500), 1), None, "relayed before");
         at(&mut relay, 2, Method::Get);
         assert_eq!(relay.take_request(ms(2700), 2), None, "too late");
         at(&mut relay, 3, Method::Post);
-        assert_eq!(relay.take_request(ms(2700), 3).map(|c| c.1), Some(MOST));
+        assert_eq!(
+            relay.take_request(ms(2700), 3).map(|c| c.1),
+            Some(MAX_PEER_TIMEOUT)
+        );
         assert_eq!(relay.take_request(ms(2700), 4), None, "not a user's");
         for conn in 10..40 {
             at(&mut relay, conn, Method::Get);
         }
-        let out = (10..40).filter(|c| relay.take_request(ms(1100), *c).is_some());
-        assert_eq!(out.count(), MOST_OUT - 2);
+        let at_peers = (10..40).filter(|c| relay.take_request(ms(1100), *c).is_some());
+        assert_eq!(at_peers.count(), MAX_AT_PEERS - 2);
     }
 
-    /// An older program says 404 to a path that it does not know: users would
-    /// have heard that an accepted job does not exist.
+    /// A peer of an older version answers 404 to a path that it does not know; passed on, this
+    /// would tell the user that an accepted job does not exist.
     #[test]
-    fn only_what_is_in_an_envelope_is_a_users_answer() {
+    fn only_a_wrapped_answer_is_a_users_answer() {
         let (mut here, mut there) = (Relay::default(), Relay::default());
         there.request_received(7);
         let mut answer = Answer {
@@ -189,7 +195,7 @@
         for none in [reply(404, &answer.body), reply(200, b"x"), Reply::Lost] {
             assert!(here.unwrap_answer(1, &none).is_none(), "{none:?}");
         }
-        // Its own are left as they are.
+        // Answers to the controller's own requests are not wrapped.
         answer.status = 201;
         there.wrap_answer(&mut answer);
         assert_eq!(answer.status, 201);
