--- a/crates/core/src/machine_status.rs
+++ b/crates/core/src/machine_status.rs
@@ -1,6 +1,6 @@
-//! Machines as their holders see them: our own by what we know, the others'
-//! by what their holders told us last. Kept up to date machine by machine, as
-//! there are too many to look at all of them at each piece of news.
+//! The status of machines as their holders see them: this controller's own machines, and those
+//! of peers by their last messages. Statuses are updated machine by machine, as there are too
+//! many to recompute all of them at each change.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,8 +17,8 @@
     view::Versioned,
 };
 
-/// How often all machines are looked at, for what time alone changes.
-const PERIOD: Duration = Duration::from_millis(500);
+/// Interval of a refresh of all own machines, for changes that only the passage of time causes.
+const FULL_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A machine as its holder sees it.
 #[derive(Clone, Debug, PartialEq)]
@@ -28,9 +28,9 @@
     pub usable: bool,
     /// Whether it is to be replaced.
     pub faulty: bool,
-    /// Since when it has been silent; none: it was heard lately.
+    /// Since when it has been silent; `None` if it was heard recently.
     pub silent_since: Option<Duration>,
-    /// Since when it has had no task.
+    /// Since when it has had no task; `None` if it has any.
     pub idle_since: Option<Duration>,
     pub free: Amounts,
     pub images: Vec<String>,
@@ -39,11 +39,11 @@
 }
 
 impl MachineStatus {
-    /// As told by a peer just now.
-    pub fn hear(now: Duration, view: MachineView) -> (String, Self) {
+    /// Converts from the form that a peer's message has, received at `now`.
+    pub fn from_peer(now: Duration, view: MachineView) -> (String, Self) {
         let at = |ms| now.saturating_sub(Duration::from_millis(ms));
         let [cpus, gpus, memory_gb] = view.free;
-        let seen = Self {
+        let status = Self {
             term: view.term,
             usable: view.usable,
             faulty: view.faulty,
@@ -57,11 +57,11 @@
             images: view.images,
             tasks: view.tasks,
         };
-        (view.name, seen)
+        (view.name, status)
     }
 
-    /// Whether a task may fit now that did not before.
-    fn has_gained(&self, before: Option<&Self>) -> bool {
+    /// Whether a task may fit now that did not fit before.
+    fn has_gained_capacity(&self, before: Option<&Self>) -> bool {
         let more = |b: &Self| {
             let (now, then) = (&self.free, &b.free);
             !b.usable
@@ -72,8 +72,8 @@
         self.usable && before.is_none_or(more)
     }
 
-    /// To be told to a peer.
-    pub fn tell(&self, now: Duration, name: &str) -> MachineView {
+    /// Converts to the form for a message to a peer.
+    pub fn to_peer(&self, now: Duration, name: &str) -> MachineView {
         let ago = |at: Duration| now.saturating_sub(at).as_millis() as u64;
         MachineView {
             name: name.to_owned(),
@@ -89,43 +89,42 @@
     }
 }
 
-/// Our own machines as we see them, each with the version in which it changed
-/// last.
+/// The statuses of this controller's machines, each with the version in which it last changed.
 #[derive(Debug, Default)]
 pub(crate) struct OwnMachines {
     pub version: u64,
     pub machines: BTreeMap<String, (u64, MachineStatus)>,
-    /// Machines to look at again.
-    touched: BTreeSet<String>,
-    looked_at: Duration,
+    /// Machines whose status has to be recomputed.
+    changed_names: BTreeSet<String>,
+    refreshed_at: Duration,
 }
 
 impl Controller {
-    /// Something about a machine of ours may have changed.
+    /// Marks an own machine whose status may have changed.
     pub(crate) fn mark_changed(&mut self, name: &str) {
-        if !self.own_machines.touched.contains(name) {
-            self.own_machines.touched.insert(name.to_owned());
+        if !self.own_machines.changed_names.contains(name) {
+            self.own_machines.changed_names.insert(name.to_owned());
         }
     }
 
-    /// Looks again at the machines of ours that may have changed.
+    /// Recomputes the statuses of the own machines that may have changed.
     pub(crate) fn refresh_own_machines(&mut self) {
-        if self.now >= self.own_machines.looked_at + PERIOD {
-            self.own_machines.looked_at = self.now;
+        if self.now >= self.own_machines.refreshed_at + FULL_REFRESH_INTERVAL {
+            self.own_machines.refreshed_at = self.now;
             let all = self
                 .machines
                 .keys()
                 .chain(self.own_machines.machines.keys());
-            self.own_machines.touched = all.cloned().collect();
+            self.own_machines.changed_names = all.cloned().collect();
         }
-        for name in std::mem::take(&mut self.own_machines.touched) {
+        for name in std::mem::take(&mut self.own_machines.changed_names) {
             let changed = match self.machines.get(&name) {
                 None => self.own_machines.machines.remove(&name).is_some(),
                 Some(machine) => {
-                    let seen = self.look(&name, machine);
+                    let status = self.own_status(&name, machine);
                     let before = self.own_machines.machines.get(&name).map(|o| &o.1);
-                    let changed = before.is_none_or(|b| *b != seen);
-                    if seen.has_gained(before) {
+                    let changed = before.is_none_or(|b| *b != status);
+                    if status.has_gained_capacity(before) {
                         self.futile.room_gained(machine.block);
                     }
                     if changed {
@@ -133,7 +132,7 @@
                         let version = self.own_machines.version;
                         self.own_machines
                             .machines
-                            .insert(name.clone(), (version, seen));
+                            .insert(name.clone(), (version, status));
                     }
                     changed
                 }
@@ -144,7 +143,8 @@
         }
     }
 
-    fn look(&self, name: &str, machine: &Machine) -> MachineStatus {
+    /// Computes the status of an own machine.
+    fn own_status(&self, name: &str, machine: &Machine) -> MachineStatus {
         let total = self
             .machine_types
             .get(&machine.record.kind)
@@ -162,18 +162,18 @@
         }
     }
 
-    /// A machine as its holder sees it, whether that is us or a peer, if it is
-    /// by its present term; and whether that is recent.
+    /// The status of a machine from its holder, this controller or a peer, and whether it is
+    /// recent. `None` if there is no status, or if a peer's is not of the block's current term.
     pub(crate) fn machine_status(
         &self,
         name: &str,
         block: &Versioned<BlockRecord>,
     ) -> Option<(&MachineStatus, bool)> {
-        if let Some((_, seen)) = self.own_machines.machines.get(name) {
-            return Some((seen, true)).filter(|_| self.machines.contains_key(name));
+        if let Some((_, status)) = self.own_machines.machines.get(name) {
+            return Some((status, true)).filter(|_| self.machines.contains_key(name));
         }
         let peer = self.peers.get(&block.record.holder)?;
-        let seen = peer.machines.get(name)?;
-        (seen.term == block.version).then(|| (seen, peer.is_fresh(self.now)))
+        let status = peer.machines.get(name)?;
+        (status.term == block.version).then(|| (status, peer.is_fresh(self.now)))
     }
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -1,4 +1,5 @@
-//! What controllers tell each other: advice only.
+//! Periodic messages between controllers. They are hints only: losing one never affects
+//! correctness.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,72 +17,78 @@
     machine_status::MachineStatus,
 };
 
-/// How often everybody hears from us.
-const PERIOD: Duration = Duration::from_millis(1000);
-/// How soon the leader hears news.
-const NEWS: Duration = Duration::from_millis(100);
-/// When to give a message up.
-const TIMEOUT: Duration = Duration::from_millis(800);
-/// After this, what a peer said no longer counts as recent.
-const STALE: Duration = Duration::from_millis(3500);
+/// Interval of the messages to each peer.
+const MESSAGE_INTERVAL: Duration = Duration::from_millis(1000);
+/// Minimum interval of messages that carry changes to the leader, or orders of the leader.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a message to a member.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Age from which the last message of a peer no longer counts as recent.
+const MAX_MESSAGE_AGE: Duration = Duration::from_millis(3500);
 
-/// What another controller has told us.
+/// State received from another controller.
 #[derive(Debug)]
 pub(crate) struct PeerState {
     incarnation: u64,
-    /// The version of its machines that we have.
-    upto: u64,
-    heard: Duration,
-    /// When its contact with the state service was whole.
-    contact: Option<Duration>,
+    /// The version of its machines that was received last.
+    received_version: u64,
+    heard_at: Duration,
+    /// When its view of the state service was last complete.
+    contact_at: Option<Duration>,
     pub machines: BTreeMap<String, MachineStatus>,
-    /// Tasks that take no room any more, whatever the records say.
+    /// Tasks that no longer use resources, although the records do not say so yet.
     pub over: Vec<TaskId>,
 }
 
 impl PeerState {
-    /// Whether we heard from it lately.
+    /// Whether a message from it arrived recently.
     pub fn is_fresh(&self, now: Duration) -> bool {
-        now.saturating_sub(self.heard) < STALE
+        now.saturating_sub(self.heard_at) < MAX_MESSAGE_AGE
     }
 }
 
-/// What we have told another controller.
+/// State of the messages sent to another controller.
 #[derive(Debug, Default)]
 pub(crate) struct PeerLink {
-    /// The version of our machines that it has.
-    acked: u64,
-    /// When we wrote last, and whether the answer is awaited.
-    at: Duration,
-    waiting: bool,
-    /// From the leader: what it has yet to be told at once.
+    /// The version of this controller's machines that it has confirmed.
+    acked_version: u64,
+    /// When the last message was sent, and whether its answer is outstanding.
+    sent_at: Duration,
+    awaits_answer: bool,
+    /// On the leader: preemptions not sent yet, and whether the list of machines to drain has
+    /// changed since the last message.
     preempt: Vec<TaskId>,
     drain_due: bool,
 }
 
-/// When peers that are no members were last told how we stand.
+/// Peers that are not members, and when a status message was last sent to each.
 #[derive(Debug, Default)]
 pub(crate) struct NonMemberPeers {
-    told: BTreeMap<String, Duration>,
+    last_sent: BTreeMap<String, Duration>,
 }
 
 impl NonMemberPeers {
-    /// Which peers that are no members are to be told now how we stand with the
-    /// state service. One that is turned away by it for longer than its lease heard
-    /// from nobody any more, took that for an outage of all, and called itself
-    /// healthy: users went on coming to it.
+    /// The peers among `absent`, those that are not members, that are due for a status message.
+    /// Without these messages a controller that the state service refused for longer than its
+    /// lease heard from no peer, took this for an outage that affects all, and reported itself
+    /// healthy, so users continued to be sent to it.
     fn due(&mut self, now: Duration, absent: impl Iterator<Item = String>) -> Vec<String> {
         let absent: BTreeSet<_> = absent.collect();
-        self.told.retain(|peer, _| absent.contains(peer));
-        let due = |peer: &String| self.told.get(peer).is_none_or(|at| now >= *at + PERIOD);
+        self.last_sent.retain(|peer, _| absent.contains(peer));
+        let due = |peer: &String| {
+            self.last_sent
+                .get(peer)
+                .is_none_or(|at| now >= *at + MESSAGE_INTERVAL)
+        };
         let due: Vec<_> = absent.iter().filter(|p| due(p)).cloned().collect();
-        self.told.extend(due.iter().map(|peer| (peer.clone(), now)));
+        self.last_sent
+            .extend(due.iter().map(|peer| (peer.clone(), now)));
         due
     }
 }
 
 impl Controller {
-    /// A message of a controller; none if it is refused.
+    /// Decodes a message of another controller, or refuses the request and returns `None`.
     pub(crate) fn decode_peer_message<T: BorshDeserialize>(
         &mut self,
         conn: ConnId,
@@ -89,7 +96,11 @@
     ) -> Option<T> {
         let message = borsh::from_slice(body).ok();
         if message.is_none() {
-            self.refuse(conn, 400, "not a message of this version");
+            self.refuse(
+                conn,
+                400,
+                "malformed message, or one of another program version",
+            );
         }
         message
     }
@@ -103,13 +114,13 @@
         timeout: Duration,
         pending: Pending,
     ) {
-        // Writing into memory can't fail.
+        // Serializing into memory can't fail.
         let body = borsh::to_vec(message).unwrap_or_default();
         let (to, path) = (Target::Peer(peer), path.to_owned());
         self.call(to, Method::Post, path, body, timeout, pending);
     }
 
-    /// Takes in what another controller says.
+    /// Handles the periodic message of another controller.
     pub(crate) fn receive_peer_message(&mut self, conn: ConnId, message: PeerMessage) {
         let now = self.now;
         let known = self.settings.peers.iter().any(|p| p.node == message.from);
@@ -136,38 +147,42 @@
             .and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
         let fresh = PeerState {
             incarnation: message.incarnation,
-            upto: 0,
-            heard: now,
-            contact: None,
+            received_version: 0,
+            heard_at: now,
+            contact_at: None,
             machines: BTreeMap::new(),
             over: Vec::new(),
         };
         let peer = self.peers.entry(message.from).or_insert(fresh);
         if peer.incarnation != message.incarnation {
             peer.incarnation = message.incarnation;
-            peer.upto = 0;
-            // What its former life said of its machines stays until it is
-            // told anew: the next holder asks for the images.
+            peer.received_version = 0;
+            // The machine statuses from its previous incarnation stay until it sends new ones:
+            // the next holder of these machines looks up their images there.
         }
-        peer.heard = now;
-        peer.contact = contact;
-        if message.base > peer.upto {
-            return self.refuse(conn, 409, "what came before is not known here");
+        peer.heard_at = now;
+        peer.contact_at = contact;
+        if message.base > peer.received_version {
+            return self.refuse(
+                conn,
+                409,
+                "base version is not known here, send all machines",
+            );
         }
-        if message.upto < peer.upto {
-            // Held up on its way: we know more by now.
+        if message.upto < peer.received_version {
+            // Delayed message: a newer version has been received already.
             return self.answer(conn, 200, Vec::new());
         }
         if message.base == 0 {
             peer.machines.clear();
         }
-        peer.upto = message.upto;
+        peer.received_version = message.upto;
         peer.over = message.over;
         let mut changed = Vec::new();
         for view in message.machines {
-            let (name, seen) = MachineStatus::hear(now, view);
+            let (name, status) = MachineStatus::from_peer(now, view);
             changed.push(name.clone());
-            peer.machines.insert(name, seen);
+            peer.machines.insert(name, status);
         }
         self.answer(conn, 200, Vec::new());
         for name in &changed {
@@ -175,38 +190,38 @@
         }
     }
 
-    /// Whether we heard from some peer lately.
+    /// Whether a message from any peer arrived recently.
     pub(crate) fn has_fresh_peer(&self) -> bool {
         self.peers.values().any(|p| p.is_fresh(self.now))
     }
 
-    /// Whether we heard from a peer lately.
+    /// Whether a message from this peer arrived recently.
     pub(crate) fn is_peer_fresh(&self, node: &str) -> bool {
         let peer = self.peers.get(node);
         peer.is_some_and(|p| p.is_fresh(self.now))
     }
 
-    /// Whether some peer can reach the state service while we can't.
+    /// Whether any peer has contact with the state service, by its recent messages.
     pub(crate) fn peers_have_contact(&self) -> bool {
         self.peers_in_contact().next().is_some()
     }
 
-    /// The peers that reach the state service, as far as we heard.
+    /// The peers that have contact with the state service, by their recent messages.
     pub(crate) fn peers_in_contact(&self) -> impl Iterator<Item = &String> {
-        let lately = |at: Duration| self.now.saturating_sub(at) < STALE;
+        let lately = |at: Duration| self.now.saturating_sub(at) < MAX_MESSAGE_AGE;
         let peers = self.peers.iter();
         let peers =
-            peers.filter(move |(_, p)| p.is_fresh(self.now) && p.contact.is_some_and(lately));
+            peers.filter(move |(_, p)| p.is_fresh(self.now) && p.contact_at.is_some_and(lately));
         peers.map(|(name, _)| name)
     }
 
-    /// Images that a machine had by what we heard of it last.
+    /// The images that a machine had by the last status of it that a peer sent.
     pub(crate) fn last_known_images(&self, name: &str) -> Vec<String> {
         let heard = self.peers.values().find_map(|p| p.machines.get(name));
         heard.map(|m| m.images.clone()).unwrap_or_default()
     }
 
-    /// Stops a task to make room, with time to save.
+    /// Stops a task to make room. A task that saves its state gets its save time plus 0.5 s.
     pub(crate) fn preempt(&mut self, task: &TaskId) {
         let Some(assigned) = self.assigned_tasks.get_mut(task) else {
             return;
@@ -220,19 +235,19 @@
             return;
         };
         if bound.start_sent_with.is_none() {
-            // Its start has not gone out, so there is nothing to stop: a stop
-            // would wait for ever for the task to appear.
+            // The start was not sent, so there is nothing to stop: a stop would wait forever for
+            // the task to appear.
             return self.return_to_leader(task, AbsenceProof::NotStarted);
         }
         if bound.stop.is_none() {
-            log::info!("{task}: has to make room on {}", bound.machine);
+            log::info!("{task}: preempted to make room on {}", bound.machine);
             bound.stop = Some(Stop { grace, sent: false });
             let machine = bound.machine.clone();
             self.order_queue.insert(machine);
         }
     }
 
-    /// The leader wants a task stopped: whoever holds it hears of it.
+    /// For the leader: requests that a task is stopped by the controller that holds it.
     pub(crate) fn request_preemption(&mut self, task: &TaskId) {
         for link in self.peer_links.values_mut() {
             link.preempt.push(task.clone());
@@ -240,7 +255,7 @@
         self.preempt(task);
     }
 
-    /// The leader's list of machines to be emptied has changed.
+    /// Records that the leader's list of machines to drain has changed.
     pub(crate) fn drain_changed(&mut self, name: &str) {
         for link in self.peer_links.values_mut() {
             link.drain_due = true;
@@ -249,7 +264,8 @@
         self.room_changed(name);
     }
 
-    /// Tells the others, when it is time or there is news for the leader.
+    /// Sends the messages that are due, periodically or because of changes that the leader has to
+    /// get or has made.
     pub(crate) fn send_due_peer_messages(&mut self) {
         let now = self.now;
         if !self.store.ready {
@@ -259,12 +275,19 @@
         let leads = self.leader.is_some();
         let version = self.own_machines.version;
         let due = |peer: &String, link: &PeerLink| {
-            let news = if leads {
+            let has_changes = if leads {
                 !link.preempt.is_empty() || link.drain_due
             } else {
-                leader == Some(peer) && link.acked < version
+                leader == Some(peer) && link.acked_version < version
             };
-            !link.waiting && now >= link.at + if news { NEWS } else { PERIOD }
+            !link.awaits_answer
+                && now
+                    >= link.sent_at
+                        + if has_changes {
+                            CHANGE_INTERVAL
+                        } else {
+                            MESSAGE_INTERVAL
+                        }
         };
         let due: Vec<_> = self
             .peer_links
@@ -273,14 +296,14 @@
             .map(|(peer, _)| peer.clone())
             .collect();
         for peer in due {
-            self.tell_peer(peer, version);
+            self.message_peer(peer, version);
         }
-        self.tell_absent(version);
+        self.message_non_members(version);
     }
 
-    /// Peers that are no members hear how we stand with the state service, and
-    /// nothing else: they may be up and turned away by it.
-    fn tell_absent(&mut self, version: u64) {
+    /// Sends this controller's contact with the state service, without machines, to peers that
+    /// are not members: they may be up, but refused by the state service.
+    fn message_non_members(&mut self, version: u64) {
         let (now, links) = (self.now, &self.peer_links);
         let peers = self.settings.peers.iter().map(|p| &p.node);
         let absent = peers.filter(|peer| !links.contains_key(*peer)).cloned();
@@ -288,14 +311,15 @@
         if due.is_empty() {
             return;
         }
-        let message = self.bare_message(version);
+        let message = self.status_message(version);
         for peer in due {
-            self.call_peer(peer, "/peer", &message, PERIOD, Pending::Reach);
+            self.call_peer(peer, "/peer", &message, MESSAGE_INTERVAL, Pending::Reach);
         }
     }
 
-    /// How we stand, and what the leader asks of all; nothing of machines.
-    fn bare_message(&self, version: u64) -> PeerMessage {
+    /// A message with this controller's contact and, from the leader, the machines to drain, but
+    /// without statuses of machines.
+    fn status_message(&self, version: u64) -> PeerMessage {
         let leads = self.leader.is_some();
         PeerMessage {
             from: self.settings.node.clone(),
@@ -310,41 +334,46 @@
         }
     }
 
-    fn tell_peer(&mut self, peer: String, version: u64) {
+    /// Sends a peer all changes since the version that it has confirmed.
+    fn message_peer(&mut self, peer: String, version: u64) {
         let now = self.now;
         let Some(link) = self.peer_links.get_mut(&peer) else {
             return;
         };
-        link.at = now;
-        link.waiting = true;
+        link.sent_at = now;
+        link.awaits_answer = true;
         link.drain_due = false;
-        let base = link.acked;
+        let base = link.acked_version;
         let preempt = std::mem::take(&mut link.preempt);
         let machines = self.own_machines.machines.iter();
         let changed = machines.filter(|(_, (at, _))| *at > base);
         let message = PeerMessage {
             base,
-            machines: changed.map(|(n, (_, seen))| seen.tell(now, n)).collect(),
+            machines: changed
+                .map(|(n, (_, status))| status.to_peer(now, n))
+                .collect(),
             over: self.unrecorded.iter().cloned().collect(),
             preempt,
-            ..self.bare_message(version)
+            ..self.status_message(version)
         };
         let pending = Pending::PeerMessage(peer.clone(), version);
-        self.call_peer(peer, "/peer", &message, TIMEOUT, pending);
+        self.call_peer(peer, "/peer", &message, MESSAGE_TIMEOUT, pending);
     }
 
-    /// What came of a message to a peer.
+    /// Handles the reply to a message to a peer.
     pub(crate) fn peer_message_answered(&mut self, peer: &str, version: u64, reply: &Reply) {
         let Some(link) = self.peer_links.get_mut(peer) else {
             return;
         };
-        link.waiting = false;
+        link.awaits_answer = false;
         match reply {
-            Reply::Answer { status: 200, .. } => link.acked = link.acked.max(version),
-            // It has begun anew, so it is told everything.
+            Reply::Answer { status: 200, .. } => {
+                link.acked_version = link.acked_version.max(version)
+            }
+            // The peer does not have the base version: it gets all machines next.
             Reply::Answer { status: 409, .. } => {
-                link.acked = 0;
-                link.at = self.now.saturating_sub(PERIOD);
+                link.acked_version = 0;
+                link.sent_at = self.now.saturating_sub(MESSAGE_INTERVAL);
             }
             _ => {}
         }
