--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -1,21 +1,21 @@
-//! Reports of workers that come to a controller which can't answer them, forwarded to the
-//! one that can.
+//! Forwards reports of workers from a controller that can't answer them to the one that can.
 //!
-//! Where only some links are cut, the holder of a block is well and reaches its peers, but
-//! some of its workers don't reach it or don't hear it. Such a worker comes to another
-//! controller, the *origin*. Sent back to the holder it would wait in vain once more and
-//! lose its lease; leasing the whole block away would be out of proportion. The origin
-//! forwards the report to the holder and gives the worker the holder's answer, within the
-//! time that the worker waits. Token, orders and lease are the holder's; the origin adds
-//! nothing and keeps nothing of the answer.
+//! If only some links are cut, the holder of a block works and reaches its peers, but some of
+//! its workers do not reach it or do not get its answers. Such a worker reports to another
+//! controller, the *origin*. If redirected to the holder it would time out once more and lose
+//! its lease; leasing the whole block to another controller would be out of proportion. The
+//! origin forwards the report to the holder and passes the holder's answer to the worker before
+//! the worker times out. Token, orders and lease come from the holder; the origin adds nothing
+//! to the answer and stores nothing of it.
 //!
-//! - A report is forwarded to one controller, and once more if no answer came. The receiver
-//!   answers it or refuses it, and forwards it no further.
-//! - An answer counts only for the report that it names, over the connection on which that
-//!   came. Without an answer the origin does what it did without forwarding.
-//! - The holder asks such workers by itself and sends them home once they answer: that
-//!   shows a way there and back.
-//! - A machine without a record that comes again goes to the leader in the same way.
+//! - A report is forwarded to one controller, and once more if no answer arrives. The receiver
+//!   answers or refuses it, and never forwards it further.
+//! - An answer counts only for the report that it names, on the connection on which that report
+//!   arrived. Without an answer the origin proceeds as if it had not forwarded the report.
+//! - The holder probes such workers directly and redirects them to itself once they answer,
+//!   which proves that the link works in both directions.
+//! - The report of a machine without a record that reports again is forwarded to the leader in
+//!   the same way.
 
 mod holder;
 mod origin;
@@ -38,12 +38,12 @@
 pub(crate) use origin::{Fallback, Outstanding};
 use origin::{Forwarded, Outbox, report_id};
 
-/// When to give an answer up: of the holder, which has it at once, and of the leader, which
-/// has to write a record first. Twice as long is less than the worker waits.
+/// Timeouts for the answer of the holder, which answers at once, and of the leader, which has to
+/// write a record first. Two tries fit into the worker's report timeout.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(800);
 const LEADER_TIMEOUT: Duration = Duration::from_millis(1300);
 
-/// The forwarded reports of a controller, both ways.
+/// The forwarded reports of a controller, in both directions.
 #[derive(Debug, Default)]
 pub(crate) struct Forwarding {
     outbox: Outbox,
@@ -51,30 +51,30 @@
 }
 
 impl Forwarding {
-    /// Whether a request is a report that a peer has forwarded.
+    /// Whether a request is a report that was forwarded by a peer.
     pub fn is_forwarded(&self, conn: ConnId) -> bool {
         self.inbox.is_forwarded(conn)
     }
 
-    /// An answer leaves, to whomever.
+    /// Prepares an outgoing answer; the answer to a forwarded report is wrapped in a message.
     pub fn wrap_answer(&mut self, answer: &mut Answer) {
         self.inbox.wrap_answer(answer);
     }
 
-    /// A worker has reported to us directly.
+    /// Records that a worker has reported to this controller directly.
     pub fn record_direct_report(&mut self, machine: &str) {
         self.inbox.record_direct_report(machine);
     }
 
-    /// A machine has answered our question.
+    /// Records that a machine has answered a probe.
     pub fn record_reached(&mut self, now: Duration, machine: &str) {
         self.inbox.record_reached(now, machine);
     }
 }
 
 impl Controller {
-    /// Forwards the report of a worker to the holder of its block. False if that can't be
-    /// done.
+    /// Forwards the report of a worker to the holder of its block. Returns false if that is not
+    /// possible.
     pub(crate) fn forward_to_holder(
         &mut self,
         conn: ConnId,
@@ -95,14 +95,14 @@
         self.forward(conn, report, addressee, holder, fallback)
     }
 
-    /// Forwards the report of a machine without a record to the leader, if it comes again.
-    /// False if it does not, or if that can't be done.
+    /// Forwards the report of a machine without a record to the leader, if the machine reports
+    /// again. Returns false if it does not, or if forwarding is not possible.
     pub(crate) fn forward_to_leader(&mut self, conn: ConnId, report: &Report) -> bool {
         let Some(leader) = self.view.leader.as_ref().map(|l| l.record.node.clone()) else {
             return false;
         };
         let outbox = &mut self.forwarding.outbox;
-        if !outbox.unregistered_came(self.now, &report.machine) {
+        if !outbox.record_unregistered(self.now, &report.machine) {
             return false;
         }
         let (addressee, fallback) = (ReportAddressee::Leader, Fallback::Unregistered);
@@ -124,12 +124,12 @@
         {
             return false;
         }
-        // Whoever is behind would get to the answer too late.
-        let may = self.level() >= FormatLevel::PIPELINES
+        // A controller with a backlog would handle the answer too late.
+        let can_forward = self.level() >= FormatLevel::PIPELINES
             && self.request_queue.is_empty()
-            && self.forwarding.outbox.has_room()
+            && self.forwarding.outbox.has_capacity()
             && self.is_peer_fresh(to);
-        if !may {
+        if !can_forward {
             return false;
         }
         let outstanding = Outstanding {
@@ -137,8 +137,8 @@
             to: to.to_owned(),
             addressee,
             fallback,
-            came_at: self.now,
-            is_repeat: false,
+            received_at: self.now,
+            is_retry: false,
         };
         self.send_forward(conn, outstanding);
         true
@@ -146,7 +146,7 @@
 
     fn send_forward(&mut self, conn: ConnId, outstanding: Outstanding) {
         let (report, to) = (&outstanding.report, outstanding.to.clone());
-        log::debug!("{}: its report is forwarded to {to}", report.machine);
+        log::debug!("{}: forwarding its report to {to}", report.machine);
         let message = ForwardedReport {
             from: self.settings.node.clone(),
             addressee: outstanding.addressee,
@@ -161,15 +161,15 @@
         self.call_peer(to, "/forward", &message, timeout, pending);
     }
 
-    /// What came of a report that we forwarded.
+    /// Handles the reply to a forwarded report.
     pub(crate) fn forward_answered(&mut self, conn: ConnId, reply: &Reply) {
         match self.forwarding.outbox.replied(conn, reply) {
             Some(Forwarded::Answered(outstanding, answer)) => {
                 let machine = &outstanding.report.machine;
-                if answer.status == 421 && self.is_sent_here(&answer.body) {
-                    // Our records don't show yet that we hold it.
+                if answer.status == 421 && self.redirects_here(&answer.body) {
+                    // This controller holds the block, but its records do not show it yet.
                     let fallback = Fallback::Stray(StrayAction::AwaitRecords);
-                    return self.not_forwarded(
+                    return self.forward_failed(
                         conn,
                         Outstanding {
                             fallback,
@@ -183,41 +183,41 @@
                 self.answer(conn, answer.status, answer.body);
             }
             Some(Forwarded::Lost(outstanding)) => {
-                let is_repeat = true;
+                let is_retry = true;
                 self.send_forward(
                     conn,
                     Outstanding {
-                        is_repeat,
+                        is_retry,
                         ..outstanding
                     },
                 );
             }
-            Some(Forwarded::Refused(outstanding)) => self.not_forwarded(conn, outstanding),
+            Some(Forwarded::Refused(outstanding)) => self.forward_failed(conn, outstanding),
             None => {}
         }
     }
 
-    /// Whether an answer tells a worker to report to us.
-    fn is_sent_here(&self, body: &[u8]) -> bool {
+    /// Whether an answer redirects a worker to this controller.
+    fn redirects_here(&self, body: &[u8]) -> bool {
         let redirect = decode::<Redirect>(body).unwrap_or_default();
         redirect.report_to.as_ref() == Some(&self.settings.node)
     }
 
-    /// A forwarded report got no answer: it is treated as if it had not been forwarded.
-    fn not_forwarded(&mut self, conn: ConnId, outstanding: Outstanding) {
+    /// Proceeds with a report that got no answer as if it had not been forwarded.
+    fn forward_failed(&mut self, conn: ConnId, outstanding: Outstanding) {
         let Outstanding {
             report,
             fallback,
-            came_at,
+            received_at,
             ..
         } = outstanding;
         match fallback {
-            Fallback::Stray(action) => self.keep_or_redirect(conn, report, came_at, action),
+            Fallback::Stray(action) => self.hold_or_redirect(conn, report, received_at, action),
             Fallback::Unregistered => self.redirect_to_leader(conn),
         }
     }
 
-    /// A peer forwards a worker's report to us.
+    /// Handles a worker's report that a peer forwards to this controller.
     pub(crate) fn receive_forwarded_report(&mut self, conn: ConnId, body: &[u8]) {
         let Some(message) = self.decode_peer_message::<ForwardedReport>(conn, body) else {
             return;
@@ -228,43 +228,51 @@
         let report: Report = match decode(&message.body) {
             Ok(report) => report,
             Err(e) => {
-                log::warn!("{} forwarded what is no report: {e}", message.from);
+                log::warn!("{} forwarded a malformed report: {e}", message.from);
                 return self.refuse(conn, 400, &e.to_string());
             }
         };
         let is_addressee = match message.addressee {
-            ReportAddressee::Holder { block, term } => self.holds(&report.machine, block, term),
+            ReportAddressee::Holder { block, term } => {
+                self.holds_machine(&report.machine, block, term)
+            }
             ReportAddressee::Leader => self.leader.is_some(),
         };
         if !is_addressee {
             return self.refuse(conn, 409, "the machine is not held here");
         }
         log::debug!(
-            "{}: its report came by way of {}",
+            "{}: its report was forwarded here by {}",
             report.machine,
             message.from
         );
         self.forwarding
             .inbox
-            .received(self.now, conn, report_id(&report));
+            .report_received(self.now, conn, report_id(&report));
         let is_held = matches!(message.addressee, ReportAddressee::Holder { .. });
-        if is_held && self.may_act() && self.forwarding.inbox.came(self.now, &report.machine) {
+        if is_held
+            && self.may_act()
+            && self
+                .forwarding
+                .inbox
+                .record_forwarded_report(self.now, &report.machine)
+        {
             let home = self.settings.node.clone();
             return self.redirect(conn, Some(home));
         }
         self.process_report(conn, report);
     }
 
-    /// Whether a machine is in a block that we hold under a term.
-    fn holds(&self, machine: &str, block: BlockId, term: Term) -> bool {
+    /// Whether a machine is in a block that this controller holds under a term.
+    fn holds_machine(&self, machine: &str, block: BlockId, term: Term) -> bool {
         let record = self.view.machines.get(machine);
         record.is_some_and(|m| m.block == block)
             && self.held_blocks.get(&block).is_some_and(|h| h.term == term)
     }
 
-    /// Asks workers that report by way of peers whether they can be reached directly.
+    /// Probes workers whose reports arrive through peers, to see if they can be reached directly.
     pub(crate) fn probe_remote_workers(&mut self) {
-        for machine in self.forwarding.inbox.due_for_question(self.now) {
+        for machine in self.forwarding.inbox.due_for_probe(self.now) {
             self.inspect(machine);
         }
     }
--- a/crates/core/src/forwarding/origin.rs
+++ b/crates/core/src/forwarding/origin.rs
@@ -1,4 +1,4 @@
-//! Reports that this controller has forwarded and whose answers it awaits.
+//! Reports that this controller has forwarded and that are not answered yet.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,17 +13,18 @@
     request_queue::REPORT_TIMEOUT,
 };
 
-/// How many forwarded reports may be without an answer at a time.
-const MOST_OUTSTANDING: usize = 64;
-/// An unregistered machine that comes again within this time is not reached by the leader.
-const COMES_AGAIN: Duration = Duration::from_secs(16);
+/// Upper bound for the forwarded reports without an answer.
+const MAX_OUTSTANDING: usize = 64;
+/// How long the first report of an unregistered machine is remembered. A machine that reports
+/// again within this time, but later than its report timeout, can't reach the leader.
+const REPEAT_WINDOW: Duration = Duration::from_secs(16);
 
 /// What to do with a report if its addressee does not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fallback {
-    /// The holder is up and did not answer.
+    /// The report is from a stray, whose holder is up: take this action.
     Stray(StrayAction),
-    /// The machine has no record.
+    /// The machine has no record: redirect it to the leader.
     Unregistered,
 }
 
@@ -31,14 +32,14 @@
 #[derive(Debug, PartialEq)]
 pub(crate) struct Outstanding {
     pub report: Report,
-    /// Whom it went to.
+    /// The controller that it was forwarded to.
     pub to: String,
     pub addressee: ReportAddressee,
     pub fallback: Fallback,
-    /// When the worker's report came in.
-    pub came_at: Duration,
-    /// It was sent before, and the answer was lost.
-    pub is_repeat: bool,
+    /// When the report arrived from the worker.
+    pub received_at: Duration,
+    /// Whether it was forwarded before and got no answer.
+    pub is_retry: bool,
 }
 
 impl Outstanding {
@@ -47,7 +48,7 @@
     }
 }
 
-/// The name of a report.
+/// Identifies a report.
 pub(crate) fn report_id(report: &Report) -> ReportId {
     ReportId {
         machine: report.machine.clone(),
@@ -63,22 +64,22 @@
     pub body: Vec<u8>,
 }
 
-/// What came of a forwarded report.
+/// The result of forwarding a report.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Forwarded {
-    /// The worker gets this answer.
+    /// The addressee has answered; the answer is for the worker.
     Answered(Outstanding, WorkerAnswer),
-    /// It may have been lost on its way, or its answer: it can be sent once more.
+    /// The report or its answer may have been lost: it can be forwarded once more.
     Lost(Outstanding),
-    /// Its addressee gives none.
+    /// There is no valid answer, and the report is not forwarded again.
     Refused(Outstanding),
 }
 
-/// The forwarded reports of one controller.
+/// The reports that a controller has forwarded.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     outstanding: BTreeMap<ConnId, Outstanding>,
-    /// When unregistered machines came that were sent to the leader.
+    /// When each unregistered machine, which was redirected to the leader, first reported.
     unregistered: BTreeMap<String, Duration>,
     /// The last answer to a report of each worker.
     #[cfg(feature = "sabotage")]
@@ -86,18 +87,18 @@
 }
 
 impl Outbox {
-    /// Whether one more report may be forwarded.
-    pub fn has_room(&self) -> bool {
-        self.outstanding.len() < MOST_OUTSTANDING
+    /// Whether one more report can be forwarded.
+    pub fn has_capacity(&self) -> bool {
+        self.outstanding.len() < MAX_OUTSTANDING
     }
 
-    /// A report leaves for its addressee.
+    /// Records that a report is being forwarded to its addressee.
     pub fn sent(&mut self, conn: ConnId, outstanding: Outstanding) {
         self.outstanding.insert(conn, outstanding);
     }
 
-    /// What came of a report. Only an answer to this very report that serves the worker
-    /// or tells it where to go counts.
+    /// Takes the reply to a forwarded report. Only an answer to this report that serves the worker
+    /// (200) or redirects it (421) counts.
     pub fn replied(&mut self, conn: ConnId, reply: &Reply) -> Option<Forwarded> {
         let outstanding = self.outstanding.remove(&conn)?;
         let answer = match reply {
@@ -114,7 +115,7 @@
                     .insert(outstanding.report.machine.clone(), answer.clone());
                 Forwarded::Answered(outstanding, answer)
             }
-            None if matches!(reply, Reply::Lost) && !outstanding.is_repeat => {
+            None if matches!(reply, Reply::Lost) && !outstanding.is_retry => {
                 Forwarded::Lost(outstanding)
             }
             None => Forwarded::Refused(outstanding),
@@ -128,11 +129,11 @@
         answer.filter(|a| a.status == 200).cloned()
     }
 
-    /// An unregistered machine has come. Whether it comes again, after it was sent to the
-    /// leader and has waited there in vain.
-    pub fn unregistered_came(&mut self, now: Duration, machine: &str) -> bool {
+    /// Records the report of an unregistered machine. Returns whether it reports again after it
+    /// was redirected to the leader and timed out there.
+    pub fn record_unregistered(&mut self, now: Duration, machine: &str) -> bool {
         self.unregistered
-            .retain(|_, first| now <= *first + COMES_AGAIN);
+            .retain(|_, first| now <= *first + REPEAT_WINDOW);
         match self.unregistered.get(machine) {
             Some(first) => now > *first + REPORT_TIMEOUT,
             None => {
--- a/crates/core/src/forwarding/tests.rs
+++ b/crates/core/src/forwarding/tests.rs
@@ -8,7 +8,7 @@
 
 /// The version of the record of the one block, which is its term.
 const TERM: Term = 9;
-/// Names of connections.
+/// Ids of connections: from the worker and from the peer.
 const WORKER: ConnId = 1;
 const PEER: ConnId = 2;
 
@@ -40,8 +40,8 @@
             term: TERM,
         },
         fallback: Fallback::Stray(StrayAction::Redirect),
-        came_at: ms(0),
-        is_repeat: false,
+        received_at: ms(0),
+        is_retry: false,
     }
 }
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_answer_counts_for_the_report_that_it_names_alone() {
+fn an_answer_counts_only_for_the_report_that_it_names() {
     let mut outbox = Outbox::default();
     outbox.sent(WORKER, outstanding(5));
     let right = reply(report_id(&report(5, TERM)), 200);
@@ -71,7 +71,7 @@
     let others = [
         reply(report_id(&report(4, TERM)), 200),
         reply(report_id(&report(5, TERM)), 503),
-        // An older program does not know the path.
+        // A peer of an older version does not know the path.
         Reply::Answer {
             status: 404,
             body: Vec::new(),
@@ -90,13 +90,13 @@
 }
 
 #[test]
-fn a_report_is_sent_once_more_if_no_answer_came() {
+fn a_report_without_an_answer_is_forwarded_once_more() {
     let mut outbox = Outbox::default();
     outbox.sent(WORKER, outstanding(5));
     let lost = outbox.replied(WORKER, &Reply::Lost);
     assert_eq!(lost, Some(Forwarded::Lost(outstanding(5))));
     let repeat = || Outstanding {
-        is_repeat: true,
+        is_retry: true,
         ..outstanding(5)
     };
     outbox.sent(WORKER, repeat());
@@ -104,40 +104,43 @@
     assert_eq!(lost, Some(Forwarded::Refused(repeat())));
 }
 
-/// A worker gives up after 4 s: both tries and the answer have to fit.
+/// A worker times out after 4 s: both tries and the answer to the worker have to fit.
 #[test]
-fn both_tries_fit_into_the_patience_of_a_worker() {
-    let patience = crate::request_queue::REPORT_TIMEOUT;
-    assert!((HOLDER_TIMEOUT * 2).max(LEADER_TIMEOUT * 2) + ms(1000) < patience);
+fn both_tries_fit_into_the_report_timeout() {
+    let timeout = crate::request_queue::REPORT_TIMEOUT;
+    assert!((HOLDER_TIMEOUT * 2).max(LEADER_TIMEOUT * 2) + ms(1000) < timeout);
 }
 
 #[test]
 fn outstanding_reports_are_bounded() {
     let mut outbox = Outbox::default();
     let mut sent = 0;
-    while outbox.has_room() {
+    while outbox.has_capacity() {
         outbox.sent(sent, outstanding(sent));
         sent += 1;
         assert!(sent < 1000, "no bound");
     }
     outbox.replied(0, &Reply::NotSent);
-    assert!(outbox.has_room());
+    assert!(outbox.has_capacity());
 }
 
 #[test]
-fn an_unregistered_machine_goes_to_the_leader_by_itself_first() {
+fn only_a_repeated_report_of_an_unregistered_machine_is_forwarded() {
     let mut outbox = Outbox::default();
-    assert!(!outbox.unregistered_came(ms(1000), "vm-1"));
-    assert!(!outbox.unregistered_came(ms(1500), "vm-1"), "not there yet");
-    assert!(outbox.unregistered_came(ms(6100), "vm-1"));
-    assert!(!outbox.unregistered_came(ms(6100), "vm-2"));
-    assert!(!outbox.unregistered_came(ms(20_000), "vm-1"), "forgotten");
+    assert!(!outbox.record_unregistered(ms(1000), "vm-1"));
+    assert!(
+        !outbox.record_unregistered(ms(1500), "vm-1"),
+        "it has not timed out at the leader yet"
+    );
+    assert!(outbox.record_unregistered(ms(6100), "vm-1"));
+    assert!(!outbox.record_unregistered(ms(6100), "vm-2"));
+    assert!(!outbox.record_unregistered(ms(20_000), "vm-1"), "forgotten");
 }
 
 #[test]
-fn an_answer_to_a_forwarded_report_names_it_once() {
+fn an_answer_to_a_forwarded_report_is_wrapped_once() {
     let mut inbox = Inbox::default();
-    inbox.received(ms(0), PEER, report_id(&report(5, TERM)));
+    inbox.report_received(ms(0), PEER, report_id(&report(5, TERM)));
     let answer = |conn| Answer {
         conn,
         status: 421,
@@ -146,7 +149,7 @@
     };
     let mut wrapped = answer(PEER);
     inbox.wrap_answer(&mut wrapped);
-    let inner: ForwardedAnswer = borsh::from_slice(&wrapped.body).expect("an envelope");
+    let inner: ForwardedAnswer = borsh::from_slice(&wrapped.body).expect("a wrapped answer");
     assert_eq!((wrapped.status, inner.status), (200, 421));
     assert_eq!((inner.report.seq, inner.body), (5, vec![7]));
     for conn in [PEER, WORKER] {
@@ -156,38 +159,41 @@
     }
 }
 
-/// A worker is sent home once it has answered its holder, and for less and less often if it
-/// comes by way of a peer again.
+/// A worker is redirected to its holder once it has answered the holder's probe; the redirects
+/// become rarer if it reports through a peer again.
 #[test]
-fn workers_go_home_once_they_answer() {
+fn workers_are_redirected_to_their_holder_once_they_answer() {
     let mut inbox = Inbox::default();
     let mut now = ms(1000);
-    assert!(!inbox.came(now, "vm-1"));
-    assert_eq!(inbox.due_for_question(now), ["vm-1"]);
+    assert!(!inbox.record_forwarded_report(now, "vm-1"));
+    assert_eq!(inbox.due_for_probe(now), ["vm-1"]);
     assert!(
-        inbox.due_for_question(now + ms(300)).is_empty(),
-        "asked already"
+        inbox.due_for_probe(now + ms(300)).is_empty(),
+        "probed already"
+    );
+    assert!(
+        !inbox.record_forwarded_report(now + ms(2000), "vm-1"),
+        "no answer to a probe yet"
     );
-    assert!(!inbox.came(now + ms(2000), "vm-1"), "no answer yet");
     inbox.record_reached(now + ms(2500), "vm-1");
-    assert!(inbox.came(now + ms(4000), "vm-1"));
-    let mut stays = Vec::new();
+    assert!(inbox.record_forwarded_report(now + ms(4000), "vm-1"));
+    let mut backoffs = Vec::new();
     for _ in 0..6 {
-        let sent_home = now;
+        let redirected_at = now;
         loop {
             now += ms(1000);
             inbox.record_reached(now, "vm-1");
-            if inbox.came(now, "vm-1") {
+            if inbox.record_forwarded_report(now, "vm-1") {
                 break;
             }
         }
-        stays.push((now - sent_home).as_secs());
+        backoffs.push((now - redirected_at).as_secs());
     }
-    assert!(stays.is_sorted(), "{stays:?}");
-    assert_eq!(stays.last(), Some(&160));
-    // Whoever reports directly is not asked.
+    assert!(backoffs.is_sorted(), "{backoffs:?}");
+    assert_eq!(backoffs.last(), Some(&160));
+    // A worker that reports directly is not probed.
     inbox.record_direct_report("vm-1");
-    assert!(inbox.due_for_question(now + ms(200_000)).is_empty());
+    assert!(inbox.due_for_probe(now + ms(200_000)).is_empty());
 }
 
 /// Controller n-0 with a peer n-1; it holds block 0 with vm-1 and has contact.
@@ -216,8 +222,7 @@
     borsh::to_vec(&message).expect("into memory")
 }
 
-/// What a forwarded report is answered by: the status of the peer's request, and the
-/// answer in the envelope.
+/// The answer to a forwarded report: the status of the peer's request, and the wrapped answer.
 fn answered(controller: &mut Controller, body: &[u8]) -> (u16, Option<ForwardedAnswer>) {
     controller.outputs.clear();
     controller.receive_forwarded_report(PEER, body);
@@ -237,25 +242,25 @@
 }
 
 #[test]
-fn a_holder_answers_a_forwarded_report_like_one_of_its_own_connections() {
+fn a_holder_answers_a_forwarded_report_like_a_direct_one() {
     let mut controller = holder();
     let body = message("n-1", TERM, encode(&report(3, TERM)));
     let (_, answer) = answered(&mut controller, &body);
-    let answer = answer.expect("an envelope");
+    let answer = answer.expect("a wrapped answer");
     assert_eq!((answer.report.seq, answer.status), (3, 200));
     let orders: ReportAnswer = decode(&answer.body).expect("an answer to a worker");
     assert_eq!(orders.token, TERM);
     let machine = &controller.machines["vm-1"];
     assert_eq!((machine.seq, machine.term_acknowledged), (3, true));
     assert_eq!(machine.last_answer_at, Some(ms(1000)));
-    // One that was overtaken changes nothing of what is known.
+    // An older report that arrives late changes nothing.
     let late = message("n-1", TERM, encode(&report(2, TERM)));
     answered(&mut controller, &late);
     assert_eq!(controller.machines["vm-1"].seq, 3);
 }
 
-/// A holder without contact might have missed a cancellation or that its block was leased
-/// anew: it answers nobody, by whichever way the report came.
+/// A holder without contact to the state service may have missed a cancellation or a new lease
+/// of its block: it answers neither direct nor forwarded reports.
 #[test]
 fn a_holder_without_contact_answers_no_forwarded_report() {
     let mut controller = holder();
@@ -267,7 +272,7 @@
 }
 
 #[test]
-fn what_is_not_held_or_not_understood_is_refused_and_changes_nothing() {
+fn reports_not_held_here_and_malformed_ones_are_refused_without_effect() {
     let mut controller = holder();
     let good = encode(&report(3, TERM));
     let other = encode(&Report {
@@ -289,7 +294,11 @@
     let mut to_leader: ForwardedReport = borsh::from_slice(&body).expect("a message");
     to_leader.addressee = ReportAddressee::Leader;
     let body = borsh::to_vec(&to_leader).expect("into memory");
-    assert_eq!(answered(&mut controller, &body).0, 409, "we don't lead");
+    assert_eq!(
+        answered(&mut controller, &body).0,
+        409,
+        "this controller is not the leader"
+    );
     assert_eq!(controller.machines["vm-1"].seq, 0);
     assert!(!controller.forwarding.is_forwarded(PEER));
 }
