--- a/crates/core/src/sockets.rs
+++ b/crates/core/src/sockets.rs
@@ -1,19 +1,19 @@
-//! The one owner of this process's sockets: who may have how many, and which
-//! connection goes when all are taken.
+//! Allocates this process's sockets: how many each group may use, and which connection is closed
+//! when all are in use.
 //!
-//! Four groups share them. Each has a share that it can always have; what the
-//! others leave unused it may borrow. Whoever needs a socket when none is left
-//! takes it from a group that has borrowed, and from that the connection that
-//! most likely nobody is at the other end of any more:
+//! Four groups share the sockets. Each has a guaranteed share, and may borrow what the others
+//! leave unused. If no socket is free, a group below its share gets one from a group that has
+//! borrowed, and a group beyond its share from its own connections. Connections that are most
+//! likely dead or cheap to replace are closed first:
 //!
-//! 1. our own kept connections to workers, as a new one costs a round trip;
-//! 2. connections of workers that gave up, or that came again over a newer one;
-//! 3. those that have been silent for longest.
+//! 1. idle outbound connections to workers, as a new one costs only a round trip;
+//! 2. connections of workers that timed out or died; the older connection of a worker that
+//!    reports on a newer one is closed at once;
+//! 3. the connections that have been inactive for longest.
 //!
-//! Users, probes and workers once shared one allowance. What was beyond it was
-//! accepted and dropped at once, so that a few hundred workers whose network
-//! held their packets, each of which left a connection behind every five
-//! seconds, had the load balancer find no healthy controller.
+//! With one limit for users, probes and workers together, connections beyond it were accepted and
+//! dropped at once. A few hundred workers whose network delayed their packets, each of which
+//! abandoned a connection every 5 s, made the load balancer find no healthy controller.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -27,26 +27,26 @@
     request_queue::REPORT_TIMEOUT,
 };
 
-/// Names a connection that came in; one that came later has a larger name.
+/// Identifies an inbound connection; a later connection has a larger id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SocketId(pub u64);
 
-/// What we make connections of our own for.
+/// The purpose of an outbound connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OutboundKind {
     /// State service and cloud.
     Outside,
-    /// The other controllers.
+    /// Other controllers.
     Peers,
-    /// Direct orders to workers.
+    /// Direct orders to workers, and probes of them.
     Orders,
 }
 
 impl OutboundKind {
-    /// All of them.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [Self; 3] = [Self::Outside, Self::Peers, Self::Orders];
 
-    /// What a call is made for.
+    /// The kind of connection that a call needs.
     pub fn of(target: &Target) -> Self {
         match target {
             Target::State | Target::Cloud => Self::Outside,
@@ -64,14 +64,14 @@
     }
 }
 
-/// Who shares the sockets.
+/// A group of connections with a share of the sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Group {
-    /// Users, probes, and whoever has not said yet who it is.
+    /// Users, health probes, and public connections that are not identified yet.
     Users,
-    /// Workers' reports, and our orders to them.
+    /// Reports of workers, and orders to them.
     Workers,
-    /// Controllers and operators, both ways.
+    /// Other controllers and operators, in both directions.
     Peers,
     /// State service and cloud.
     Outside,
@@ -82,66 +82,68 @@
 /// A connection to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Close {
-    /// One that came in.
+    /// An inbound connection.
     Inbound(SocketId),
-    /// The longest unused ones that we have kept.
+    /// This number of idle outbound connections of a kind, those that are idle for longest.
     Idle(OutboundKind, usize),
 }
 
-/// What the process has open that is no connection: streams, listeners, what
-/// the reactor needs.
-const OWN: usize = 12;
-/// For how long a connection may say nothing.
-const PATIENCE: Duration = Duration::from_secs(25);
-/// The longest that somebody waits for an answer; after that nobody reads it.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
-/// For how many seconds' worth of requests to state service and cloud there
-/// are sockets.
-const OUTSIDE_S: f64 = 2.0;
-/// Sockets for each other controller, both ways.
-const EACH_PEER: usize = 12;
-/// The part of all sockets that is for users and probes.
-const USERS_PART: usize = 4;
-/// The part of all sockets that direct orders may take at a time, and the part
-/// of these for workers that have not answered lately.
-const ORDERS_PART: usize = 4;
-const DOUBTFUL_PART: usize = 4;
-/// Pressure is told of once in this time.
-const TELL: Duration = Duration::from_secs(10);
-
-/// How many sockets each group can always have.
+/// File descriptors that are no connections: standard streams, listeners, and those of the reactor.
+const RESERVED_DESCRIPTORS: usize = 12;
+/// How long an inbound connection may be inactive.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(25);
+/// Longest time that any client waits for an answer; a later answer is not read.
+const MAX_ANSWER_WAIT: Duration = Duration::from_secs(5);
+/// Sockets for the state service and the cloud, in seconds of requests at their rate limits.
+const OUTSIDE_SECONDS: f64 = 2.0;
+/// Sockets for each other controller, in both directions.
+const SOCKETS_PER_PEER: usize = 12;
+/// Users and health probes get the total divided by this.
+const USERS_DIVISOR: usize = 4;
+/// Direct orders may use the total divided by the first number at a time; orders to workers that
+/// have not answered recently may use that limit divided by the second.
+const ORDERS_DIVISOR: usize = 4;
+const UNRESPONSIVE_DIVISOR: usize = 4;
+/// Minimum time between two log messages about a shortage of sockets.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+
+/// How many sockets each group is guaranteed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shares {
     /// All connections together.
     pub total: usize,
-    /// Users and probes.
+    /// Users and health probes.
     pub users: usize,
-    /// Workers' reports and our orders to them.
+    /// Reports of workers and orders to them.
     pub workers: usize,
-    /// The other controllers and operators.
+    /// Other controllers and operators.
     pub peers: usize,
     /// State service and cloud.
     pub outside: usize,
-    /// Of those of the workers, direct orders at a time.
+    /// Upper bound for concurrent direct orders, which use sockets of the workers' share.
     pub orders: usize,
 }
 
 impl Shares {
-    /// What follows from a deployment's settings.
+    /// Computes the shares from a deployment's settings.
     pub fn new(settings: &Settings) -> Self {
         let limits = &settings.params;
-        let total = limits.limits.max_sockets.saturating_sub(OWN).max(16);
+        let total = limits
+            .limits
+            .max_sockets
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(16);
         let rate = limits.state.rps + limits.cloud.rps;
-        let outside = ((rate * OUTSIDE_S) as usize).clamp(2, total / 8);
-        let peers = (settings.peers.len() * EACH_PEER).clamp(2, total / 8);
-        let users = total / USERS_PART;
+        let outside = ((rate * OUTSIDE_SECONDS) as usize).clamp(2, total / 8);
+        let peers = (settings.peers.len() * SOCKETS_PER_PEER).clamp(2, total / 8);
+        let users = total / USERS_DIVISOR;
         Self {
             total,
             users,
             workers: total - users - peers - outside,
             peers,
             outside,
-            orders: total / ORDERS_PART,
+            orders: total / ORDERS_DIVISOR,
         }
     }
 
@@ -155,79 +157,79 @@
     }
 }
 
-/// A connection that came in.
+/// An inbound connection.
 #[derive(Debug)]
 struct Socket {
     group: Group,
-    /// When something happened on it last.
+    /// When a request or an answer was last seen on it, or it was opened.
     since: Duration,
-    /// Whether a request of it is not answered yet.
+    /// Whether it has a request without an answer.
     busy: bool,
-    /// Whose it is, if that is a worker.
+    /// The machine whose worker has reported on it.
     worker: Option<String>,
 }
 
-/// Connections that came in, of one group, the longest silent first.
-type Silent = BTreeSet<(Duration, SocketId)>;
+/// Inbound connections of one group, those that are inactive for longest first.
+type ActivityQueue = BTreeSet<(Duration, SocketId)>;
 
-/// Our own connections for one purpose.
+/// The outbound connections of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outbound {
     calls: usize,
-    kept: usize,
+    idle: usize,
 }
 
 /// All sockets of a controller.
 #[derive(Debug)]
 pub struct Sockets {
     shares: Shares,
-    /// A worker that lives has reported within this time.
-    reports_within: Duration,
+    /// A worker that is alive reports again within this time.
+    max_report_gap: Duration,
     sockets: HashMap<SocketId, Socket>,
-    users: Silent,
-    workers: Silent,
-    peers: Silent,
-    out: [Outbound; 3],
-    /// Direct orders under way to workers that have not answered lately.
-    doubtful: usize,
+    users: ActivityQueue,
+    workers: ActivityQueue,
+    peers: ActivityQueue,
+    outbound: [Outbound; 3],
+    /// Direct orders in flight to workers that have not answered recently.
+    unresponsive: usize,
     /// The newest connection of each worker.
-    newest: HashMap<String, SocketId>,
-    /// Requests that are not answered yet.
-    asked: HashMap<ConnId, SocketId>,
-    /// Closed for want of sockets since that was told last, and turned away.
-    closed: usize,
-    turned_away: usize,
-    told_at: Option<Duration>,
+    newest_by_worker: HashMap<String, SocketId>,
+    /// Requests without an answer, and the connections that they arrived on.
+    open_requests: HashMap<ConnId, SocketId>,
+    /// Connections closed and rejected for lack of sockets since the last log message.
+    evicted: usize,
+    rejected: usize,
+    logged_at: Option<Duration>,
 }
 
 impl Sockets {
-    /// Nothing is open yet.
+    /// Creates the state of a process without open connections.
     pub fn new(settings: &Settings) -> Self {
         Self {
             shares: Shares::new(settings),
-            reports_within: settings.report_period().mul_f64(1.5) + REPORT_TIMEOUT,
+            max_report_gap: settings.report_period().mul_f64(1.5) + REPORT_TIMEOUT,
             sockets: HashMap::new(),
-            users: Silent::new(),
-            workers: Silent::new(),
-            peers: Silent::new(),
-            out: [Outbound::default(); 3],
-            doubtful: 0,
-            newest: HashMap::new(),
-            asked: HashMap::new(),
-            closed: 0,
-            turned_away: 0,
-            told_at: None,
+            users: ActivityQueue::new(),
+            workers: ActivityQueue::new(),
+            peers: ActivityQueue::new(),
+            outbound: [Outbound::default(); 3],
+            unresponsive: 0,
+            newest_by_worker: HashMap::new(),
+            open_requests: HashMap::new(),
+            evicted: 0,
+            rejected: 0,
+            logged_at: None,
         }
     }
 
-    /// How many connections are open, both ways.
+    /// How many connections are open, in both directions.
     pub fn open_count(&self) -> usize {
-        let out: usize = self.out.iter().map(|o| o.calls + o.kept).sum();
+        let out: usize = self.outbound.iter().map(|o| o.calls + o.idle).sum();
         self.sockets.len() + out
     }
 
-    /// A connection came in. If it can't be had, it is itself among those to
-    /// be closed.
+    /// Records a new inbound connection and returns the connections to close. If no socket can be
+    /// freed for it, the new connection itself is among them.
     pub fn connection_opened(
         &mut self,
         now: Duration,
@@ -240,7 +242,7 @@
         };
         let mut close = Vec::new();
         if !self.make_room(now, group, &mut close) {
-            self.turned_away += 1;
+            self.rejected += 1;
             close.push(Close::Inbound(id));
             return close;
         }
@@ -250,23 +252,24 @@
             busy: false,
             worker: None,
         };
-        self.silent_mut(group).insert((now, id));
+        self.activity_queue_mut(group).insert((now, id));
         self.sockets.insert(id, socket);
         close
     }
 
-    /// A request came in on a connection.
+    /// Records a request on an inbound connection.
     pub fn request_received(&mut self, now: Duration, id: SocketId, conn: ConnId) {
-        self.happens(now, id, true);
+        self.record_activity(now, id, true);
         if self.sockets.contains_key(&id) {
-            self.asked.insert(conn, id);
+            self.open_requests.insert(conn, id);
         }
     }
 
-    /// The request is a worker's report.
+    /// Records that a request is a worker's report, which moves its connection to the workers'
+    /// share, and returns the connections to close.
     pub fn identify_worker(&mut self, now: Duration, conn: ConnId, name: &str) -> Vec<Close> {
         let mut close = Vec::new();
-        let Some(&id) = self.asked.get(&conn) else {
+        let Some(&id) = self.open_requests.get(&conn) else {
             return close;
         };
         let Some(socket) = self.sockets.get_mut(&id) else {
@@ -280,23 +283,23 @@
             self.forget_newest(&before, id);
         } else {
             socket.group = Group::Workers;
-            self.silent_mut(from).remove(&(since, id));
+            self.activity_queue_mut(from).remove(&(since, id));
             self.workers.insert((since, id));
         }
-        match self.newest.get(name).copied() {
-            // Held up on its way: the worker has a newer one, on which it
-            // lives. This one will not be heard of again.
+        match self.newest_by_worker.get(name).copied() {
+            // The request was delayed: the worker uses a newer connection, and will send nothing
+            // more on this one.
             Some(newer) if newer > id => close.push(Close::Inbound(id)),
             Some(older) => {
-                self.newest.insert(name.to_owned(), id);
+                self.newest_by_worker.insert(name.to_owned(), id);
                 self.remove(older);
                 close.push(Close::Inbound(older));
             }
             None => {
-                self.newest.insert(name.to_owned(), id);
+                self.newest_by_worker.insert(name.to_owned(), id);
             }
         }
-        // It counted as a user's until now.
+        // Until now the connection counted towards the users' share.
         let over = self.used(Group::Workers) > self.shares.workers;
         if over && self.open_count() >= self.shares.total {
             self.evict(now, Group::Workers, false, Some(id), &mut close);
@@ -304,92 +307,91 @@
         close
     }
 
-    /// A request has its answer.
+    /// Records that a request has been answered.
     pub fn request_answered(&mut self, now: Duration, conn: ConnId) {
-        if let Some(id) = self.asked.remove(&conn) {
-            self.happens(now, id, false);
+        if let Some(id) = self.open_requests.remove(&conn) {
+            self.record_activity(now, id, false);
         }
     }
 
-    /// A connection that came in has ended.
+    /// Records that an inbound connection has ended.
     pub fn connection_closed(&mut self, id: SocketId) {
         self.remove(id);
     }
 
-    /// A call of our own begins; `doubtful` if it is to a worker that has not
-    /// answered lately.
+    /// Records the start of an outbound call and returns the connections to close. `unresponsive`
+    /// is true if the call goes to a worker that has not answered recently.
     pub fn call_started(
         &mut self,
         now: Duration,
-        lane: OutboundKind,
-        doubtful: bool,
+        kind: OutboundKind,
+        unresponsive: bool,
     ) -> Vec<Close> {
         let mut close = Vec::new();
-        let out = &mut self.out[lane as usize];
-        if out.kept > 0 && lane != OutboundKind::Orders {
-            // Most likely over one that we have kept.
-            out.kept -= 1;
+        let out = &mut self.outbound[kind as usize];
+        if out.idle > 0 && kind != OutboundKind::Orders {
+            // The call most likely reuses an idle connection.
+            out.idle -= 1;
         } else {
-            // It is made in any case: it is within its share, or bounded by
-            // `may_order`.
-            self.make_room(now, lane.group(), &mut close);
+            // The call is made even if no socket can be freed: it is within its share, or bounded
+            // by `may_send_order`.
+            self.make_room(now, kind.group(), &mut close);
         }
-        self.out[lane as usize].calls += 1;
-        self.doubtful += usize::from(doubtful);
+        self.outbound[kind as usize].calls += 1;
+        self.unresponsive += usize::from(unresponsive);
         close
     }
 
-    /// A call of our own is over.
-    pub fn call_finished(&mut self, lane: OutboundKind, doubtful: bool) {
-        let calls = &mut self.out[lane as usize].calls;
+    /// Records that an outbound call has finished.
+    pub fn call_finished(&mut self, kind: OutboundKind, unresponsive: bool) {
+        let calls = &mut self.outbound[kind as usize].calls;
         *calls = calls.saturating_sub(1);
-        self.doubtful = self.doubtful.saturating_sub(usize::from(doubtful));
+        self.unresponsive = self.unresponsive.saturating_sub(usize::from(unresponsive));
     }
 
-    /// Whether direct orders may go out now; those that must wait are tried
-    /// again when calls are over.
-    pub fn may_send_order(&self, doubtful: bool) -> bool {
-        let calls = self.out[OutboundKind::Orders as usize].calls;
-        let most = (self.shares.orders / DOUBTFUL_PART).max(1);
-        calls < self.shares.orders && (!doubtful || self.doubtful < most)
+    /// Whether a direct order may be sent now; otherwise it is tried again when calls have finished.
+    pub fn may_send_order(&self, unresponsive: bool) -> bool {
+        let calls = self.outbound[OutboundKind::Orders as usize].calls;
+        let most = (self.shares.orders / UNRESPONSIVE_DIVISOR).max(1);
+        calls < self.shares.orders && (!unresponsive || self.unresponsive < most)
     }
 
-    /// How many connections of ours are open without a use, for each purpose.
-    pub fn set_idle(&mut self, kept: [usize; 3]) {
-        for (out, kept) in self.out.iter_mut().zip(kept) {
-            out.kept = kept;
+    /// Sets how many outbound connections of each kind are idle.
+    pub fn set_idle(&mut self, idle: [usize; 3]) {
+        for (out, idle) in self.outbound.iter_mut().zip(idle) {
+            out.idle = idle;
         }
     }
 
-    /// Time has passed.
+    /// Returns the connections that have been inactive for too long, and logs a shortage of sockets.
     pub fn tick(&mut self, now: Duration) -> Vec<Close> {
         let mut close = Vec::new();
         for group in [Group::Users, Group::Workers, Group::Peers] {
-            while let Some(&(since, id)) = self.silent(group).first()
-                && now >= since + PATIENCE
+            while let Some(&(since, id)) = self.activity_queue(group).first()
+                && now >= since + IDLE_TIMEOUT
             {
                 self.remove(id);
                 close.push(Close::Inbound(id));
             }
         }
-        let pressed = self.closed + self.turned_away > 0;
-        if pressed && self.told_at.is_none_or(|at| now >= at + TELL) {
-            self.told_at = Some(now);
+        let has_pressure = self.evicted + self.rejected > 0;
+        if has_pressure && self.logged_at.is_none_or(|at| now >= at + LOG_INTERVAL) {
+            self.logged_at = Some(now);
             let [users, workers, peers, outside] = GROUPS.map(|g| self.used(g));
             log::info!(
-                "sockets are short: {users} users and unknown, {workers} workers, {peers} peers, \
-                 {outside} outside, of {}; closed {}, turned away {}",
+                "socket shortage: {users} for users and unidentified, {workers} for workers, {peers} for \
+                 controllers, {outside} for state service and cloud, of {}; {} closed, {} rejected",
                 self.shares.total,
-                self.closed,
-                self.turned_away
+                self.evicted,
+                self.rejected
             );
-            (self.closed, self.turned_away) = (0, 0);
+            (self.evicted, self.rejected) = (0, 0);
         }
         close
     }
 
-    /// Nothing comes in from outside.
-    fn silent(&self, group: Group) -> &Silent {
+    /// The inbound connections of a group; `Outside` has none.
+    fn activity_queue(&self, group: Group) -> &ActivityQueue {
         match group {
             Group::Users | Group::Outside => &self.users,
             Group::Workers => &self.workers,
@@ -397,7 +399,7 @@
         }
     }
 
-    fn silent_mut(&mut self, group: Group) -> &mut Silent {
+    fn activity_queue_mut(&mut self, group: Group) -> &mut ActivityQueue {
         match group {
             Group::Users | Group::Outside => &mut self.users,
             Group::Workers => &mut self.workers,
@@ -406,9 +408,9 @@
     }
 
     fn used(&self, group: Group) -> usize {
-        let out = |lane: OutboundKind| {
-            let out = self.out[lane as usize];
-            out.calls + out.kept
+        let out = |kind: OutboundKind| {
+            let out = self.outbound[kind as usize];
+            out.calls + out.idle
         };
         match group {
             Group::Users => self.users.len(),
@@ -418,111 +420,121 @@
         }
     }
 
-    /// Sees to it that the group can have one more. False if it can't.
+    /// Closes connections until the group can open one more. Returns false if that is not possible.
     fn make_room(&mut self, now: Duration, group: Group, close: &mut Vec<Close>) -> bool {
         while self.open_count() >= self.shares.total {
-            let entitled = self.used(group) < self.shares.of(group);
-            if !self.evict(now, group, entitled, None, close) {
+            let within_share = self.used(group) < self.shares.of(group);
+            if !self.evict(now, group, within_share, None, close) {
                 return false;
             }
         }
         true
     }
 
-    /// Closes one connection for somebody of this group, who is `entitled` to
-    /// it if the group has less than its share. False if none can go.
+    /// Closes one connection for this group, which is below its share if `within_share` is true.
+    /// Returns false if none can be closed.
     fn evict(
         &mut self,
         now: Duration,
         group: Group,
-        entitled: bool,
-        spare: Option<SocketId>,
+        within_share: bool,
+        except: Option<SocketId>,
         close: &mut Vec<Close>,
     ) -> bool {
-        let orders = &mut self.out[OutboundKind::Orders as usize].kept;
+        let orders = &mut self.outbound[OutboundKind::Orders as usize].idle;
         if *orders > 0 {
             *orders -= 1;
             close.push(Close::Idle(OutboundKind::Orders, 1));
             return true;
         }
-        let victim = self.gave_up(now, spare).or_else(|| {
-            if !entitled {
-                return self.longest_silent(now, group, spare);
+        let victim = self.stale_worker(now, except).or_else(|| {
+            if !within_share {
+                return self.least_recently_active(now, group, except);
             }
-            let from = self.debtor()?;
-            let idle = self.longest_silent(now, from, spare);
-            idle.or_else(|| self.silent(from).first().map(|(_, id)| *id))
+            let from = self.largest_borrower()?;
+            let idle = self.least_recently_active(now, from, except);
+            idle.or_else(|| self.activity_queue(from).first().map(|(_, id)| *id))
         });
         let Some(id) = victim else {
             return false;
         };
-        self.closed += 1;
+        self.evicted += 1;
         self.remove(id);
         close.push(Close::Inbound(id));
         true
     }
 
-    /// A worker that has reported elsewhere since, or lives no more.
-    fn gave_up(&self, now: Duration, spare: Option<SocketId>) -> Option<SocketId> {
+    /// The longest inactive connection of a worker, if its report has timed out or its next report
+    /// is overdue: the worker reports elsewhere or is dead.
+    fn stale_worker(&self, now: Duration, except: Option<SocketId>) -> Option<SocketId> {
         let &(since, id) = self.workers.first()?;
         let busy = self.sockets.get(&id).is_some_and(|s| s.busy);
         let limit = if busy {
             REPORT_TIMEOUT
         } else {
-            self.reports_within
+            self.max_report_gap
         };
-        (now >= since + limit && spare != Some(id)).then_some(id)
+        (now >= since + limit && except != Some(id)).then_some(id)
     }
 
-    /// The group that has borrowed most, of those that could give back.
-    fn debtor(&self) -> Option<Group> {
+    /// The group that has borrowed most, of those that have inbound connections.
+    fn largest_borrower(&self) -> Option<Group> {
         let borrowed = |g: &Group| self.used(*g).saturating_sub(self.shares.of(*g));
         let could = [Group::Users, Group::Workers, Group::Peers].into_iter();
         could.max_by_key(borrowed).filter(|g| borrowed(g) > 0)
     }
 
-    /// The longest silent of a group that nobody waits on. However short that
-    /// is: a newcomer that is turned away is surely not served, while one that
-    /// has had its answer, or has not asked yet, loses little.
-    fn longest_silent(
+    /// The longest inactive connection of a group on which no client waits for an answer, however
+    /// short its inactivity: a rejected client is certainly not served, while one that has its
+    /// answer, or has not sent a request yet, loses little.
+    fn least_recently_active(
         &self,
         now: Duration,
         group: Group,
-        spare: Option<SocketId>,
+        except: Option<SocketId>,
     ) -> Option<SocketId> {
         let can_go = |&&(since, id): &&(Duration, SocketId)| {
             let busy = self.sockets.get(&id).is_some_and(|s| s.busy);
-            let least = if busy { LONGEST_WAIT } else { Duration::ZERO };
-            spare != Some(id) && now >= since + least
+            let least = if busy {
+                MAX_ANSWER_WAIT
+            } else {
+                Duration::ZERO
+            };
+            except != Some(id) && now >= since + least
         };
-        self.silent(group).iter().find(can_go).map(|(_, id)| *id)
+        self.activity_queue(group)
+            .iter()
+            .find(can_go)
+            .map(|(_, id)| *id)
     }
 
-    fn happens(&mut self, now: Duration, id: SocketId, busy: bool) {
+    /// Records a request or an answer on a connection.
+    fn record_activity(&mut self, now: Duration, id: SocketId, busy: bool) {
         let Some(socket) = self.sockets.get_mut(&id) else {
             return;
         };
         let before = std::mem::replace(&mut socket.since, now);
         socket.busy = busy;
         let group = socket.group;
-        let silent = self.silent_mut(group);
-        silent.remove(&(before, id));
-        silent.insert((now, id));
+        let activity_queue = self.activity_queue_mut(group);
+        activity_queue.remove(&(before, id));
+        activity_queue.insert((now, id));
     }
 
     fn remove(&mut self, id: SocketId) {
         let Some(socket) = self.sockets.remove(&id) else {
             return;
         };
-        self.silent_mut(socket.group).remove(&(socket.since, id));
+        self.activity_queue_mut(socket.group)
+            .remove(&(socket.since, id));
         if let Some(name) = socket.worker {
             self.forget_newest(&name, id);
         }
     }
 
     fn forget_newest(&mut self, name: &str, id: SocketId) {
-        if self.newest.get(name) == Some(&id) {
-            self.newest.remove(name);
+        if self.newest_by_worker.get(name) == Some(&id) {
+            self.newest_by_worker.remove(name);
         }
     }
 }
@@ -546,7 +558,7 @@
         Settings::parse(&text).expect("good settings")
     }
 
-    /// A connection on which a worker reports and gets its answer.
+    /// Opens a connection on which a worker reports and gets its answer.
     fn worker(sockets: &mut Sockets, now: Duration, id: u64, name: &str) -> Vec<Close> {
         let mut close = sockets.connection_opened(now, SocketId(id), Listener::Public);
         sockets.request_received(now, SocketId(id), id);
@@ -556,7 +568,7 @@
     }
 
     #[test]
-    fn shares_follow_from_the_settings() {
+    fn shares_add_up_to_the_total() {
         for most in [32, 100, 1000, 2514, 100_000] {
             let shares = Shares::new(&settings(most));
             assert_eq!(
@@ -569,12 +581,12 @@
     }
 
     #[test]
-    fn a_worker_that_came_again_loses_its_older_connection() {
+    fn a_new_connection_of_a_worker_closes_its_older_one() {
         let mut sockets = Sockets::new(&settings(100));
         assert_eq!(worker(&mut sockets, S, 1, "vm-1"), []);
         let older = Close::Inbound(SocketId(1));
         assert_eq!(worker(&mut sockets, 2 * S, 2, "vm-1"), [older]);
-        // What was held up on an older connection does not end the newer one.
+        // A delayed report on an older connection does not close the newer one.
         sockets.connection_opened(3 * S, SocketId(4), Listener::Public);
         assert_eq!(worker(&mut sockets, 4 * S, 5, "vm-2"), []);
         sockets.request_received(5 * S, SocketId(4), 4);
@@ -583,18 +595,18 @@
         assert!(sockets.sockets.contains_key(&SocketId(5)));
     }
 
-    /// Hundreds of workers left a connection behind every few seconds, and
-    /// users and probes were turned away for as long as these were kept.
+    /// Hundreds of workers abandoned a connection every few seconds, and users and health probes
+    /// were rejected until these connections were closed.
     #[test]
-    fn users_are_taken_while_workers_crowd() {
+    fn users_are_accepted_while_workers_open_many_connections() {
         let mut sockets = Sockets::new(&settings(200));
-        let (mut id, mut closed) = (0, 0);
+        let (mut id, mut evicted) = (0, 0);
         for tick in 0..400u32 {
             let now = S * tick / 10;
             for _ in 0..20 {
                 id += 1;
                 let close = worker(&mut sockets, now, id, &format!("vm-{id}"));
-                closed += close.len();
+                evicted += close.len();
             }
             id += 1;
             let probe = SocketId(id);
@@ -605,20 +617,23 @@
             sockets.connection_closed(probe);
             assert!(sockets.open_count() <= sockets.shares.total);
         }
-        assert!(closed > 5000, "{closed}");
+        assert!(evicted > 5000, "{evicted}");
     }
 
     #[test]
-    fn calls_to_workers_are_bounded() {
+    fn orders_to_workers_are_bounded() {
         let mut sockets = Sockets::new(&settings(200));
         let most = sockets.shares.orders;
-        let mut doubtful = 0;
+        let mut unresponsive = 0;
         while sockets.may_send_order(true) {
             sockets.call_started(S, OutboundKind::Orders, true);
-            doubtful += 1;
+            unresponsive += 1;
         }
-        assert!(doubtful <= most / DOUBTFUL_PART, "{doubtful} of {most}");
-        let mut calls = doubtful;
+        assert!(
+            unresponsive <= most / UNRESPONSIVE_DIVISOR,
+            "{unresponsive} of {most}"
+        );
+        let mut calls = unresponsive;
         while sockets.may_send_order(false) {
             sockets.call_started(S, OutboundKind::Orders, false);
             calls += 1;
@@ -628,23 +643,24 @@
         assert!(sockets.may_send_order(true));
     }
 
-    /// What is open, as plainly as it can be said.
+    /// A simple reference model of the open connections.
     #[derive(Default)]
-    struct Plain {
-        /// Name, group, last word, unanswered, worker.
-        came: Vec<(u64, Group, Duration, bool, Option<String>)>,
+    struct Model {
+        /// Id, group, last activity, whether a request is unanswered, worker.
+        inbound: Vec<(u64, Group, Duration, bool, Option<String>)>,
         calls: [usize; 3],
-        kept: usize,
+        idle: usize,
     }
 
-    impl Plain {
+    impl Model {
         fn used(&self, group: Group) -> usize {
-            let came = self.came.iter().filter(|c| c.1 == group).count();
-            let lanes = OutboundKind::ALL.into_iter().filter(|l| l.group() == group);
-            let calls: usize = lanes.map(|l| self.calls[l as usize]).sum();
-            came + calls
+            let inbound = self.inbound.iter().filter(|c| c.1 == group).count();
+            let kinds = OutboundKind::ALL.into_iter().filter(|l| l.group() == group);
+            let calls: usize = kinds.map(|l| self.calls[l as usize]).sum();
+            inbound
+                + calls
                 + if group == Group::Workers {
-                    self.kept
+                    self.idle
                 } else {
                     0
                 }
@@ -654,83 +670,91 @@
             GROUPS.iter().map(|g| self.used(*g)).sum()
         }
 
-        fn longest(&self, may: impl Fn(&Self, usize) -> bool) -> Option<u64> {
-            let may = (0..self.came.len()).filter(|i| may(self, *i));
-            let first = may.min_by_key(|i| (self.came[*i].2, self.came[*i].0));
-            first.map(|i| self.came[i].0)
+        fn least_recent(&self, may: impl Fn(&Self, usize) -> bool) -> Option<u64> {
+            let may = (0..self.inbound.len()).filter(|i| may(self, *i));
+            let first = may.min_by_key(|i| (self.inbound[*i].2, self.inbound[*i].0));
+            first.map(|i| self.inbound[i].0)
         }
 
-        /// What goes for one more of this group.
+        /// The connection to close for one more of this group.
         fn victim(&self, now: Duration, group: Group, sockets: &Sockets) -> Option<Close> {
-            if self.kept > 0 {
+            if self.idle > 0 {
                 return Some(Close::Idle(OutboundKind::Orders, 1));
             }
-            let first = self.longest(|p, i| p.came[i].1 == Group::Workers);
-            let gave_up = first.filter(|id| {
-                let came = self.came.iter().find(|c| c.0 == *id).expect("it is there");
-                let busy = if came.3 { S * 4 } else { S * 13 };
-                now >= came.2 + busy
+            let first = self.least_recent(|p, i| p.inbound[i].1 == Group::Workers);
+            let stale_worker = first.filter(|id| {
+                let inbound = self
+                    .inbound
+                    .iter()
+                    .find(|c| c.0 == *id)
+                    .expect("the connection is open");
+                let busy = if inbound.3 { S * 4 } else { S * 13 };
+                now >= inbound.2 + busy
             });
             let shares = &sockets.shares;
             let short = self.used(group) < shares.of(group);
-            let debt = |g: Group| self.used(g).saturating_sub(shares.of(g));
-            let in_debt = [Group::Users, Group::Workers, Group::Peers];
+            let borrowed = |g: Group| self.used(g).saturating_sub(shares.of(g));
+            let borrowers = [Group::Users, Group::Workers, Group::Peers];
             let from = if short {
-                // Of equal debts the last is taken.
-                let most = in_debt.into_iter().max_by_key(|g| debt(*g));
-                most.filter(|g| debt(*g) > 0)
+                // Among groups that borrowed equally the last one is taken.
+                let most = borrowers.into_iter().max_by_key(|g| borrowed(*g));
+                most.filter(|g| borrowed(*g) > 0)
             } else {
                 Some(group)
             };
-            let of_group = |p: &Self, i: usize| Some(p.came[i].1) == from;
+            let of_group = |p: &Self, i: usize| Some(p.inbound[i].1) == from;
             let can_go = |p: &Self, i: usize| {
-                let least = if p.came[i].3 { S * 5 } else { Duration::ZERO };
-                of_group(p, i) && now >= p.came[i].2 + least
+                let least = if p.inbound[i].3 {
+                    S * 5
+                } else {
+                    Duration::ZERO
+                };
+                of_group(p, i) && now >= p.inbound[i].2 + least
             };
-            let id = gave_up.or_else(|| self.longest(can_go));
-            let id = id.or_else(|| self.longest(|p, i| short && of_group(p, i)));
+            let id = stale_worker.or_else(|| self.least_recent(can_go));
+            let id = id.or_else(|| self.least_recent(|p, i| short && of_group(p, i)));
             id.map(|id| Close::Inbound(SocketId(id)))
         }
 
         fn close(&mut self, close: Close) {
             match close {
-                Close::Inbound(id) => self.came.retain(|c| c.0 != id.0),
-                Close::Idle(..) => self.kept -= 1,
+                Close::Inbound(id) => self.inbound.retain(|c| c.0 != id.0),
+                Close::Idle(..) => self.idle -= 1,
             }
         }
     }
 
     #[test]
-    fn drawn_days_agree_with_the_plain_model() {
+    fn random_sequences_agree_with_the_model() {
         for seed in 0..60 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let mut sockets = Sockets::new(&settings(rng.usize(32..90)));
-            let mut plain = Plain::default();
+            let mut model = Model::default();
             let mut now = S;
             let (mut evicted, mut refused) = (0, 0);
             for id in 1..1500u64 {
                 now += Duration::from_millis(rng.u64(0..250));
                 for close in sockets.tick(now) {
-                    plain.close(close);
+                    model.close(close);
                 }
-                assert!(plain.came.iter().all(|c| now < c.2 + PATIENCE));
+                assert!(model.inbound.iter().all(|c| now < c.2 + IDLE_TIMEOUT));
                 if rng.u8(0..8) == 0 {
-                    let lane = rng.choice(OutboundKind::ALL).expect("one");
+                    let kind = rng.choice(OutboundKind::ALL).expect("one");
                     let begins = rng.bool()
-                        && (lane != OutboundKind::Orders || sockets.may_send_order(false));
-                    if begins && sockets.used(lane.group()) < sockets.shares.of(lane.group()) {
-                        while plain.open_count() >= sockets.shares.total {
-                            let victim = plain.victim(now, lane.group(), &sockets);
-                            plain.close(victim.expect("an entitled one has room"));
+                        && (kind != OutboundKind::Orders || sockets.may_send_order(false));
+                    if begins && sockets.used(kind.group()) < sockets.shares.of(kind.group()) {
+                        while model.open_count() >= sockets.shares.total {
+                            let victim = model.victim(now, kind.group(), &sockets);
+                            model.close(victim.expect("a group below its share gets a socket"));
                         }
-                        sockets.call_started(now, lane, false);
-                        plain.calls[lane as usize] += 1;
-                    } else if plain.calls[lane as usize] > 0 {
-                        sockets.call_finished(lane, false);
-                        plain.calls[lane as usize] -= 1;
-                        if lane == OutboundKind::Orders {
-                            plain.kept += 1;
-                            sockets.set_idle([0, 0, plain.kept]);
+                        sockets.call_started(now, kind, false);
+                        model.calls[kind as usize] += 1;
+                    } else if model.calls[kind as usize] > 0 {
+                        sockets.call_finished(kind, false);
+                        model.calls[kind as usize] -= 1;
+                        if kind == OutboundKind::Orders {
+                            model.idle += 1;
+                            sockets.set_idle([0, 0, model.idle]);
                         }
                     }
                     continue;
@@ -746,14 +770,14 @@
                     Group::Users
                 };
                 let mut expected = Vec::new();
-                let entitled = plain.used(group) < sockets.shares.of(group);
-                while plain.open_count() >= sockets.shares.total {
-                    let Some(victim) = plain.victim(now, group, &sockets) else {
+                let within_share = model.used(group) < sockets.shares.of(group);
+                while model.open_count() >= sockets.shares.total {
+                    let Some(victim) = model.victim(now, group, &sockets) else {
                         expected.push(Close::Inbound(SocketId(id)));
                         break;
                     };
                     expected.push(victim);
-                    plain.close(victim);
+                    model.close(victim);
                 }
                 assert_eq!(
                     sockets.connection_opened(now, SocketId(id), listener),
@@ -763,47 +787,47 @@
                 evicted += expected.len();
                 if expected.contains(&Close::Inbound(SocketId(id))) {
                     assert!(
-                        !entitled,
-                        "{seed}: {group:?} is turned away below its share"
+                        !within_share,
+                        "{seed}: {group:?} is rejected below its share"
                     );
                     refused += 1;
                     continue;
                 }
-                plain.came.push((id, group, now, false, None));
-                // Some say something, some of these are workers, and most get
-                // an answer.
+                model.inbound.push((id, group, now, false, None));
+                // Some connections send a request, some of these are from workers, and most are
+                // answered.
                 if rng.u8(0..4) > 0 {
-                    let came = plain.came.len() - 1;
+                    let inbound = model.inbound.len() - 1;
                     sockets.request_received(now, SocketId(id), id);
-                    plain.came[came].3 = true;
+                    model.inbound[inbound].3 = true;
                     if listener == Listener::Public && rng.bool() {
                         let name = format!("vm-{}", rng.u8(0..60));
-                        let older = plain.came.iter().find(|c| c.4.as_ref() == Some(&name));
+                        let older = model.inbound.iter().find(|c| c.4.as_ref() == Some(&name));
                         let older = older.map(|c| c.0);
-                        plain.came[came].1 = Group::Workers;
-                        plain.came[came].4 = Some(name.clone());
+                        model.inbound[inbound].1 = Group::Workers;
+                        model.inbound[inbound].4 = Some(name.clone());
                         let close = sockets.identify_worker(now, id, &name);
                         assert!(older.is_none_or(|o| close.contains(&Close::Inbound(SocketId(o)))));
                         for close in close {
-                            plain.close(close);
+                            model.close(close);
                         }
                     }
                     if rng.u8(0..6) > 0 {
                         sockets.request_answered(now, id);
-                        if let Some(came) = plain.came.iter_mut().find(|c| c.0 == id) {
-                            came.3 = false;
+                        if let Some(inbound) = model.inbound.iter_mut().find(|c| c.0 == id) {
+                            inbound.3 = false;
                         }
                     }
                 }
                 if rng.u8(0..3) == 0
-                    && let Some(ends) = rng.choice(0..plain.came.len())
+                    && let Some(ends) = rng.choice(0..model.inbound.len())
                 {
-                    let id = plain.came.remove(ends).0;
+                    let id = model.inbound.remove(ends).0;
                     sockets.connection_closed(SocketId(id));
                 }
-                assert_eq!(sockets.open_count(), plain.open_count(), "seed {seed}");
+                assert_eq!(sockets.open_count(), model.open_count(), "seed {seed}");
                 for group in GROUPS {
-                    assert_eq!(sockets.used(group), plain.used(group), "seed {seed}");
+                    assert_eq!(sockets.used(group), model.used(group), "seed {seed}");
                 }
             }
             assert!(evicted > 50 && refused < 700, "{seed}: {evicted} {refused}");
