--- a/crates/core/src/assigned_tasks.rs
+++ b/crates/core/src/assigned_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks handed to blocks that we hold.
+//! Tasks assigned to blocks that this controller holds.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,98 +14,102 @@
     records::{BlockId, Phase, TaskStatus, Term},
 };
 
-/// A task handed to one of our blocks.
+/// A task assigned to a held block.
 #[derive(Debug)]
 pub(crate) struct AssignedTask {
     pub spec: Rc<JobSpec>,
     pub block: BlockId,
-    /// The term at hand-out.
+    /// The block's term when the task was assigned; 0 if the record no longer tells
+    /// terms that are over.
     pub assigned_term: Term,
     pub state: AssignmentState,
-    /// Its user has cancelled the job.
+    /// The job is cancelled.
     pub cancelled: bool,
     /// Machines on which it has failed.
     pub failed_on: Vec<String>,
 }
 
-/// Where it stands.
+/// What is known about where an assigned task runs.
 #[derive(Debug)]
 pub(crate) enum AssignmentState {
-    /// Handed under an earlier term: somewhere in the block, or nowhere.
+    /// Assigned under an earlier term: it runs on an unknown machine of the block, or
+    /// nowhere.
     Unlocated,
-    /// Surely nowhere in the block; since when, and when to try again.
+    /// Proven to run nowhere in the block since `since`; may be placed from `not_before`
+    /// on.
     Free {
         since: Duration,
         not_before: Duration,
         evidence: AbsenceProof,
     },
-    /// Possibly on this machine and on no other.
+    /// May run on this machine and on no other.
     Bound(Bound),
-    /// Completed, to be recorded.
+    /// Completed, not recorded yet.
     Done,
-    /// Surely nowhere in the block, to be given back to the leader.
+    /// Proven to run nowhere in the block; its return to the leader is not recorded yet.
     Returning,
 }
 
-/// A task on a machine.
+/// An attempt of a task on a machine.
 #[derive(Clone, Debug)]
 pub(crate) struct Bound {
     pub machine: String,
     pub attempt: u64,
-    /// Why the task was nowhere when it was placed there; none: it was found there.
+    /// Proof that the task ran nowhere when it was placed; none if a report showed the
+    /// attempt running.
     pub evidence: Option<AbsenceProof>,
     /// The session in which it was started.
     pub session: u64,
-    /// Its start went out; with the answer to the report of this number.
+    /// What carried the start: the answer to the report of this number, or direct orders
+    /// (0). None if the start was not sent.
     pub start_sent_with: Option<u64>,
-    /// A report has listed it: it need not be started again.
+    /// A message of the worker has listed the attempt, so the start need not be repeated.
     pub listed: bool,
-    /// It has its image and runs.
+    /// The worker has reported the attempt as running.
     pub running: bool,
-    /// It has to stop.
+    /// The attempt must stop.
     pub stop: Option<Stop>,
 }
 
-/// How a worker's message came.
+/// How a worker's message was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
-    /// The worker sent it. It has one report in flight at a time, so the answer
-    /// to the one before has arrived by then or never will.
+    /// As a report. A worker has one report in flight at a time, so the answer to its
+    /// previous report has arrived before this one or never will.
     Report,
-    /// It answers direct orders, which may have overtaken the answer to a
-    /// report.
+    /// As the answer to direct orders, which may have overtaken the answer to a report.
     Orders,
 }
 
-/// What follows when a worker's newest message does not list a bound attempt.
+/// What it means that a worker's newest message does not list a bound attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UnlistedAttempt {
-    /// Its start may yet arrive.
+    /// The start may still arrive.
     Unknown,
-    /// The start was lost and has to go out again.
+    /// The start was lost and must be sent again.
     Resend,
-    /// It is not there and will not be.
+    /// The attempt is not on the machine and will not start there.
     Absent,
 }
 
-/// Why and how a task is stopped.
+/// A stop that was requested for an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stop {
-    /// Its time to save.
+    /// Time that the task gets to save its state.
     pub grace: Duration,
-    /// Direct orders have carried it.
+    /// The stop was sent to the worker.
     pub sent: bool,
 }
 
 impl Bound {
-    /// What follows when the message numbered `seq` does not list it, and no
-    /// start that was sent directly is under way.
+    /// What it means that the message numbered `seq` does not list the attempt, if no
+    /// start sent with direct orders may still arrive.
     ///
-    /// A start goes with the answer to a report. Before that answer arrives the
-    /// worker may carry direct orders out, and what it says then is newer than
-    /// that report without the task on it. A task that had to stop was taken
-    /// to be nowhere then, was started elsewhere, and ran twice when the answer
-    /// came, late by a second or more where a controller was behind.
+    /// A start may go with the answer to a report. The worker may execute direct orders
+    /// before that answer arrives, and its message is then newer than the report but
+    /// does not list the attempt. Treating the attempt as absent let a task that had to
+    /// stop run twice: it was started elsewhere, and the answer arrived a second or more
+    /// later from a controller with a backlog.
     pub fn unlisted(&self, seq: u64, origin: Origin) -> UnlistedAttempt {
         let Some(sent) = self.start_sent_with else {
             return UnlistedAttempt::Unknown;
@@ -122,7 +126,7 @@
 }
 
 impl AssignedTask {
-    /// The machine that it may be on.
+    /// The attempt that may be running, if any.
     pub fn bound(&self) -> Option<&Bound> {
         match &self.state {
             AssignmentState::Bound(bound) => Some(bound),
@@ -139,7 +143,7 @@
 }
 
 impl Controller {
-    /// A job's record has changed: what was cancelled has to stop.
+    /// Stops the tasks of a job whose record shows that it was cancelled.
     pub(crate) fn job_changed(&mut self, id: &JobId) {
         let Some(job) = self.view.jobs.get(id) else {
             return;
@@ -172,7 +176,7 @@
         assigned.cancelled = true;
         match &mut assigned.state {
             AssignmentState::Free { .. } => self.set_task_state(task, AssignmentState::Returning),
-            // Its start has not gone out.
+            // The start was not sent.
             AssignmentState::Bound(bound) if bound.start_sent_with.is_none() => {
                 self.release_task(task, AbsenceProof::NotStarted, Duration::ZERO);
             }
@@ -188,14 +192,14 @@
         }
     }
 
-    /// A chunk's record has changed: slots follow it.
+    /// Updates the assigned tasks after a change of a chunk's record.
     pub(crate) fn chunk_changed(&mut self, id: &JobId, part: u32) {
         let Some(job) = self.view.jobs.get(id) else {
             return;
         };
         let (first, count) = job.chunk_span(part);
         let Some(spec) = job.spec.clone() else {
-            return self.drop_slots(id, first, count);
+            return self.unassign_chunk(id, first, count);
         };
         if job.is_complete()
             && let Some(leader) = &mut self.leader
@@ -203,33 +207,33 @@
             leader.complete.insert(id.clone());
         }
         let cancelled = job.phase == Phase::Cancelled;
-        let places: Vec<TaskStatus> = (0..count as u32)
+        let statuses: Vec<TaskStatus> = (0..count as u32)
             .map(|i| job.task_status(first + i))
             .collect();
-        for (i, place) in places.into_iter().enumerate() {
+        for (i, status) in statuses.into_iter().enumerate() {
             let task = id.task(first + i as u32);
-            let ours = match place {
+            let current = match status {
                 TaskStatus::Assigned { block, term } if self.held_blocks.contains_key(&block) => {
                     Some((block, term))
                 }
                 _ => None,
             };
-            let known = self
+            let previous = self
                 .assigned_tasks
                 .get(&task)
                 .map(|s| (s.block, s.assigned_term));
-            match (ours, known) {
+            match (current, previous) {
                 (None, None) => {}
                 (None, Some(_)) => self.unassign(&task),
                 (Some(new), Some(old)) if new == old => {}
-                // The same hand-out, its term over and no longer told.
+                // The same assignment; the record no longer tells its term.
                 (Some((block, 0)), Some((old, _))) if block == old => {
                     if let Some(assigned) = self.assigned_tasks.get_mut(&task) {
                         assigned.assigned_term = 0;
                     }
                 }
-                (Some((block, term)), known) => {
-                    if known.is_some() {
+                (Some((block, term)), previous) => {
+                    if previous.is_some() {
                         self.unassign(&task);
                     }
                     self.assign(task, spec.clone(), block, term, cancelled);
@@ -238,7 +242,7 @@
         }
     }
 
-    fn drop_slots(&mut self, id: &JobId, first: u32, count: usize) {
+    fn unassign_chunk(&mut self, id: &JobId, first: u32, count: usize) {
         let tasks: Vec<_> = self
             .assigned_tasks
             .range(id.task(first)..id.task(first.saturating_add(count as u32)))
@@ -260,10 +264,10 @@
         let Some(held) = self.held_blocks.get_mut(&block) else {
             return;
         };
-        // Handed under our own term: no earlier holder can have started it.
-        let ours = assigned_term == held.term;
+        // Assigned under the current term: no earlier holder can have started it.
+        let under_own_term = assigned_term == held.term;
         held.unlocated += 1;
-        log::debug!("{task}: handed to block {block} under term {assigned_term}");
+        log::debug!("{task}: assigned to block {block} under term {assigned_term}");
         let assigned = AssignedTask {
             spec,
             block,
@@ -273,22 +277,23 @@
             failed_on: Vec::new(),
         };
         self.assigned_tasks.insert(task.clone(), assigned);
-        if let Some(bound) = self.started_before(&task) {
+        if let Some(bound) = self.own_earlier_attempt(&task) {
             self.set_task_state(&task, AssignmentState::Bound(bound));
-        } else if ours {
+        } else if under_own_term {
             self.release_task(&task, AbsenceProof::AssignedUnderOwnTerm, Duration::ZERO);
         }
     }
 
-    /// Where a task that is handed to us is by our own start, if that may be so.
-    fn started_before(&mut self, task: &TaskId) -> Option<Bound> {
+    /// An attempt of a newly assigned task that this controller itself started earlier
+    /// and that may still run.
+    fn own_earlier_attempt(&mut self, task: &TaskId) -> Option<Bound> {
         let bound = self.invariants.take_dropped(task)?;
         let machine = self.machines.get(&bound.machine)?;
         let may_be_there = machine.session == bound.session && !machine.lease.is_expired();
         may_be_there.then_some(bound)
     }
 
-    /// Changes where a task stands, with all that hangs on it.
+    /// Changes the state of a task and updates the indexes that depend on it.
     pub(crate) fn set_task_state(&mut self, task: &TaskId, state: AssignmentState) {
         let Some(assigned) = self.assigned_tasks.get_mut(task) else {
             return;
@@ -343,23 +348,27 @@
         }
     }
 
-    /// The task is not where it was: place it anew, or give it back if nobody
-    /// wants it any more. A task that an earlier holder was given may have
-    /// been moved within the block by that holder, so until every machine of
-    /// the block has been proven, it counts as lost instead.
+    /// Releases a task from the machine that it was on: it is to be placed again, or
+    /// returned to the leader if it was to stop. An earlier holder may have moved a task
+    /// that was assigned under an earlier term within the block, so such a task stays
+    /// unlocated until the whole block is cleared.
     pub(crate) fn release_task(&mut self, task: &TaskId, evidence: AbsenceProof, wait: Duration) {
         let Some(assigned) = self.assigned_tasks.get(task) else {
             return;
         };
-        log::debug!("{task}: nowhere in block {}: {evidence}", assigned.block);
-        let ours =
+        log::debug!(
+            "{task}: not running in block {}: {evidence}",
+            assigned.block
+        );
+        let under_own_term =
             self.held_blocks.get(&assigned.block).map(|h| h.term) == Some(assigned.assigned_term);
-        if !ours && let Some((machine, session, entry)) = self.listed_elsewhere(task) {
+        if !under_own_term && let Some((machine, session, entry)) = self.other_listed_attempt(task)
+        {
             self.set_task_state(task, AssignmentState::Unlocated);
             return self.apply_task_entry(&machine, session, &entry);
         }
-        // Handed to an earlier holder, it is nowhere only if the whole block is.
-        let evidence = match ours {
+        // Assigned under an earlier term, it runs nowhere only if the block is cleared.
+        let evidence = match under_own_term {
             true => Some(evidence),
             false => self.block_clearance(assigned.block),
         };
@@ -378,29 +387,30 @@
         self.set_task_state(task, state);
     }
 
-    /// A machine of the block that has the task under another attempt than the
-    /// one that we went by. A late copy of an old report may be the first that a
-    /// new holder hears: it went by the attempt in there, passed over the one
-    /// that lived, and placed the task again once the old one was gone for sure.
-    fn listed_elsewhere(&self, task: &TaskId) -> Option<(String, u64, TaskReport)> {
+    /// Finds a live or completed attempt of the task, other than the one it is bound to,
+    /// in the reports of the block's machines. The first report that a new holder gets
+    /// may be a delayed copy of an old one: bound to the attempt in it, the holder
+    /// overlooked the running attempt and placed the task again once the old one had
+    /// ended.
+    fn other_listed_attempt(&self, task: &TaskId) -> Option<(String, u64, TaskReport)> {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::FirstReportOnly) {
             return None;
         }
         let assigned = self.assigned_tasks.get(task)?;
-        let was = assigned.bound().map(|b| (b.machine.as_str(), b.attempt));
+        let known_attempt = assigned.bound().map(|b| (b.machine.as_str(), b.attempt));
         let names = self.view.machines_by_block.get(&assigned.block)?;
         names.iter().find_map(|name| {
             let machine = self.machines.get(name).filter(|m| !m.lease.is_expired())?;
             let entry = machine.tasks.iter().find(|t| {
-                let lives = t.state != TaskState::Exited || t.why == Some(Why::Done);
-                t.task == *task && lives && was != Some((name.as_str(), t.attempt))
+                let is_live = t.state != TaskState::Exited || t.why == Some(Why::Done);
+                t.task == *task && is_live && known_attempt != Some((name.as_str(), t.attempt))
             })?;
             Some((name.clone(), machine.session, entry.clone()))
         })
     }
 
-    /// The task has stopped for good: the leader decides where it goes next.
+    /// Releases the task and returns it to the leader, which assigns it again.
     pub(crate) fn return_to_leader(&mut self, task: &TaskId, evidence: AbsenceProof) {
         self.release_task(task, evidence, Duration::ZERO);
         let free = |s: &AssignedTask| matches!(s.state, AssignmentState::Free { .. });
@@ -409,11 +419,11 @@
         }
     }
 
-    /// The records no longer hand us a task of a block that we hold.
+    /// Removes a task that the records no longer assign to a held block.
     fn unassign(&mut self, task: &TaskId) {
-        // Only we may say that it is nowhere or done. If it was started and neither
-        // was said, the task may still run: handed to us again under the same term, it
-        // would be taken to have never been started.
+        // Only the holder may record that a task is done or runs nowhere. A task that
+        // was started and removed without either may still run. If it is assigned again
+        // under the same term, it must not count as never started.
         if let Some(assigned) = self.assigned_tasks.get_mut(task)
             && let Some(bound) = assigned.bound_mut().filter(|b| b.start_sent_with.is_some())
         {
@@ -430,18 +440,18 @@
         self.unrecorded.remove(task);
     }
 
-    /// After a first read made anew: slots follow all records again.
+    /// Updates all assigned tasks after the view was replaced by a new snapshot.
     pub(crate) fn resync_assigned_tasks(&mut self) {
-        let gone: Vec<_> = self
+        let unassigned: Vec<_> = self
             .assigned_tasks
             .keys()
             .filter(|t| {
-                let place = self.view.jobs.get(&t.job).map(|j| j.task_status(t.index));
-                !matches!(place, Some(TaskStatus::Assigned { .. }))
+                let status = self.view.jobs.get(&t.job).map(|j| j.task_status(t.index));
+                !matches!(status, Some(TaskStatus::Assigned { .. }))
             })
             .cloned()
             .collect();
-        for task in gone {
+        for task in unassigned {
             self.unassign(&task);
         }
         for (id, part) in self.active_chunks(|_| true) {
@@ -449,14 +459,15 @@
         }
     }
 
-    /// All chunks of active jobs that have tasks in a block that fits.
-    pub(crate) fn active_chunks(&self, fits: impl Fn(BlockId) -> bool) -> Vec<(JobId, u32)> {
+    /// All chunks of active jobs that have tasks assigned to a block for which
+    /// `is_included` holds.
+    pub(crate) fn active_chunks(&self, is_included: impl Fn(BlockId) -> bool) -> Vec<(JobId, u32)> {
         let mut chunks = Vec::new();
         for id in &self.view.active {
             let Some(job) = self.view.jobs.get(id) else {
                 continue;
             };
-            if job.assigned.keys().any(|b| fits(*b)) {
+            if job.assigned.keys().any(|b| is_included(*b)) {
                 chunks.extend(job.chunks.keys().map(|part| (id.clone(), *part)));
             }
         }
--- a/crates/core/src/assigned_tasks/tests.rs
+++ b/crates/core/src/assigned_tasks/tests.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn a_start_in_an_answer_may_be_overtaken_by_direct_orders() {
+fn direct_orders_may_overtake_a_start_in_an_answer() {
     let bound = |start_sent_with, listed, stops: bool| Bound {
         machine: "vm-1".into(),
         attempt: 1,
@@ -24,7 +24,7 @@
         }),
     };
     let cases = [
-        // Sent with the answer to report 7, and has to stop.
+        // Sent with the answer to report 7, and must stop.
         (
             bound(Some(7), false, true),
             8,
@@ -55,14 +55,14 @@
             Origin::Report,
             UnlistedAttempt::Resend,
         ),
-        // Listed once, so the answer did arrive.
+        // Was listed, so the start did arrive.
         (
             bound(Some(7), true, false),
             9,
             Origin::Orders,
             UnlistedAttempt::Absent,
         ),
-        // Sent directly: its own answer lists it.
+        // Sent with direct orders, whose answer would list it.
         (
             bound(Some(0), false, true),
             8,
@@ -85,13 +85,14 @@
     }
 }
 
-/// A new holder heard a late copy of an old report first, went by the attempt in
-/// there, and when that was gone placed a task again that ran under a later one.
+/// The first report that a new holder gets may be a delayed copy of an old one. Bound to
+/// the attempt in it, the holder placed a task again once that attempt had ended, while
+/// the task ran under a later attempt.
 #[test]
-fn an_old_report_that_comes_first_is_not_all_there_is() {
-    let stands = |breaks: fn(&mut Controller)| {
+fn a_delayed_report_received_first_does_not_hide_the_running_attempt() {
+    let bound_attempt = |configure: fn(&mut Controller)| {
         let mut controller = fixtures::controller("[]");
-        breaks(&mut controller);
+        configure(&mut controller);
         let id: JobId = "j-1".parse().expect("an id");
         let spec = job_spec();
         let block = fixtures::block_of(&controller);
@@ -106,9 +107,9 @@
             done_ms: None,
             service: false,
         };
-        // Handed under term 4; the block has been leased anew since.
-        let handed = [TaskStatus::Assigned { block: 0, term: 4 }];
-        let chunk = ChunkRecord::pack(FormatLevel::FIRST, 0, &handed).expect("it fits");
+        // Assigned under term 4; the block has been leased again since.
+        let statuses = [TaskStatus::Assigned { block: 0, term: 4 }];
+        let chunk = ChunkRecord::pack(FormatLevel::FIRST, 0, &statuses).expect("it fits");
         let records = [
             (Key::Machines(0, 0), list.to_value(), 5),
             (Key::Job(id.clone()), to_list(&job), 6),
@@ -141,19 +142,19 @@
                 saved: None,
             }],
         };
-        // The copy, with the attempt that was stopped since; then what is true.
+        // The delayed copy with an attempt that has stopped since, then the current state.
         controller.apply_report(report(3, 4, 11), Origin::Report);
         controller.apply_report(report(17, 9, 12), Origin::Orders);
         let assigned = &controller.assigned_tasks[&task];
         assigned.bound().map(|b| (b.machine.clone(), b.attempt))
     };
-    assert_eq!(stands(|_| {}), Some(("vm-1".to_owned(), 12)));
+    assert_eq!(bound_attempt(|_| {}), Some(("vm-1".to_owned(), 12)));
     #[cfg(feature = "sabotage")]
     {
-        let first = stands(|c| c.sabotage = Some(crate::Sabotage::FirstReportOnly));
+        let with_fault = bound_attempt(|c| c.sabotage = Some(crate::Sabotage::FirstReportOnly));
         assert_eq!(
-            first, None,
-            "it counts as nowhere, and would be placed again"
+            with_fault, None,
+            "the task counts as running nowhere and would be placed again"
         );
     }
 }
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,8 +1,8 @@
-//! What may be done with an attempt of a task, and on what evidence.
+//! Decides whether an attempt of a task may be started or forgotten, and on what proof.
 //!
-//! A task may be started again only once it is proven to be nowhere in its block. All
-//! paths that start, forget or free a task ask here, so that none goes by less than the
-//! others.
+//! A task may be started again only once it is proven to run nowhere in its block. All
+//! paths that start, forget or release a task use these rules, so that none of them
+//! accepts weaker proof than the others.
 
 use std::{fmt, time::Duration};
 
@@ -14,34 +14,34 @@
     machine::Machine,
 };
 
-/// Evidence that a task is on no machine of its block.
+/// Proof that a task is on no machine of its block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AbsenceProof {
-    /// It was handed to us under the term that we hold, and we have not started it.
+    /// It was assigned under the current term, and this controller has not started it.
     AssignedUnderOwnTerm,
-    /// The start has surely never left, or was refused.
+    /// Its start was certainly not sent, or was refused.
     NotStarted,
-    /// Its worker says that the attempt has ended.
+    /// Its worker reported the end of the attempt.
     Ended(Why),
-    /// A message newer than its start, which can no longer arrive, does not list it.
+    /// A message newer than its start does not list it, and the start can no longer
+    /// arrive.
     NotListed,
-    /// Its worker has begun another session.
+    /// Its worker has begun a new session.
     SessionEnded,
-    /// Its worker's lease was over at this instant, if nobody else had renewed it by
-    /// then.
+    /// Its worker's lease expired at this time, if no other controller renewed it before.
     LeaseExpired { at: Duration },
-    /// The cloud has confirmed the return of its machine.
+    /// The machine's record was removed, which follows its confirmed return to the cloud.
     MachineReturned,
-    /// No machine of the block can have it, whoever started it: each has shown our
-    /// term or was silent for longer than any lease. The latest such lease was over at
-    /// this instant.
+    /// No machine of the block can run it, whichever holder started it: each worker has
+    /// acknowledged the current term or was silent for longer than any lease. The latest
+    /// of these leases expired at `silent_until`.
     BlockCleared { silent_until: Option<Duration> },
 }
 
 impl AbsenceProof {
-    /// The instant until which nobody else may have held the block for this to be
-    /// true. None: it rests on what a worker or the cloud has said, or on what only
-    /// we can do, and stays true whoever holds the block by now.
+    /// The time until which this controller must have held the block for the proof to be
+    /// valid. None if the proof rests on a statement of a worker or the cloud, or on what
+    /// only this controller can do: it stays valid whichever controller holds the block.
     pub fn silent_until(&self) -> Option<Duration> {
         match *self {
             Self::LeaseExpired { at } => Some(at),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether it holds by what proves that the block is ours.
+    /// Whether the proof is valid given the tenure that is proven.
     pub fn is_valid_under(&self, tenure: Tenure) -> bool {
         self.silent_until().is_none_or(|at| tenure.covers(at))
     }
@@ -64,21 +64,21 @@
 impl fmt::Display for AbsenceProof {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::AssignedUnderOwnTerm => f.write_str("handed under our term"),
-            Self::NotStarted => f.write_str("its start never left"),
+            Self::AssignedUnderOwnTerm => f.write_str("assigned under the current term"),
+            Self::NotStarted => f.write_str("start was not sent"),
             Self::Ended(why) => write!(f, "ended: {why:?}"),
             Self::NotListed => f.write_str("no longer listed"),
-            Self::SessionEnded => f.write_str("the session is over"),
-            Self::LeaseExpired { at } => write!(f, "the lease was over at {at:.1?}"),
-            Self::MachineReturned => f.write_str("the machine is gone"),
+            Self::SessionEnded => f.write_str("worker began a new session"),
+            Self::LeaseExpired { at } => write!(f, "lease expired at {at:.1?}"),
+            Self::MachineReturned => f.write_str("machine was returned"),
             Self::BlockCleared { silent_until: None } => {
-                f.write_str("all machines of the block are proven")
+                f.write_str("all machines of the block are cleared")
             }
             Self::BlockCleared {
                 silent_until: Some(at),
             } => write!(
                 f,
-                "all machines of the block are proven or silent until {at:.1?}"
+                "all machines of the block are cleared, the last lease expired at {at:.1?}"
             ),
         }
     }
@@ -87,47 +87,48 @@
 /// Why an attempt must not be started now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StartRefusal {
-    /// The records that we go by may be too old.
+    /// The records in use may be too old.
     NoContact,
-    /// It is nowhere only if the block was ours until an instant for which that is not
-    /// proven.
+    /// The proof of its absence requires that the block was held until a time for which
+    /// that is not proven.
     NoTenure(AbsenceProof),
-    /// Earlier holders may still act on the machine.
+    /// The worker has not acknowledged the current term, so orders of earlier holders may
+    /// still take effect.
     NotProven,
-    /// The machine's lease has run out.
+    /// The worker's lease has expired.
     LeaseExpired,
-    /// It was placed in an earlier session of the machine.
+    /// It was placed in another session of the machine.
     OtherSession,
-    /// It has to stop.
+    /// It must stop.
     MustStop,
 }
 
-/// Why an attempt that has ended must not be forgotten by its worker yet.
+/// Why a worker must not forget an attempt yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ForgetRefusal {
     /// It has not ended.
     Alive,
-    /// We have not taken its end in.
+    /// The task is still bound to it: its end is not processed yet.
     StillBound,
     /// Its completion is not recorded.
     NotRecorded,
-    /// A start of it may still arrive, and would run it once more.
+    /// A start may still arrive and would run the attempt again.
     MayStartLate,
 }
 
-/// An attempt and all that decides about it.
+/// An attempt and the state that decides about it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt<'a> {
     pub machine: &'a Machine,
     /// The name of the machine.
     pub name: &'a str,
-    /// The task, if it is handed to a block that we hold.
+    /// The task, if it is assigned to a held block.
     pub assigned: Option<&'a AssignedTask>,
 }
 
 impl Attempt<'_> {
-    /// Whether an attempt that was placed on the machine may be started. `tenure`: until
-    /// when the block was surely ours, if the records may be gone by at all.
+    /// Whether an attempt that was placed on the machine may be started. `tenure` is none
+    /// if the records are too old to act on.
     pub fn may_start(&self, bound: &Bound, tenure: Option<Tenure>) -> Result<(), StartRefusal> {
         let Some(tenure) = tenure else {
             return Err(StartRefusal::NoContact);
--- a/crates/core/src/attempt/tests.rs
+++ b/crates/core/src/attempt/tests.rs
@@ -75,8 +75,8 @@
     };
     assert_eq!(decides(contact, |_, _| {}), Ok(()));
     assert_eq!(decides(None, |_, _| {}), Err(StartRefusal::NoContact));
-    let not_proven = decides(contact, |m, _| m.term_acknowledged = false);
-    assert_eq!(not_proven, Err(StartRefusal::NotProven));
+    let unacknowledged = decides(contact, |m, _| m.term_acknowledged = false);
+    assert_eq!(unacknowledged, Err(StartRefusal::NotProven));
     let expired = decides(contact, |m, _| m.lease.mark_expired(Duration::ZERO));
     assert_eq!(expired, Err(StartRefusal::LeaseExpired));
     let other_session = decides(contact, |m, _| m.session = 4);
@@ -106,8 +106,8 @@
         attempt.may_forget(&entry)
     };
     assert_eq!(decides(done(), None, false), Ok(()));
-    let runs = decides(entry(TaskState::Running, None), None, false);
-    assert_eq!(runs, Err(ForgetRefusal::Alive));
+    let running = decides(entry(TaskState::Running, None), None, false);
+    assert_eq!(running, Err(ForgetRefusal::Alive));
     let bound = decides(
         done(),
         Some(assigned(AssignmentState::Bound(bound()))),
@@ -122,8 +122,8 @@
     );
 }
 
-/// Silence is evidence only for as long as nobody else can have held the block; what a
-/// worker has said stays true.
+/// Proof that rests on a worker's silence needs tenure beyond the end of its lease; other
+/// proof stays valid.
 #[test]
 fn a_start_on_silence_needs_tenure_beyond_it() {
     let at = |s| Duration::from_secs(s);
@@ -140,19 +140,19 @@
         };
         attempt.may_start(&bound, Some(Tenure::proven_until(proven)))
     };
-    let silence = [
+    let silence_proofs = [
         AbsenceProof::LeaseExpired { at: at(75) },
         AbsenceProof::BlockCleared {
             silent_until: Some(at(75)),
         },
     ];
-    for evidence in silence {
+    for evidence in silence_proofs {
         assert_eq!(decides(evidence, Some(at(75))), Ok(()));
         let refused = Err(StartRefusal::NoTenure(evidence));
         assert_eq!(decides(evidence, Some(at(74))), refused);
         assert_eq!(decides(evidence, None), refused);
     }
-    let stays_true = [
+    let independent_of_tenure = [
         AbsenceProof::AssignedUnderOwnTerm,
         AbsenceProof::NotStarted,
         AbsenceProof::Ended(Why::Error),
@@ -161,7 +161,7 @@
         AbsenceProof::MachineReturned,
         AbsenceProof::BlockCleared { silent_until: None },
     ];
-    for evidence in stays_true {
+    for evidence in independent_of_tenure {
         assert_eq!(decides(evidence, Some(at(1))), Ok(()), "{evidence}");
     }
 }
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -1,4 +1,4 @@
-//! Blocks that we hold, and what their workers report.
+//! Blocks held by this controller, and the reports of their workers.
 
 use std::time::Duration;
 
@@ -18,21 +18,22 @@
     records::{BlockId, Term},
 };
 
-/// How long a task that failed waits before it is tried again; doubled with
-/// each further failure.
-const RETRY: Duration = Duration::from_millis(500);
+/// Backoff after the first failure of a task; doubled with each further failure, up to
+/// the sixth.
+const TASK_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A block that we hold.
+/// A block held by this controller.
 #[derive(Debug)]
 pub(crate) struct HeldBlock {
-    /// The version of its record: the token of its workers.
+    /// Version of the block's record. It is the fencing token that the block's workers
+    /// report.
     pub term: Term,
-    /// Tasks whose whereabouts are not known yet.
+    /// Number of tasks in state `Unlocated`.
     pub unlocated: u32,
 }
 
 impl Controller {
-    /// A block's record has changed.
+    /// Takes over or drops a block after a change of its record.
     pub(crate) fn block_changed(&mut self, id: BlockId) {
         if let Some(block) = self.view.blocks.get(&id) {
             self.reachability.record_lease(self.now, id, block.version);
@@ -50,7 +51,7 @@
             return;
         }
         if let Some(old) = had {
-            log::info!("block {id}: lost (term {old})");
+            log::info!("block {id}: no longer held (was term {old})");
             self.drop_block(id);
             self.invariants.term_lost(id, old);
         }
@@ -58,7 +59,7 @@
         if !self.invariants.may_hold(id, term) {
             return self.rejoin();
         }
-        log::info!("block {id}: taken under term {term}");
+        log::info!("block {id}: held under term {term}");
         let held = HeldBlock { term, unlocated: 0 };
         self.held_blocks.insert(id, held);
         if let Some(block) = self.view.blocks.get(&id) {
@@ -98,17 +99,18 @@
         self.held_blocks.remove(&id);
     }
 
-    /// A machine's record has come or gone.
+    /// Updates all state that depends on a machine's record after it was added or
+    /// removed.
     pub(crate) fn machine_changed(&mut self, name: &str) {
         self.sync_machine(name);
         self.mark_changed(name);
         self.room_changed(name);
-        // Also when the block is another controller's: a worker that waits for
-        // its place has to be sent there at once, not when its report is late.
+        // Also for blocks of other controllers: a worker whose report waits here for
+        // this record is redirected at once, before its report times out.
         self.machines_reported(name);
     }
 
-    /// What a machine's record means for the blocks that we hold.
+    /// Adds or removes a machine of a held block.
     fn sync_machine(&mut self, name: &str) {
         let record = self.view.machines.get(name).cloned();
         match record {
@@ -129,7 +131,7 @@
                 self.order_queue.insert(name.to_owned());
             }
             None => {
-                // The leader removes a record only when the machine is gone.
+                // The leader removes a record only after the machine was returned.
                 if let Some(machine) = self.machines.remove(name) {
                     for task in machine.bound_tasks {
                         self.release_task(&task, AbsenceProof::MachineReturned, Duration::ZERO);
@@ -146,8 +148,8 @@
         specs.find(|s| s.image == image).map_or(1.0, |s| s.image_gb)
     }
 
-    /// A worker's report.
-    pub(crate) fn report(&mut self, conn: ConnId, body: &[u8]) {
+    /// Handles a worker's report.
+    pub(crate) fn handle_report(&mut self, conn: ConnId, body: &[u8]) {
         let report: Report = match decode(body) {
             Ok(report) => report,
             Err(e) => return self.refuse(conn, 400, &e.to_string()),
@@ -159,7 +161,7 @@
         self.process_report(conn, report);
     }
 
-    /// A report that could be read.
+    /// Handles a decoded report: answers it, or redirects the worker.
     pub(crate) fn process_report(&mut self, conn: ConnId, report: Report) {
         if !self.may_act() {
             return self.refuse(conn, 503, "no contact with the state service");
@@ -173,7 +175,8 @@
         };
         let term = held.term;
         if report.token > term {
-            // Another holder has our block, and our view is late.
+            // The worker has seen a later term: another controller holds the block, and
+            // this view is behind.
             return self.redirect(conn, None);
         }
         if !self.forwarding.is_forwarded(conn) {
@@ -189,14 +192,14 @@
             .get(&name)
             .is_none_or(|m| m.lease.is_expired());
         if expired || !newest {
-            // Stale: an answer would renew a lease that we count as over, or
-            // that a newer message has moved beyond.
+            // A stale report. Answering it would renew a lease that counts as expired
+            // or belongs to an earlier session.
             let is_newer = self
                 .machines
                 .get(&name)
                 .is_some_and(|m| !m.lease.is_expired() && m.session == session);
             if !is_newer {
-                return self.refuse(conn, 503, "an old report");
+                return self.refuse(conn, 503, "stale report");
             }
         }
         let orders = if newest {
@@ -219,8 +222,8 @@
         self.answer(conn, 421, encode(&Redirect { report_to }));
     }
 
-    /// Takes in what a worker says, whichever way it came. False if something
-    /// newer is known already.
+    /// Applies a worker's message, which came as a report or as the answer to direct
+    /// orders. Returns false if it is stale.
     pub(crate) fn apply_report(&mut self, report: Report, origin: Origin) -> bool {
         let now = self.now;
         let name = report.machine;
@@ -231,15 +234,15 @@
             return false;
         }
         if machine.lease.is_expired() && machine.session != 0 && report.session <= machine.session {
-            // Sent before its lease ran out and held up: what it lists is gone.
+            // Sent before the lease expired and delayed: the listed tasks have stopped.
             return false;
         }
         let new_session = report.session > machine.session;
         let first = machine.session == 0;
         if new_session {
-            // Its lease runs from its beginning, which we may learn from the
-            // answer to direct orders. Counted from our last answer to the
-            // session before, it would be over while its tasks run.
+            // The lease of a new session starts with the session, which may first show
+            // in the answer to direct orders. Counted from the last answer to the
+            // previous session, the lease would expire while tasks run.
             machine.lease.renew(now);
         }
         machine.session = report.session;
@@ -256,7 +259,7 @@
         let proof = proof || self.sabotage == Some(crate::Sabotage::NoTermCheck);
         if proof && !machine.term_acknowledged {
             machine.term_acknowledged = true;
-            // Answers of earlier holders renew nothing from here on.
+            // From now on answers of earlier holders no longer renew the lease.
             machine.lease.renew(now);
         }
         let proven = machine.term_acknowledged;
@@ -269,7 +272,7 @@
         };
         if !gone.is_empty() {
             log::info!(
-                "{name}: its worker's lease ran out, {} tasks lost",
+                "{name}: worker began a new session, {} tasks of the previous one have stopped",
                 gone.len()
             );
         }
@@ -282,7 +285,7 @@
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.tasks = report.tasks;
         }
-        self.settle_unlisted(&name, report.seq, origin);
+        self.resolve_unlisted(&name, report.seq, origin);
         if proven {
             let block = self.machines.get(&name).map(|m| m.block);
             if let Some(block) = block {
@@ -304,9 +307,9 @@
         true
     }
 
-    /// Whether a machine has tasks, or is the only one besides us that knows of the end
-    /// of some: returned as idle before these were recorded, it took them along, and
-    /// if we ended as well they were started again.
+    /// Whether a machine has tasks, or results that are not recorded yet. If it were
+    /// returned as idle before they are recorded and this controller stopped as well,
+    /// the results would be lost and the tasks started again.
     fn is_busy(&self, name: &str) -> bool {
         let Some(machine) = self.machines.get(name) else {
             return false;
@@ -318,7 +321,7 @@
         !machine.bound_tasks.is_empty() || machine.tasks.iter().any(keeps)
     }
 
-    /// Whether a task is done and the records don't show it yet.
+    /// Whether a task is done but not recorded as done.
     fn is_unrecorded(&self, task: &TaskId) -> bool {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::IdleWithUnrecordedEnds) {
@@ -328,16 +331,16 @@
         assigned.is_some_and(|assigned| matches!(assigned.state, AssignmentState::Done))
     }
 
-    /// One task on a machine.
+    /// Applies a worker's entry about one of its tasks.
     pub(crate) fn apply_task_entry(&mut self, name: &str, session: u64, entry: &TaskReport) {
         let task = &entry.task;
         let Some(assigned) = self.assigned_tasks.get_mut(task) else {
             return;
         };
         let spec = assigned.spec.clone();
-        let here = match &assigned.state {
+        let bound_here = match &assigned.state {
             AssignmentState::Bound(b) => b.machine == name && b.attempt == entry.attempt,
-            // Found: what an earlier holder started goes on.
+            // Started by an earlier holder: the attempt continues.
             AssignmentState::Unlocated | AssignmentState::Free { .. }
                 if entry.state != TaskState::Exited =>
             {
@@ -366,7 +369,7 @@
             }
             _ => false,
         };
-        if !here {
+        if !bound_here {
             return;
         }
         let kind = self.machines.get(name).map(|m| m.record.kind.clone());
@@ -387,22 +390,22 @@
                 bound.listed = true;
                 if entry.state == TaskState::Running && !bound.running {
                     bound.running = true;
-                    log::debug!("{task}: runs on {name}");
+                    log::debug!("{task}: running on {name}");
                 }
             }
             return;
         }
-        self.ended(name, task, entry.why.unwrap_or(Why::Error));
+        self.attempt_ended(name, task, entry.why.unwrap_or(Why::Error));
     }
 
-    /// A task bound to a machine is over there.
-    fn ended(&mut self, name: &str, task: &TaskId, why: Why) {
+    /// Handles the end of an attempt on the machine that the task is bound to.
+    fn attempt_ended(&mut self, name: &str, task: &TaskId, why: Why) {
         log::debug!("{task}: ended on {name}: {why:?}");
         let now = self.now;
         let mut wait = Duration::ZERO;
         let shape = self.assigned_tasks.get(task).map(|s| s.spec.shape);
         if shape == Some(Shape::Gang) && why != Why::Done {
-            // Its gang has to start anew as a whole: the leader decides.
+            // A gang restarts as a whole, which the leader decides.
             return self.return_to_leader(task, AbsenceProof::Ended(why));
         }
         match why {
@@ -414,26 +417,26 @@
                 return;
             }
             Why::Stopped | Why::Peers | Why::Alone => {
-                // It was stopped to make room: the leader decides anew.
+                // Stopped for another task or with its gang: the leader assigns it again.
                 self.return_to_leader(task, AbsenceProof::Ended(why));
                 return;
             }
             Why::Error | Why::Unknown => {
-                let job_fails = self.job_fails(task);
+                let is_job_fault = self.fails_on_several_machines(task);
                 if let Some(machine) = self.machines.get_mut(name)
                     && why == Why::Error
-                    && !job_fails
+                    && !is_job_fault
                 {
                     machine.consecutive_failures += 1;
                     machine.last_failure_at = now;
                     if machine.consecutive_failures == 2 {
-                        log::info!("{name}: task after task fails on it; avoided");
+                        log::info!("{name}: two tasks in a row failed; avoided for placement");
                     }
                 }
                 if let Some(assigned) = self.assigned_tasks.get_mut(task) {
                     assigned.failed_on.push(name.to_owned());
                     let times = assigned.failed_on.len().min(6) as u32;
-                    wait = RETRY * 2u32.pow(times.saturating_sub(1));
+                    wait = TASK_RETRY_DELAY * 2u32.pow(times.saturating_sub(1));
                 }
             }
             Why::NoRoom | Why::Busy => {
@@ -446,9 +449,9 @@
         self.release_task(task, AbsenceProof::Ended(why), wait);
     }
 
-    /// Whether a job's tasks have failed on several machines: then it is the
-    /// job, and no machine is to blame.
-    fn job_fails(&self, task: &TaskId) -> bool {
+    /// Whether tasks of the job have failed on several machines, so that the failures
+    /// are attributed to the job and not to the machines.
+    fn fails_on_several_machines(&self, task: &TaskId) -> bool {
         let tasks = self
             .assigned_tasks
             .range(task.job.task(0)..=task.job.task(u32::MAX));
@@ -458,9 +461,9 @@
         machines.len() >= 2
     }
 
-    /// Bound tasks that the newest message of their machine does not list and
-    /// whose start can no longer arrive are not there.
-    fn settle_unlisted(&mut self, name: &str, seq: u64, origin: Origin) {
+    /// Releases bound tasks that the newest message of their machine does not list and
+    /// whose start can no longer arrive. Starts that were lost are sent again.
+    fn resolve_unlisted(&mut self, name: &str, seq: u64, origin: Origin) {
         let Some(machine) = self.machines.get(name) else {
             return;
         };
@@ -469,7 +472,7 @@
             machine.tasks.iter().any(same)
         };
         let mut gone = Vec::new();
-        let mut again = false;
+        let mut resend = false;
         for task in &machine.bound_tasks {
             let Some(bound) = self.assigned_tasks.get(task).and_then(|s| s.bound()) else {
                 continue;
@@ -479,20 +482,19 @@
             }
             match bound.unlisted(seq, origin) {
                 UnlistedAttempt::Unknown => {}
-                UnlistedAttempt::Resend => again = true,
+                UnlistedAttempt::Resend => resend = true,
                 UnlistedAttempt::Absent => gone.push(task.clone()),
             }
         }
         for task in gone {
             self.release_task(&task, AbsenceProof::NotListed, Duration::ZERO);
         }
-        if again {
+        if resend {
             self.order_queue.insert(name.to_owned());
         }
     }
 
-    /// Tasks handed under an earlier term that no machine of the block can
-    /// have are nowhere.
+    /// Releases the unlocated tasks of a block once it is cleared.
     fn release_unlocated(&mut self, block: BlockId) {
         if self
             .held_blocks
@@ -511,7 +513,7 @@
             .map(|(t, _)| t.clone())
             .collect();
         log::info!(
-            "block {block}: {} tasks are nowhere and free again",
+            "block {block}: cleared, {} tasks that run nowhere are free again",
             lost.len()
         );
         for task in lost {
@@ -519,7 +521,7 @@
         }
     }
 
-    /// Evidence that nothing that earlier holders started in the block can be unseen.
+    /// Proof that no attempt started by an earlier holder can run unseen in the block.
     pub(crate) fn block_clearance(&self, block: BlockId) -> Option<AbsenceProof> {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoProof) {
@@ -545,18 +547,19 @@
         let silent = SilentWorkers::find(&self.machines, now, &limits, self.store.tenure());
         #[cfg(feature = "sabotage")]
         let silent = match self.sabotage {
-            Some(way) if way.trusts_worker_silence() => silent.treat_all_as_expired(),
+            Some(fault) if fault.trusts_worker_silence() => silent.treat_all_as_expired(),
             _ => silent,
         };
         for (name, at) in silent.expired {
-            self.expire(&name, at);
+            self.expire_lease(&name, at);
         }
-        // The watch under way was sent before these leases were over.
+        // The pending watch was sent before these leases expired, so its answer does not
+        // prove that the blocks were held until then.
         self.store.needs_fresh_read = !silent.unconfirmed.is_empty() && self.in_contact();
         if self.store.needs_fresh_read {
             self.refresh_view();
         }
-        // A block without machines hears no report that would settle it.
+        // A block without machines gets no report that would trigger this.
         let lost = self.held_blocks.iter().filter(|(_, h)| h.unlocated > 0);
         for block in lost.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.release_unlocated(block);
@@ -572,8 +575,8 @@
         }
     }
 
-    /// A worker's lease was over at some instant: its tasks are gone.
-    fn expire(&mut self, name: &str, at: Duration) {
+    /// Marks a worker's lease as expired at `at` and releases its tasks.
+    fn expire_lease(&mut self, name: &str, at: Duration) {
         let (now, contact) = (self.now, self.contact_age().unwrap_or_default());
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -583,8 +586,8 @@
         let block = machine.block;
         let tasks: Vec<_> = machine.bound_tasks.iter().cloned().collect();
         log::info!(
-            "{name}: silent beyond its lease, {} tasks written off; the lease was over {:.1?} ago, \
-             term {}, token shown {}, contact {contact:.1?} ago",
+            "{name}: silent beyond its lease, {} tasks released; lease expired {:.1?} ago, \
+             term {}, token reported {}, contact {contact:.1?} ago",
             tasks.len(),
             now.saturating_sub(at),
             machine.term,
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -1,5 +1,5 @@
-//! The state machine as a whole: what comes in is handed to the part that it
-//! concerns.
+//! The controller's state machine: dispatches inputs to its components and collects
+//! their outputs. It does no I/O.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -48,131 +48,139 @@
 /// The time of an input.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
-    /// Steady time since the process started.
+    /// Monotonic time since the process started.
     pub monotonic: Duration,
-    /// Time of day, since 1970.
+    /// Wall-clock time since the Unix epoch.
     pub wall_clock: Duration,
 }
 
-/// What a controller can be told.
+/// An event that a controller processes.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed; expected every few dozen milliseconds.
+    /// Timer tick, expected every few dozen milliseconds.
     Tick,
-    /// A connection came in at an address of ours.
+    /// An inbound connection was accepted on one of the listeners.
     Opened(SocketId, Listener),
-    /// A connection that came in has something to say, which begins like this.
-    /// It is to be read when [`Output::ReadFrom`] says so.
+    /// An inbound connection has data to read; carries its first bytes. The request is
+    /// read only after [`Output::ReadFrom`].
     Readable(SocketId, Vec<u8>),
-    /// A connection that came in has ended.
+    /// An inbound connection was closed.
     Closed(SocketId),
-    /// So many connections of ours are open without a use, by [`Lane`].
+    /// Number of open but unused outbound connections, by [`OutboundKind`].
     IdleConnections([usize; 3]),
-    /// A request came in.
+    /// An inbound request was read.
     Request(Request),
-    /// Something came of a request that the controller made.
+    /// Result of a request that the controller sent.
     Reply(CallId, Reply),
 }
 
-/// Whoever is behind acts upon what came in once in this time.
+/// How often a controller with a backlog of requests processes the changes that its
+/// inputs have made.
 const BACKLOG_PROCESSING_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whoever took nothing in for so long may have lost its lease meanwhile, which
-/// is renewed each second.
+/// A controller that has processed no input for this long may have lost its lease,
+/// which is renewed every second.
 const STALL_LIMIT: Duration = Duration::from_millis(1900);
 
-/// Ways to break the code on purpose, so that tests can show that they would
-/// notice.
+/// Faults that can be injected into the code, so that tests can show that they detect
+/// them.
 #[cfg(feature = "sabotage")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
-    /// Workers are served however long ago our last contact was.
+    /// Workers are served regardless of the age of the last contact with the state
+    /// service.
     NoContactLimit,
-    /// Tasks count as nowhere before all machines have been heard.
+    /// Tasks count as running nowhere before all machines of the block are cleared.
     NoProof,
-    /// Every report is proof, whichever token it shows.
+    /// Reports acknowledge the current term whatever token they carry, and results are
+    /// written without a condition on the block's term.
     NoTermCheck,
-    /// Jobs start without those that they await.
+    /// Jobs start without waiting for their dependencies.
     NoDependencies,
-    /// A job is not cancelled with one that it awaits.
+    /// A job is not cancelled when one of its dependencies is.
     NoCancelCascade,
-    /// The new forms are written as soon as this controller is new.
+    /// Records are written in the newest supported format before the switch to it.
     EarlyFormatSwitch,
-    /// The lower limits to come are not kept to.
+    /// The announced lower limits of the state service are ignored.
     NoLoweredLimits,
-    /// All that comes in shares one allowance, and what is beyond it is turned
-    /// away.
+    /// All inbound connections share one limit, beyond which they are closed.
     NoShares,
-    /// Requests are answered as they came, whoever asks.
+    /// Requests are answered in order of arrival, without priorities.
     NoPriorities,
-    /// Late work has no floor.
+    /// Late work has no minimum share.
     NoMinimumShares,
-    /// What may have been spent of a record's shares is handed out again.
+    /// Admission shares that may have been spent are granted again in the next record.
     SharesReissued,
-    /// A controller that begins anew spends its shares once more.
-    SameLife,
-    /// Every job is let in by one flow's share.
+    /// A restarted controller keeps its incarnation and spends its admission shares
+    /// again.
+    ReusedIncarnation,
+    /// Every job is admitted under the share of one flow.
     NoFlows,
-    /// A process takes what its predecessor of the same name held for its own.
+    /// A restarted process takes over blocks held by the previous incarnation of its
+    /// node without leasing them.
     OldLife,
-    /// Users are answered from memory, whatever may have changed.
+    /// User queries are answered from memory, without reading later changes.
     FromMemory,
-    /// Users are told that a job is cancelled before the store has confirmed it.
+    /// Users are told that a job is cancelled before the state service has confirmed
+    /// the write.
     UnconfirmedCancels,
-    /// What a new holder hears first of a task is all that it looks at.
+    /// A new holder considers only the first report that it gets of a task.
     FirstReportOnly,
-    /// Nothing is known about links.
+    /// Tracking of reachability is disabled, and so are relaying and forwarding between
+    /// controllers.
     NoReachability,
-    /// Records are acted upon as soon as their last page has been read, of whatever
-    /// moments the pages are.
+    /// A snapshot is used once its last page has been read, although its pages may be
+    /// of different revisions.
     PartialView,
-    /// A second answer that changes are no longer kept begins the reading of all
-    /// records anew with a page of the first one still on its way.
+    /// A second answer that changes are truncated restarts the snapshot read while a
+    /// page of the first read is still in flight.
     MixedReads,
-    /// Scarce machines are kept for work that its team's limit holds back.
+    /// Scarce machines are reserved for jobs that their team's limit blocks.
     ReservedForBlockedWork,
-    /// Tasks of cancelled jobs are left alone.
+    /// Tasks of cancelled jobs are not stopped.
     NoStops,
-    /// Nobody is answered who asks about some of the jobs.
+    /// Requests about some of the jobs are not answered.
     UnansweredRequests,
-    /// Some of the jobs are never handed out.
+    /// Some of the jobs are never assigned.
     SkippedJobs,
-    /// Whatever is submitted is accepted, if it can be read.
+    /// Every submission that can be decoded is accepted.
     NoAdmissionChecks,
-    /// Jobs that their team's limit holds back get no turn however long they wait.
+    /// Jobs that their team's limit blocks get no turn, however long they wait.
     NoStarvationGuard,
-    /// Of the jobs that it goes for, the oldest is the first, also right after it had a
-    /// task.
+    /// Turns go to the oldest starved job, even if it has just had a task.
     TurnsByAge,
-    /// Turns of starved jobs end although their teams' limits had no room for them.
+    /// Turns of starved jobs end although their team's limit left no room during them.
     ShortTurns,
-    /// A machine that its holder does not hear is returned early, though it came to
-    /// others, and no report is forwarded: its holder would hear it by way of them.
+    /// A machine whose reports don't reach its holder is returned early although it
+    /// reports to other controllers. Reports are not forwarded either, since the holder
+    /// would get them that way.
     SilentToHolder,
-    /// A machine counts as idle though a task handed to its block may be on it, if the
-    /// leader planned that for another machine.
+    /// A machine counts as idle although a task assigned to its block may be on it, if
+    /// the leader planned that task for another machine.
     IdleAsPlanned,
-    /// A machine counts as idle though it alone knows of ends besides its holder.
+    /// A machine counts as idle although only it and its holder know of task results
+    /// that are not recorded yet.
     IdleWithUnrecordedEnds,
     /// No report is forwarded to another controller.
     NoForwarding,
-    /// A forwarded report gets the answer to an earlier one of its worker.
+    /// A report gets the answer to an earlier forwarded report of its worker.
     StaleForwards,
-    /// Direct orders without an answer count as never carried out.
+    /// Direct orders that got no answer count as not executed.
     NoLateStarts,
-    /// Hand-outs whose write got no answer count as not made.
+    /// Assignments whose write got no answer count as not made.
     LostAnswerAsFailure,
-    /// A worker's silence ends its lease, whoever may have renewed it.
+    /// A worker's silence counts as the end of its lease, although another holder may
+    /// have renewed it.
     SilenceAsExpiry,
-    /// The same, and what follows from it may be started.
+    /// Like `SilenceAsExpiry`, and tasks may be started on that evidence.
     StaleEvidence,
 }
 
 #[cfg(feature = "sabotage")]
 impl Sabotage {
-    /// The way of this name, of those that a controller as a process can be given.
+    /// Looks up one of the faults that can be injected into a controller process.
     pub fn from_name(name: &str) -> Option<Self> {
-        let ways = [
+        let faults = [
             Self::NoStops,
             Self::NoProof,
             Self::NoContactLimit,
@@ -183,15 +191,18 @@
             Self::PartialView,
             Self::StaleEvidence,
         ];
-        ways.into_iter().find(|way| format!("{way:?}") == name)
+        faults
+            .into_iter()
+            .find(|fault| format!("{fault:?}") == name)
     }
 
-    /// Whether a worker's silence ends its lease, whoever holds its block.
+    /// Whether a worker's silence ends its lease without proof that this controller
+    /// still holds the block.
     pub(crate) fn trusts_worker_silence(self) -> bool {
         matches!(self, Self::SilenceAsExpiry | Self::StaleEvidence)
     }
 
-    /// Whether no report is forwarded.
+    /// Whether reports are not forwarded.
     pub(crate) fn disables_forwarding(self) -> bool {
         matches!(
             self,
@@ -199,13 +210,13 @@
         )
     }
 
-    /// Whether a job is one of the few that some of these are about.
+    /// Whether a job is in the subset that faults limited to some jobs affect.
     pub(crate) fn affects_job(id: &oliveshift_wire::JobId) -> bool {
         id.digits().ends_with(['1', '5', '8'])
     }
 }
 
-/// A request that the controller made and has no reply to yet.
+/// An outbound request without a reply so far.
 #[derive(Debug)]
 pub(crate) enum Pending {
     LeaseGrant,
@@ -224,7 +235,7 @@
         machine: String,
         starts: Vec<(TaskId, u64)>,
         term: u64,
-        /// The worker has not answered lately.
+        /// The worker did not answer the previous direct orders.
         unresponsive: bool,
     },
     PeerMessage(String, u64),
@@ -238,7 +249,7 @@
     },
 }
 
-/// The parts of a path.
+/// The first four segments of a path.
 pub(crate) type Route<'a> = (
     Option<&'a str>,
     Option<&'a str>,
@@ -264,7 +275,7 @@
         }
     }
 
-    /// Whether the state service was asked.
+    /// Whether the request goes to the state service.
     fn is_state(&self) -> bool {
         !matches!(self, Self::Cloud(_)) && self.connection_kind() == OutboundKind::Outside
     }
@@ -280,21 +291,21 @@
     }
 }
 
-/// One controller.
+/// The state of one controller.
 #[derive(Debug)]
 pub struct Controller {
     pub(crate) settings: Rc<Settings>,
-    /// The limits of the state service that are to come.
+    /// The state service's limits once the announced lower ones apply.
     pub(crate) lowered_limits: StateLimits,
-    /// The newest form of records that this program knows.
+    /// The newest record format that this program supports.
     pub(crate) supported_level: FormatLevel,
     pub(crate) upgrade: Upgrade,
     pub(crate) sockets: Sockets,
     pub(crate) request_queue: RequestQueue,
-    /// Something happened since it was last acted upon, and when that was.
+    /// Inputs were received since changes were last processed.
     input_pending: bool,
     last_processed_at: Duration,
-    /// The numbers that may be changed while it runs.
+    /// Parameters that can be changed at run time.
     pub tuning: Tuning,
     pub(crate) incarnation: u64,
     pub(crate) rng: fastrand::Rng,
@@ -307,55 +318,56 @@
     pub(crate) store: StoreClient,
     pub(crate) invariants: Invariants,
     pub(crate) admission: Admission,
-    /// Our shares of what may be let in.
+    /// Admission shares of this controller.
     pub(crate) gate: Gate,
-    /// Machine types by name; empty until the cloud has told them.
+    /// Machine types by name; empty until they have been read from the cloud.
     pub(crate) machine_types: BTreeMap<String, MachineType>,
     pub(crate) held_blocks: BTreeMap<BlockId, HeldBlock>,
     pub(crate) machines: BTreeMap<String, Machine>,
     pub(crate) assigned_tasks: BTreeMap<TaskId, AssignedTask>,
-    /// Tasks of held blocks that have no machine.
+    /// Tasks in state `Free`: they wait for a machine of their block.
     pub(crate) unplaced: BTreeSet<TaskId>,
-    /// Which of them would find no room.
+    /// Recent placement attempts that found no machine.
     pub(crate) futile: Futile,
-    /// Which teams are near their limit.
+    /// Teams that are near their limit.
     pub(crate) team_use: TeamUse,
-    /// Chunks with news to record.
+    /// Chunks with task results to record.
     pub(crate) dirty_chunks: BTreeMap<(JobId, u32), DirtyChunk>,
-    /// Chunks with a write under way.
+    /// Writes of chunks that are not yet settled.
     pub(crate) chunk_writes: BTreeMap<(JobId, u32), ChunkWrite>,
-    /// Machines for which orders are ready.
+    /// Machines that direct orders may have to be sent to.
     pub(crate) order_queue: OrderQueue,
     pub(crate) attempts: u64,
     pub(crate) peers: BTreeMap<String, PeerState>,
-    /// What we have told the peers.
+    /// State of the messages to each peer.
     pub(crate) peer_links: BTreeMap<String, PeerLink>,
-    /// Our machines as we tell of them.
+    /// Machines of the held blocks as reported to peers.
     pub(crate) own_machines: OwnMachines,
-    /// Tasks of held blocks that are done or given back and not recorded yet.
+    /// Tasks of held blocks that are done or returned to the leader, and not recorded
+    /// yet.
     pub(crate) unrecorded: BTreeSet<TaskId>,
     pub(crate) leader: Option<Leader>,
-    /// Users' requests that go to peers, and theirs that come here.
+    /// User requests relayed to and from peers.
     pub(crate) relay: Relay,
-    /// Reports of workers that go to peers, and theirs that come here.
+    /// Worker reports forwarded to and from peers.
     pub(crate) forwarding: Forwarding,
-    /// When peers that are no members were told how we stand.
+    /// Messages to peers that are not members.
     pub(crate) non_member_peers: NonMemberPeers,
-    /// What is known about the links to workers.
+    /// Which workers can reach which controllers.
     pub(crate) reachability: Reachability,
-    /// Since when nobody leads.
+    /// Since when there has been no leader.
     pub(crate) leaderless_since: Option<Duration>,
     pub(crate) fleet: Fleet,
-    /// Machines that the leader wants emptied.
+    /// Machines that the leader is draining.
     pub(crate) draining: BTreeSet<String>,
-    /// What is broken on purpose.
+    /// The injected fault, if any.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<Sabotage>,
 }
 
 impl Controller {
-    /// A controller that knows nothing yet. `seed` has to differ between
-    /// starts: the incarnation comes from it.
+    /// Creates a controller with an empty view. `seed` must differ between starts: the
+    /// incarnation is derived from it.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let tuning = Tuning::new(&settings);
@@ -413,8 +425,8 @@
         }
     }
 
-    /// A stand-in for a program that knows no newer form than `level`: what it
-    /// can't read it does not see, as the program in production does not.
+    /// Emulates a program that supports no newer record format than `level`. It ignores
+    /// records that it can't read, as the program in production does.
     #[cfg(feature = "sabotage")]
     pub fn with_supported_level(settings: Settings, seed: u64, level: FormatLevel) -> Self {
         Self {
@@ -423,7 +435,8 @@
         }
     }
 
-    /// Takes one input and acts on it at once, as whoever is on time does.
+    /// Processes one input and runs all turns that it needs, as a controller without
+    /// backlog does.
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
         let mut out = self.receive(now, input);
         while self.has_pending_work() {
@@ -432,12 +445,12 @@
         out
     }
 
-    /// Takes one input. What it makes possible is done at the next turn, which
-    /// may come after several inputs: whoever is behind saves time that way.
+    /// Applies one input. Its consequences are processed at the next turn, which may
+    /// follow several inputs: that saves time when the controller is behind.
     pub fn receive(&mut self, now: Now, input: Input) -> Vec<Output> {
         self.advance_clock(now);
         match input {
-            // Connections change nothing of what there is to decide.
+            // Connection events need no turn: they change no scheduling decision.
             #[cfg(feature = "sabotage")]
             Input::Opened(id, _)
                 if self.sabotage == Some(Sabotage::NoShares)
@@ -479,18 +492,18 @@
         self.take_outputs()
     }
 
-    /// Whether something that came in waits for a turn.
+    /// Whether inputs wait for a turn.
     pub fn has_pending_work(&self) -> bool {
         self.input_pending || !self.request_queue.is_empty()
     }
 
-    /// Whether somebody waits for that turn who goes before workers.
+    /// Whether requests wait that have priority over worker reports.
     pub fn has_urgent_work(&self) -> bool {
         self.request_queue.is_urgent()
     }
 
-    /// Answers requests that wait, the most urgent ones if they are many, and
-    /// does what all that came in has made possible.
+    /// Answers a batch of queued requests, the most urgent ones first, and processes
+    /// the changes that all inputs so far have made.
     pub fn run_turn(&mut self, now: Now) -> Vec<Output> {
         self.advance_clock(now);
         let batch = self.request_queue.next_batch(self.now);
@@ -502,13 +515,13 @@
         self.outputs
             .extend(batch.read_from.into_iter().map(Output::ReadFrom));
         for request in batch.expired_users {
-            self.refuse_with_retry(request.conn, "too much to do");
+            self.refuse_with_retry(request.conn, "controller overloaded");
         }
         for request in batch.requests {
             self.request(request);
             self.input_pending = true;
         }
-        // Acting costs the same for one input and for many.
+        // Processing changes costs the same for one input as for many.
         let waits = !self.request_queue.is_empty()
             && self.now < self.last_processed_at + BACKLOG_PROCESSING_INTERVAL;
         if self.input_pending && !waits {
@@ -519,8 +532,8 @@
         self.take_outputs()
     }
 
-    /// The class that counts, which is not the request's own only if it is
-    /// broken on purpose.
+    /// The effective class of a request; differs from its own only under fault
+    /// injection.
     fn class(&self, class: RequestClass) -> RequestClass {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(Sabotage::NoPriorities) {
@@ -537,7 +550,8 @@
         self.wall_clock = now.wall_clock;
     }
 
-    /// What leaves now.
+    /// Takes the collected outputs. Answers to relayed requests and forwarded reports
+    /// are wrapped first.
     fn take_outputs(&mut self) -> Vec<Output> {
         let mut out = std::mem::take(&mut self.outputs);
         for output in &mut out {
@@ -550,13 +564,13 @@
         out
     }
 
-    /// How often an invariant did not hold since the process began: 0, unless this
-    /// program is at fault or the state service has lost data.
+    /// Number of invariant violations since the process started: 0 unless this program
+    /// has a defect or the state service has lost data.
     pub fn violations(&self) -> u64 {
         self.invariants.violations()
     }
 
-    /// This controller's name.
+    /// The controller's node name.
     pub fn node(&self) -> &str {
         &self.settings.node
     }
@@ -572,7 +586,8 @@
         self.leader_tick();
     }
 
-    /// What every input may have made possible.
+    /// Runs the steps that any input may have made necessary: placement, recording,
+    /// assignment, orders and peer messages.
     fn process_changes(&mut self) {
         self.place();
         self.record_dirty_chunks();
@@ -606,7 +621,7 @@
                 self.serve_user(conn, method, (id, what, more), &body);
             }
             (Listener::Public, (Some("checkin"), None, ..), Method::Post) => {
-                self.report(conn, &body)
+                self.handle_report(conn, &body)
             }
             (Listener::Internal, (Some("peer"), None, ..), Method::Post) => {
                 if let Some(message) = self.decode_peer_message(conn, &body) {
@@ -700,8 +715,8 @@
         }
     }
 
-    /// What a changed record means for the parts; called after each change, so
-    /// that none of them misses a state in between.
+    /// Updates the components after a change of a record. Called after each single
+    /// change, so that no component misses an intermediate state.
     pub(crate) fn record_changed(&mut self, key: &Key) {
         match key {
             Key::Leader | Key::Member(_) => self.members_changed(),
@@ -721,7 +736,7 @@
             Key::Chunk(id, part) => self.chunk_changed(id, *part),
             Key::Format => {
                 let level = self.view.level();
-                log::info!("the records are of level {} from now on", level.0);
+                log::info!("record format switched to level {}", level.0);
             }
             Key::Settings
             | Key::SpecOverflow(..)
@@ -783,14 +798,14 @@
         self.answer(conn, status, body);
     }
 
-    /// Says that the request can't be taken now and when to come back.
+    /// Answers 503 with `Retry-After` of one second.
     pub(crate) fn refuse_with_retry(&mut self, conn: ConnId, error: &str) {
         self.refuse_with_retry_after(conn, error, Duration::from_secs(1));
     }
 
-    /// The same, after some time.
+    /// Answers 503 with `Retry-After` of `after`.
     pub(crate) fn refuse_with_retry_after(&mut self, conn: ConnId, error: &str, after: Duration) {
-        log::debug!("a user is told to come back: {error}");
+        log::debug!("request refused, client may retry in {after:.1?}: {error}");
         let body = oliveshift_wire::encode(&Refusal {
             error: error.to_owned(),
         });
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,39 +1,40 @@
-//! Leases of workers, as the holder of their block counts them.
+//! Leases of workers, as tracked by the holder of their block.
 //!
 //! A worker stops its tasks once `lease_s` has passed since it sent the last report
-//! that was answered. Whoever holds its block may have answered, so silence proves the
-//! end of a lease only for an instant at which the block was surely ours: a holder that
-//! did not know yet that its block had been leased anew took workers for dead that the
-//! new holder went on to serve, and started their tasks a second time.
+//! that was answered. Any holder of its block may have answered, so silence proves that
+//! a lease has expired only if this controller certainly held the block until then. A
+//! holder that did not know yet that its block was leased to another one counted workers
+//! as dead that the new holder served, and started their tasks a second time.
 
 use std::time::Duration;
 
 use oliveshift_wire::settings::Settings;
 
-/// The latest instant at which the records surely gave us the blocks that we hold: the
-/// sending of the last request whose answer brought them up to date.
+/// The latest time until which this controller is proven to have held its blocks: when
+/// the last request was sent whose answer brought the records up to date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Tenure(Option<Duration>);
 
 impl Tenure {
-    /// Tenure that is proven up to an instant; none: it never was.
+    /// Tenure that is proven until `at`, or not at all.
     pub fn proven_until(at: Option<Duration>) -> Self {
         Self(at)
     }
 
-    /// Whether nobody else can have held a block of ours from our taking it until this
-    /// instant.
+    /// Whether no other controller can have held one of the held blocks between its
+    /// acquisition and `at`.
     pub fn covers(self, at: Duration) -> bool {
         self.0.is_some_and(|proven| at <= proven)
     }
 }
 
-/// How long leases last at most, on our clock.
+/// Upper bounds on the duration of a worker's lease, on this controller's clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseLimits {
-    /// From our last answer to a worker.
+    /// Counted from this controller's last answer to the worker.
     pub renewed: Duration,
-    /// From our taking of a block, for a worker that has not shown our term.
+    /// Counted from the acquisition of the block, for a worker that has not acknowledged
+    /// the current term.
     pub takeover: Duration,
 }
 
@@ -49,16 +50,17 @@
 /// The lease of one worker.
 #[derive(Debug)]
 pub(crate) struct WorkerLease {
-    /// When we took its block, or learnt of its machine.
+    /// When the block was acquired, or the machine was added to it.
     since: Duration,
-    /// The latest instant at which we or its own beginning may have renewed it.
+    /// The latest time at which an answer of this controller or the start of a session may
+    /// have renewed the lease.
     renewed: Option<Duration>,
-    /// When it was over for sure.
+    /// When the lease expired, once that is certain.
     expired_at: Option<Duration>,
 }
 
 impl WorkerLease {
-    /// The lease of a worker that nothing is known of yet.
+    /// The lease of a worker that has sent no message yet.
     pub fn new(since: Duration) -> Self {
         Self {
             since,
@@ -67,52 +69,53 @@
         }
     }
 
-    /// Since when its machine has been known to us.
+    /// Since when the machine is known.
     pub fn since(&self) -> Duration {
         self.since
     }
 
-    /// It may have been renewed at an instant.
+    /// Notes that the lease may have been renewed at `at`.
     pub fn renew(&mut self, at: Duration) {
         self.renewed = self.renewed.max(Some(at));
     }
 
-    /// Its worker has been heard: it goes on, or another session has begun.
+    /// Marks the lease as valid after a message of the worker, in the same session or a new
+    /// one.
     pub fn resume(&mut self) {
         self.expired_at = None;
     }
 
-    /// Since when it has been over for sure, with all tasks of its session.
+    /// When the lease expired, and with it all tasks of its session, if that is certain.
     pub fn expired_at(&self) -> Option<Duration> {
         self.expired_at
     }
 
-    /// Whether it is over for sure.
+    /// Whether the lease has certainly expired.
     pub fn is_expired(&self) -> bool {
         self.expired_at.is_some()
     }
 
-    /// When it is over, unless it is renewed. `proven`: the worker has shown our term,
-    /// so that answers of earlier holders renew nothing.
-    pub fn expires_at(&self, proven: bool, limits: &LeaseLimits) -> Duration {
-        let ours = self
+    /// When the lease expires unless it is renewed. With `term_acknowledged` the worker
+    /// has reported the current term, so answers of earlier holders no longer renew it.
+    pub fn expires_at(&self, term_acknowledged: bool, limits: &LeaseLimits) -> Duration {
+        let renewed_until = self
             .renewed
             .map_or(Duration::ZERO, |at| at + limits.renewed);
-        match proven {
-            true => ours,
-            false => ours.max(self.since + limits.takeover),
+        match term_acknowledged {
+            true => renewed_until,
+            false => renewed_until.max(self.since + limits.takeover),
         }
     }
 
-    /// What silence says of it at some time.
+    /// Status of the lease at `now`, if the worker has stayed silent.
     pub fn status(
         &self,
         now: Duration,
-        proven: bool,
+        term_acknowledged: bool,
         limits: &LeaseLimits,
         tenure: Tenure,
     ) -> LeaseStatus {
-        let expires_at = self.expires_at(proven, limits);
+        let expires_at = self.expires_at(term_acknowledged, limits);
         if now <= expires_at {
             LeaseStatus::Valid
         } else if tenure.covers(expires_at) {
@@ -122,20 +125,20 @@
         }
     }
 
-    /// It was over at an instant.
+    /// Marks the lease as expired at `at`.
     pub fn mark_expired(&mut self, at: Duration) {
         self.expired_at = Some(at);
     }
 }
 
-/// What the silence of a worker says.
+/// What can be concluded from a worker's silence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseStatus {
-    /// Nothing: its lease lasts.
+    /// The lease may still be valid.
     Valid,
-    /// Its lease was over at this instant, if the block was still ours.
+    /// The lease expired at this time, if this controller still held the block then.
     Unconfirmed(Duration),
-    /// Its lease was over at this instant.
+    /// The lease expired at this time.
     Expired(Duration),
 }
 
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -1,4 +1,4 @@
-//! What a holder knows of a machine in its blocks.
+//! State that a holder keeps of each machine in its blocks.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashSet},
@@ -12,53 +12,57 @@
     records::{BlockId, MachineRecord, Term},
 };
 
-/// A machine of a block that we hold.
+/// A machine of a held block.
 #[derive(Debug)]
 pub(crate) struct Machine {
     pub record: MachineRecord,
     pub block: BlockId,
-    /// The term under which we know it.
+    /// The term under which this controller holds the block.
     pub term: Term,
-    /// The newest message's session and number; 0: none yet.
+    /// Session and sequence number of the worker's newest message; 0 before the first.
     pub session: u64,
     pub seq: u64,
-    /// The highest token that its worker has shown.
+    /// The fencing token in the worker's newest message.
     pub token: u64,
-    /// A newest report has shown our term: what earlier holders have sent can
-    /// no longer take effect, and what it does not list is not there.
+    /// The worker has reported this holder's term as its token. Orders of earlier
+    /// holders can no longer take effect, and attempts that it does not list are not
+    /// on the machine.
     pub term_acknowledged: bool,
-    /// The lease of its worker: once over, all tasks of its last known session have
+    /// The worker's lease. Once it has expired, all tasks of the last known session have
     /// stopped.
     pub lease: WorkerLease,
-    /// When a message came last.
+    /// When the worker's last message was received.
     pub last_message_at: Option<Duration>,
-    /// When we answered a report of its worker last, which renewed its lease.
+    /// When the worker's last report was answered, which renewed its lease.
     pub last_answer_at: Option<Duration>,
-    /// When the cloud takes it away.
+    /// When the cloud reclaims the machine.
     pub reclaimed_at: Option<Duration>,
-    /// All tasks on it by its newest message.
+    /// All tasks that the newest message lists.
     pub tasks: Vec<TaskReport>,
-    /// Slots bound to it.
+    /// Assigned tasks that are bound to the machine.
     pub bound_tasks: BTreeSet<TaskId>,
-    /// Images that it most likely has, least recently used first.
+    /// Images that are probably cached on the machine, with their sizes in GB, least
+    /// recently used first.
     pub images: Vec<(String, f64)>,
-    /// Direct orders under way; with the attempts that they start.
+    /// Direct orders are in flight.
     pub orders_in_flight: bool,
+    /// The attempts that they start.
     pub starts_in_flight: Vec<(TaskId, u64)>,
-    /// Attempts whose start was ordered directly without an answer: they may
-    /// still start, so they must never be forgotten in this session.
+    /// Attempts whose start went with direct orders that got no answer. They may still
+    /// start, so the worker must not forget them in this session.
     pub unanswered_starts: HashSet<(TaskId, u64)>,
-    /// No direct orders before.
+    /// Earliest time for the next direct orders.
     pub next_orders_at: Duration,
-    /// Direct orders in a row that got no answer.
+    /// Number of consecutive direct orders without an answer.
     pub unanswered_orders: u32,
-    /// Since when it has had no task.
+    /// Since when the machine has had no task.
     pub idle_since: Option<Duration>,
-    /// Failures of tasks in a row, and of how many jobs.
+    /// Consecutive task failures attributed to the machine.
     pub consecutive_failures: u32,
-    /// When the last failure was.
+    /// Time of the last of them.
     pub last_failure_at: Duration,
-    /// It refused starts for lack of room: tasks that we don't know of.
+    /// When the machine last refused a start for lack of room: it has tasks that this
+    /// controller does not know of.
     pub refused_at: Option<Duration>,
 }
 
@@ -91,23 +95,25 @@
         }
     }
 
-    /// Whether no task of an earlier holder can be on it unseen.
+    /// Whether no attempt started by an earlier holder can run unseen on the machine.
     pub fn is_cleared(&self) -> bool {
         self.term_acknowledged || self.lease.is_expired()
     }
 
-    /// How long it has been silent.
+    /// Time since the worker's last message, or since the machine is known if there was
+    /// none.
     pub fn silence(&self, now: Duration) -> Duration {
         now.saturating_sub(self.last_message_at.unwrap_or(self.lease.since()))
     }
 
-    /// Whether a start of the attempt may still arrive.
+    /// Whether a start of the attempt that was sent with direct orders may still arrive.
     pub fn may_start_late(&self, task: &TaskId, attempt: u64) -> bool {
         let same = |(t, a): &(TaskId, u64)| t == task && *a == attempt;
         self.starts_in_flight.iter().any(same) || self.unanswered_starts.iter().any(same)
     }
 
-    /// Notes that it has an image, as the most recently used one.
+    /// Records an image as cached and most recently used; evicts the least recently used
+    /// ones beyond the size of the cache.
     pub fn note_image(&mut self, name: &str, gb: f64, kind: Option<&MachineType>) {
         self.images.retain(|(n, _)| n != name);
         self.images.push((name.to_owned(), gb));
@@ -117,29 +123,30 @@
         }
     }
 
-    /// Whether it most likely has an image.
+    /// Whether the image is probably cached on the machine.
     pub fn has_image(&self, name: &str) -> bool {
         self.images.iter().any(|(n, _)| n == name)
     }
 
-    /// Whether several tasks in a row have failed on it lately.
+    /// Whether at least two tasks in a row have failed on the machine.
     pub fn is_faulty(&self) -> bool {
         self.consecutive_failures >= 2
     }
 }
 
-/// Workers that have been silent for as long as their leases, by the names of their
-/// machines, with the instants at which the leases were over.
+/// Workers that have been silent for longer than their leases: names of their machines
+/// and times at which the leases expired.
 #[derive(Debug, Default)]
 pub(crate) struct SilentWorkers {
-    /// Their leases are over for sure.
+    /// Their leases have certainly expired.
     pub expired: Vec<(String, Duration)>,
-    /// It is not proven that their blocks were ours until then.
+    /// It is not proven that this controller held their blocks until then, so another
+    /// holder may have renewed the leases.
     pub unconfirmed: Vec<(String, Duration)>,
 }
 
 impl SilentWorkers {
-    /// Those among the machines of our blocks.
+    /// Finds the silent workers among the machines of held blocks.
     pub fn find(
         machines: &BTreeMap<String, Machine>,
         now: Duration,
@@ -160,7 +167,7 @@
         silent
     }
 
-    /// The same as if all were proven.
+    /// Counts unconfirmed leases as expired; for fault injection.
     #[cfg(feature = "sabotage")]
     pub fn treat_all_as_expired(mut self) -> Self {
         self.expired.append(&mut self.unconfirmed);
--- a/crates/core/src/order_queue.rs
+++ b/crates/core/src/order_queue.rs
@@ -1,12 +1,12 @@
-//! Machines for which orders are ready, and when they may go out.
+//! Queue of machines that direct orders may have to be sent to, with delays.
 //!
-//! Those that have to wait were looked at again at each input: with hundreds of
-//! machines that don't answer that took a quarter of the processor time of a
-//! controller that was behind already.
+//! Machines that must wait are kept in order of time. Checking all of them at each input
+//! took a quarter of the processor time of a controller with a backlog when hundreds of
+//! machines did not answer.
 
 use std::{collections::BTreeSet, time::Duration};
 
-/// Machines to be ordered something.
+/// Machines to send direct orders to.
 #[derive(Debug, Default)]
 pub(crate) struct OrderQueue {
     ready: BTreeSet<String>,
@@ -14,17 +14,17 @@
 }
 
 impl OrderQueue {
-    /// There is something for this machine.
+    /// Queues a machine for the next send.
     pub fn insert(&mut self, name: String) {
         self.ready.insert(name);
     }
 
-    /// There is, but not before this moment.
+    /// Queues a machine for a send at `at` or later.
     pub fn insert_at(&mut self, at: Duration, name: String) {
         self.later.insert((at, name));
     }
 
-    /// Takes the machines whose moment has come.
+    /// Takes the machines that are due at `now`.
     pub fn take_due(&mut self, now: Duration) -> BTreeSet<String> {
         while let Some((at, _)) = self.later.first()
             && *at <= now
@@ -41,7 +41,7 @@
     use super::*;
 
     #[test]
-    fn each_machine_comes_at_its_moment() {
+    fn each_machine_is_due_at_its_time() {
         let ms = Duration::from_millis;
         let mut due = OrderQueue::default();
         due.insert("a".into());
@@ -50,8 +50,8 @@
         due.insert_at(ms(10), "a".into());
         assert_eq!(due.take_due(ms(5)), BTreeSet::from(["a".to_owned()]));
         assert!(due.take_due(ms(9)).is_empty());
-        let two = BTreeSet::from(["a".to_owned(), "c".to_owned()]);
-        assert_eq!(due.take_due(ms(10)), two);
+        let expected = BTreeSet::from(["a".to_owned(), "c".to_owned()]);
+        assert_eq!(due.take_due(ms(10)), expected);
         assert_eq!(due.take_due(ms(30)), BTreeSet::from(["b".to_owned()]));
         assert!(due.take_due(ms(90)).is_empty());
     }
--- a/crates/core/src/unplaced.rs
+++ b/crates/core/src/unplaced.rs
@@ -1,4 +1,4 @@
-//! Tasks that are handed out and that their holders have not told the place of.
+//! Tasks that are assigned to blocks and not yet reported as placed by their holders.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,18 +10,18 @@
 
 use crate::{controller::Controller, records::BlockId, rooms::Room};
 
-/// Where such tasks may be: a holder puts a task on whichever machine of the block it fits
-/// best, wherever the leader has planned it for.
+/// Where such tasks may run. A holder places a task on the machine of the block that fits
+/// best, which may differ from the machine that the leader planned.
 #[derive(Debug, Default)]
 pub(crate) struct UnplacedTasks {
-    /// The machines that they were planned for.
+    /// The machines that the leader planned them for.
     machines: BTreeSet<String>,
-    /// Their jobs, by the block that they were handed to.
+    /// Their jobs, by the block that they are assigned to.
     jobs: BTreeMap<BlockId, BTreeMap<JobId, Rc<JobSpec>>>,
 }
 
 impl UnplacedTasks {
-    /// Whether one of them may be on a machine.
+    /// Whether one of the tasks may run on the machine.
     pub fn may_be_on(&self, room: &Room) -> bool {
         let jobs = self.jobs.get(&room.block).into_iter().flatten();
         let mut specs = jobs.map(|(_, spec)| spec);
@@ -35,7 +35,7 @@
 }
 
 impl Controller {
-    /// What the leader has handed out and not seen placed.
+    /// Tasks that the leader has assigned and that no holder has reported as placed.
     pub(crate) fn unplaced_tasks(&self) -> UnplacedTasks {
         let mut unplaced = UnplacedTasks::default();
         let Some(leader) = &self.leader else {
--- a/crates/testkit/tests/admission.rs
+++ b/crates/testkit/tests/admission.rs
@@ -152,7 +152,7 @@
             nodes[at].gate = Gate::default();
             nodes[at].steward = Steward::default();
             // Broken on purpose, it takes itself for the one that it was.
-            nodes[at].life += u64::from(sabotage != Some(Sabotage::SameLife));
+            nodes[at].life += u64::from(sabotage != Some(Sabotage::ReusedIncarnation));
         }
         if rng.f64() < 0.004 {
             leader = rng.usize(0..count);
@@ -347,7 +347,7 @@
     assert!(records > 1000, "{records}");
     let broken = (0..60).filter(|s| play(*s, Some(Sabotage::SharesReissued)).beyond > 0.5);
     assert!(broken.count() > 20);
-    let broken = (0..60).filter(|s| play(*s, Some(Sabotage::SameLife)).twice > 0.01);
+    let broken = (0..60).filter(|s| play(*s, Some(Sabotage::ReusedIncarnation)).twice > 0.01);
     assert!(broken.count() > 3);
 }
 
