--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: in answers to their reports, and at once.
+//! Orders to workers, sent with answers to their reports or directly.
 
 use std::time::Duration;
 
@@ -18,21 +18,22 @@
     records::Term,
 };
 
-/// When to give direct orders up.
-const TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long to wait after direct orders that got no answer; doubled with each
-/// more in a row, so that hundreds of cut machines don't take up our sockets.
-const PAUSE: Duration = Duration::from_millis(1000);
-const MOST_DOUBLED: u32 = 3;
-/// How long to wait for a socket.
-const CROWDED: Duration = Duration::from_millis(50);
+/// Timeout of direct orders.
+const ORDERS_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Backoff after direct orders without an answer. Doubled with each further one in a
+/// row, so that hundreds of unreachable machines don't use up the sockets.
+const ORDERS_BACKOFF: Duration = Duration::from_millis(1000);
+/// How often the backoff is doubled at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+/// Delay before the next attempt when no socket is available.
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Controller {
-    /// The orders that go with the answer to the report numbered `seq`: all
-    /// that is still wanted, as every order may be repeated.
+    /// Orders for the answer to the report numbered `seq`: all that still apply, since
+    /// orders may be repeated.
     pub(crate) fn orders_in_answer(&mut self, name: &str, seq: u64) -> Vec<Order> {
-        let mut orders = self.stops(name, true);
-        orders.extend(self.forgets(name));
+        let mut orders = self.stop_orders(name, true);
+        orders.extend(self.forget_orders(name));
         let Some(machine) = self.machines.get(name) else {
             return orders;
         };
@@ -45,9 +46,9 @@
         orders
     }
 
-    /// Orders to stop, for tasks that have to and for those that have no
-    /// business here. `all`: those ordered directly before as well.
-    fn stops(&mut self, name: &str, all: bool) -> Vec<Order> {
+    /// Stop orders for bound attempts that must stop and for listed attempts that are not
+    /// bound to the machine. With `include_sent`, stops that were sent before are repeated.
+    fn stop_orders(&mut self, name: &str, include_sent: bool) -> Vec<Order> {
         let mut orders = Vec::new();
         let Some(machine) = self.machines.get(name) else {
             return orders;
@@ -64,15 +65,15 @@
             let Some(stop) = &mut bound.stop else {
                 continue;
             };
-            if !all && stop.sent {
+            if !include_sent && stop.sent {
                 continue;
             }
             if !bound.listed {
-                if !all || !machine.may_start_late(task, attempt) {
+                if !include_sent || !machine.may_start_late(task, attempt) {
                     continue;
                 }
-                // A start that may yet arrive can't be taken back. Once the
-                // worker has known the attempt, though, it starts no more.
+                // A start that may still arrive can't be withdrawn. A worker does not
+                // start an attempt that it knows again, so the start precedes the stop.
                 orders.push(Order::Start {
                     task: task.clone(),
                     attempt,
@@ -99,9 +100,10 @@
         orders
     }
 
-    /// Ended attempts whose outcome is recorded or of no interest, and of
-    /// which no start can arrive any more: such a start would run again.
-    fn forgets(&self, name: &str) -> Vec<Order> {
+    /// Forget orders for ended attempts whose outcome is recorded or not needed and of
+    /// which no start can arrive any more. A start that arrives after the worker forgot
+    /// the attempt would run it again.
+    fn forget_orders(&self, name: &str) -> Vec<Order> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
@@ -116,7 +118,7 @@
         };
         let forgotten = machine.tasks.iter().filter(may_forget);
         forgotten
-            .inspect(|entry| log::debug!("{}: {name} may forget it", entry.task))
+            .inspect(|entry| log::debug!("{}: {name} may forget the ended attempt", entry.task))
             .map(|entry| Order::Forget {
                 task: entry.task.clone(),
                 attempt: entry.attempt,
@@ -124,20 +126,21 @@
             .collect()
     }
 
-    /// The order to start a task that was placed on a machine, with whatever carries
-    /// it: the answer to a report of this number, or direct orders (0).
+    /// The start order for a task that was placed on a machine, if it may start now.
+    /// `carried_by` is the number of the report whose answer carries the order, or 0 for
+    /// direct orders.
     fn start_order(&mut self, name: &str, task: &TaskId, carried_by: u64) -> Option<Order> {
         let tenure = self.may_act().then(|| self.store.tenure());
         let machine = self.machines.get(name)?;
         let assigned = self.assigned_tasks.get(task)?;
         let bound = assigned.bound()?;
         let attempt = bound.attempt;
-        let decided = Attempt {
+        let candidate = Attempt {
             machine,
             name,
             assigned: Some(assigned),
         };
-        let decision = decided.may_start(bound, tenure);
+        let decision = candidate.may_start(bound, tenure);
         #[cfg(feature = "sabotage")]
         let decision = match decision {
             Err(StartRefusal::NoTenure(_))
@@ -148,7 +151,7 @@
             decision => decision,
         };
         if let Err(why) = decision {
-            log::debug!("{task}: attempt {attempt} is not started on {name}: {why:?}");
+            log::debug!("{task}: attempt {attempt} not started on {name}: {why:?}");
             if let StartRefusal::NoTenure(evidence) = why {
                 let task = task.clone();
                 self.invariants.report(&Violation::StartWithoutTenure {
@@ -165,13 +168,13 @@
         };
         log::log!(
             level,
-            "{task}: attempt {attempt} is started on {name}, session {}, term {}, contact {:.1?} ago, as {}",
+            "{task}: starting attempt {attempt} on {name}, session {}, term {}, contact {:.1?} ago, proof of absence: {}",
             bound.session,
             machine.term,
             self.contact_age().unwrap_or_default(),
             bound
                 .evidence
-                .map_or("found there".to_owned(), |e| e.to_string()),
+                .map_or("none, found on the machine".to_owned(), |e| e.to_string()),
         );
         self.assigned_tasks
             .get_mut(task)?
@@ -181,7 +184,8 @@
         Some(Order::Start { task, attempt })
     }
 
-    /// Sends what can't wait for the next report.
+    /// Sends direct orders: starts and stops that are not sent yet, and empty orders to
+    /// machines that are not cleared.
     pub(crate) fn send_orders(&mut self) {
         if !self.may_act() {
             return;
@@ -192,7 +196,7 @@
                 continue;
             };
             if machine.orders_in_flight {
-                // The reply to what is under way brings it here again.
+                // The reply to the orders in flight queues the machine again.
                 continue;
             }
             if now < machine.next_orders_at {
@@ -201,13 +205,13 @@
             }
             let unresponsive = machine.unanswered_orders > 0;
             if !self.sockets.may_send_order(unresponsive) {
-                self.order_queue.insert_at(now + CROWDED, name);
+                self.order_queue.insert_at(now + SOCKET_RETRY_DELAY, name);
                 continue;
             }
             let probe = !machine.is_cleared();
             let (token, session) = (machine.term, machine.session);
             let addr = machine.record.addr.clone();
-            let mut orders = self.stops(&name, false);
+            let mut orders = self.stop_orders(&name, false);
             let mut starts = Vec::new();
             let bound = self.machines.get(&name).map(|m| m.bound_tasks.clone());
             for task in bound.into_iter().flatten() {
@@ -227,7 +231,7 @@
                 machine.orders_in_flight = true;
                 machine.starts_in_flight = starts.clone();
                 if probe {
-                    machine.next_orders_at = now + PAUSE;
+                    machine.next_orders_at = now + ORDERS_BACKOFF;
                 }
             }
             let body = encode(&DirectOrders {
@@ -246,7 +250,7 @@
                 Method::Post,
                 "/do".into(),
                 body,
-                TIMEOUT,
+                ORDERS_TIMEOUT,
                 pending,
             );
         }
@@ -268,67 +272,68 @@
         machine.orders_in_flight = false;
         machine.starts_in_flight.clear();
         self.order_queue.insert(name.to_owned());
-        let answered = matches!(reply, Reply::Answer { .. });
-        if !answered {
+        let is_answered = matches!(reply, Reply::Answer { .. });
+        if !is_answered {
             machine.unanswered_orders = machine.unanswered_orders.saturating_add(1);
         }
-        let doubled = machine
+        let doublings = machine
             .unanswered_orders
             .saturating_sub(1)
-            .min(MOST_DOUBLED);
-        let pause = self.now + PAUSE * 2u32.pow(doubled);
+            .min(MAX_BACKOFF_DOUBLINGS);
+        let backed_off_until = self.now + ORDERS_BACKOFF * 2u32.pow(doublings);
         match reply {
             Reply::Answer { status, body } if matches!(status, 200 | 409) => {
-                let executed = *status == 200;
+                let is_executed = *status == 200;
                 let Ok(report) = decode::<Report>(body) else {
-                    return self.taint(name, starts);
+                    return self.record_unanswered_starts(name, starts);
                 };
                 if report.machine != name {
-                    // Its address has passed to another machine.
-                    self.unsent(name, starts);
+                    // The address now belongs to another machine.
+                    self.mark_unsent(name, starts);
                     return;
                 }
                 if report.token > term {
                     return;
                 }
-                let was = machine.session;
+                let previous_session = machine.session;
                 self.apply_report(report, Origin::Orders);
-                if !executed {
-                    self.unsent(name, starts);
-                    let same = |m: &Machine| m.session == was;
-                    if self.machines.get(name).is_some_and(same)
+                if !is_executed {
+                    self.mark_unsent(name, starts);
+                    let is_same = |m: &Machine| m.session == previous_session;
+                    if self.machines.get(name).is_some_and(is_same)
                         && let Some(machine) = self.machines.get_mut(name)
                     {
-                        machine.next_orders_at = pause;
+                        machine.next_orders_at = backed_off_until;
                     } else if let Some(machine) = self.machines.get_mut(name) {
                         machine.next_orders_at = Duration::ZERO;
                     }
                 }
             }
             Reply::Answer { status: 400, .. } | Reply::NotSent => {
-                machine.next_orders_at = pause;
-                self.unsent(name, starts);
+                machine.next_orders_at = backed_off_until;
+                self.mark_unsent(name, starts);
             }
             Reply::Answer { .. } | Reply::Lost => {
-                machine.next_orders_at = pause;
-                self.taint(name, starts);
+                machine.next_orders_at = backed_off_until;
+                self.record_unanswered_starts(name, starts);
             }
         }
     }
 
-    /// The starts may still be executed, as long as the session lasts.
-    fn taint(&mut self, name: &str, starts: &[(TaskId, u64)]) {
+    /// Notes that the starts may still be executed in the current session.
+    fn record_unanswered_starts(&mut self, name: &str, starts: &[(TaskId, u64)]) {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoLateStarts) {
-            return self.unsent(name, starts);
+            return self.mark_unsent(name, starts);
         }
         if let Some(machine) = self.machines.get_mut(name) {
             machine.unanswered_starts.extend(starts.iter().cloned());
         }
     }
 
-    /// The starts have surely not been executed and go out once more.
-    fn unsent(&mut self, name: &str, starts: &[(TaskId, u64)]) {
+    /// Marks starts as not sent that were certainly not executed, so that they are sent
+    /// again. Tasks that must stop are released instead.
+    fn mark_unsent(&mut self, name: &str, starts: &[(TaskId, u64)]) {
         for (task, attempt) in starts {
             let Some(assigned) = self.assigned_tasks.get_mut(task) else {
                 continue;
@@ -336,8 +341,8 @@
             let Some(bound) = assigned.bound_mut() else {
                 continue;
             };
-            let same = bound.machine == name && bound.attempt == *attempt;
-            if !same || bound.listed || bound.start_sent_with != Some(0) {
+            let is_same = bound.machine == name && bound.attempt == *attempt;
+            if !is_same || bound.listed || bound.start_sent_with != Some(0) {
                 continue;
             }
             bound.start_sent_with = None;
--- a/crates/core/src/recorder.rs
+++ b/crates/core/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Recording what became of handed tasks, as batched ranges.
+//! Records the results of assigned tasks in batched writes of their chunks.
 
 use std::time::Duration;
 
@@ -15,81 +15,84 @@
     view::Job,
 };
 
-/// How long news is gathered before it is written.
-const GATHER: Duration = Duration::from_millis(60);
-/// How long what is not pressing is gathered, and when it presses all the same.
-const GATHER_MORE: Duration = Duration::from_millis(2500);
-const PATIENCE: Duration = Duration::from_secs(25);
-/// How long what is not pressing is gathered while its team is near its limit: what
-/// has ended counts as used until it is recorded.
-const GATHER_NEAR_LIMIT: Duration = Duration::from_millis(700);
-/// How long to wait after a write that got no answer.
-const RETRY: Duration = Duration::from_millis(400);
+/// How long results of a chunk are batched before they are written.
+const BATCH_DELAY: Duration = Duration::from_millis(60);
+/// How long results that are not urgent are batched.
+const BACKGROUND_BATCH_DELAY: Duration = Duration::from_millis(2500);
+/// After this time results are written with the urgency `Safety` in any case. Also the
+/// retry delay of writes that exceed the limits of the record or the state service.
+const MAX_BATCH_DELAY: Duration = Duration::from_secs(25);
+/// How long results that are not urgent are batched while their team is near its limit:
+/// ended tasks count against the limit until they are recorded.
+const NEAR_LIMIT_BATCH_DELAY: Duration = Duration::from_millis(700);
+/// Delay before a write that got no answer, or failed, is tried again.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// News of a chunk: since when, and when to see whether to write it.
+/// A chunk with results to record: since when, and when to check again whether to write.
 #[derive(Debug)]
 pub(crate) struct DirtyChunk {
     since: Duration,
     check_at: Duration,
 }
 
-/// A write of a chunk under way. Until its outcome shows in the view, the
-/// chunk gets no other write from us.
+/// A write of a chunk that is not settled. Until its outcome shows in the view, this
+/// controller sends no other write of the chunk.
 #[derive(Debug)]
 pub(crate) struct ChunkWrite {
-    /// The chunk's version that the write depends on.
+    /// The version of the chunk that the write is conditional on.
     base_version: u64,
     txn: Txn,
     step: WriteStep,
-    /// It, or one before it on the same conditions, has got no answer: it may
-    /// have been executed or may be yet, whatever a repeat is told.
+    /// This request, or an earlier one with the same conditions, got no answer. It may
+    /// have been executed or may still be, whatever a repeat is answered.
     in_doubt: bool,
-    /// The service does not take it as it is.
+    /// The state service can't accept the transaction as it is.
     impossible: bool,
-    /// Tasks that the write hands out, with their blocks: they count as
-    /// handed while it may still take effect.
+    /// Tasks that the write assigns, with their blocks. They count as assigned while the
+    /// write may still take effect.
     pub assignments: Vec<(u32, u32)>,
 }
 
+/// Progress of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteStep {
-    /// No answer yet.
+    /// Sent, without an answer so far.
     Sent,
-    /// Answered; the view will show it at this revision.
+    /// Answered; the view shows the outcome from this revision on.
     VisibleAt(u64),
-    /// No answer came: it is sent again, which settles it either way.
+    /// Got no answer; it is sent again at this time, which settles it either way.
     Retry(Duration),
 }
 
 impl WriteStep {
-    /// What follows from a write's outcome; none if nothing of it can take
-    /// effect any more. `in_doubt`: an earlier request for it got no answer,
-    /// so that a refusal of this one proves nothing.
+    /// The next step after an outcome, or none if the write can no longer take effect.
+    /// With `in_doubt` an earlier request got no answer, so a refusal of this one does
+    /// not prove that the write was not executed.
     pub fn after(outcome: Outcome, in_doubt: bool, now: Duration) -> Option<Self> {
         match outcome {
             Outcome::Done(revision) | Outcome::Conflict(revision) => {
                 Some(Self::VisibleAt(revision))
             }
-            Outcome::Unknown => Some(Self::Retry(now + RETRY)),
+            Outcome::Unknown => Some(Self::Retry(now + WRITE_RETRY_DELAY)),
             Outcome::Refused | Outcome::Impossible | Outcome::NoLease => {
-                in_doubt.then_some(Self::Retry(now + RETRY))
+                in_doubt.then_some(Self::Retry(now + WRITE_RETRY_DELAY))
             }
         }
     }
 }
 
-/// What a chunk's news asks for.
+/// The next write of a chunk's results.
 enum NextWrite {
-    /// Nothing.
+    /// No write is needed.
     Nothing,
-    /// A write for which there is no room in the record yet.
+    /// A write whose record would be too large for now.
     Later,
-    /// This write.
+    /// The write to send.
     Write(Txn),
 }
 
 impl Controller {
-    /// Writes what is due of the chunks with news.
+    /// Writes the chunks whose results are due.
     pub(crate) fn record_dirty_chunks(&mut self) {
         if self.dirty_chunks.is_empty() {
             return;
@@ -100,27 +103,29 @@
         let due: Vec<_> = self
             .dirty_chunks
             .iter()
-            .filter(|(chunk, news)| now >= news.check_at && !self.chunk_writes.contains_key(*chunk))
-            .map(|(chunk, news)| (chunk.clone(), news.since))
+            .filter(|(chunk, dirty)| {
+                now >= dirty.check_at && !self.chunk_writes.contains_key(*chunk)
+            })
+            .map(|(chunk, dirty)| (chunk.clone(), dirty.since))
             .collect();
         let mut todo = Vec::new();
         for ((id, part), since) in due {
             if self.is_urgent(&id, part) {
                 todo.push((0, since, id, part));
-            } else if now >= since + PATIENCE {
+            } else if now >= since + MAX_BATCH_DELAY {
                 todo.push((1, since, id, part));
             } else if self.blocks_its_team(&id) {
-                match now >= since + GATHER_NEAR_LIMIT {
+                match now >= since + NEAR_LIMIT_BATCH_DELAY {
                     true => todo.push((2, since, id, part)),
-                    false => self.recheck_chunk_at(id, part, since + GATHER_NEAR_LIMIT),
+                    false => self.recheck_chunk_at(id, part, since + NEAR_LIMIT_BATCH_DELAY),
                 }
-            } else if now >= since + GATHER_MORE || self.has_spare_writes() {
+            } else if now >= since + BACKGROUND_BATCH_DELAY || self.has_spare_writes() {
                 todo.push((3, since, id, part));
             } else {
-                self.recheck_chunk_at(id, part, since + GATHER_MORE);
+                self.recheck_chunk_at(id, part, since + BACKGROUND_BATCH_DELAY);
             }
         }
-        // What presses goes first, as there may not be enough for all.
+        // The most urgent first, since the request budget may not suffice for all.
         todo.sort();
         for (rank, _, id, part) in todo {
             let urgency = match rank {
@@ -132,48 +137,49 @@
                 NextWrite::Nothing => {
                     self.dirty_chunks.remove(&(id, part));
                 }
-                NextWrite::Later => self.recheck_chunk_at(id, part, now + PATIENCE),
+                NextWrite::Later => self.recheck_chunk_at(id, part, now + MAX_BATCH_DELAY),
                 NextWrite::Write(txn) => {
                     if self.write_chunk(&id, part, txn, Vec::new(), urgency) {
                         self.dirty_chunks.remove(&(id, part));
                     } else {
-                        self.recheck_chunk_at(id, part, now + GATHER);
+                        self.recheck_chunk_at(id, part, now + BATCH_DELAY);
                     }
                 }
             }
         }
     }
 
-    /// Whether a job's team is near its limit, so that what has ended of it keeps
-    /// other work of the team from starting.
+    /// Whether the job's team is near its limit, so that ended tasks that are not
+    /// recorded keep other tasks of the team from starting.
     fn blocks_its_team(&self, id: &JobId) -> bool {
         let spec = self.view.spec(id);
         spec.is_some_and(|spec| self.team_use.is_near_limit(&spec.team))
     }
 
     fn recheck_chunk_at(&mut self, id: JobId, part: u32, at: Duration) {
-        if let Some(news) = self.dirty_chunks.get_mut(&(id, part)) {
-            news.check_at = at;
+        if let Some(dirty) = self.dirty_chunks.get_mut(&(id, part)) {
+            dirty.check_at = at;
         }
     }
 
-    /// There is news of a chunk to record.
+    /// Notes that a chunk has results to record.
     pub(crate) fn mark_chunk_dirty(&mut self, id: &JobId, part: u32) {
         let now = self.now;
-        let news = self
+        let dirty = self
             .dirty_chunks
             .entry((id.clone(), part))
             .or_insert(DirtyChunk {
                 since: now,
-                check_at: now + GATHER,
+                check_at: now + BATCH_DELAY,
             });
-        news.check_at = news.check_at.min(now + GATHER);
+        dirty.check_at = dirty.check_at.min(now + BATCH_DELAY);
     }
 
-    /// Whether a chunk's news should not wait for more: something of it is
-    /// given back, or nothing more will come from us soon. What is done
-    /// besides can wait, since users hear of whole jobs only, the room is known
-    /// to be free, and every write of a chunk holds up all others.
+    /// Whether a chunk's results should not be batched any longer: a task is to be
+    /// returned to the leader, or this controller has no unfinished task of the chunk
+    /// left. Other completed tasks can wait, since users only see whole jobs, the machine's
+    /// capacity is known to be free, and each write of a chunk delays all other writes
+    /// of it.
     fn is_urgent(&self, id: &JobId, part: u32) -> bool {
         let Some(job) = self.view.jobs.get(id) else {
             return true;
@@ -195,7 +201,7 @@
         !more
     }
 
-    /// The write that a chunk's news asks for.
+    /// Builds the write that records a chunk's results.
     fn next_chunk_write(&self, id: &JobId, part: u32) -> NextWrite {
         let Some(job) = self.view.jobs.get(id) else {
             return NextWrite::Nothing;
@@ -208,9 +214,9 @@
         let mut statuses = chunk.task_statuses.clone();
         let mut done = 0;
         let mut blocks = Vec::new();
-        // The other conditions are on the chunk and the job; what goes beyond
-        // the limit goes with the next write.
-        let most_blocks = limits.txn_conds().saturating_sub(2);
+        // Two conditions are for the chunk and the job. Results of blocks beyond the
+        // limit go with the next write.
+        let max_blocks = limits.txn_conds().saturating_sub(2);
         for (i, status) in statuses.iter_mut().enumerate() {
             let TaskStatus::Assigned { block, term } = *status else {
                 continue;
@@ -221,7 +227,7 @@
             };
             let known = blocks.contains(&block);
             if (assigned.block, assigned.assigned_term) != (block, term)
-                || (!known && blocks.len() >= most_blocks)
+                || (!known && blocks.len() >= max_blocks)
             {
                 continue;
             }
@@ -246,8 +252,8 @@
         }
         let mut conds = Vec::new();
         for block in blocks {
-            // Only the holder may say that a task is nowhere: once the block
-            // is leased anew, the next holder may have started it again.
+            // Only the holder may record that a task runs nowhere: once the block is
+            // leased again, the next holder may have started the task again.
             let Some(held) = self.held_blocks.get(&block) else {
                 return NextWrite::Nothing;
             };
@@ -268,7 +274,7 @@
                 version: job.version,
             });
             let mut changes = vec![self.put_final(id, job, Phase::Done)];
-            // The other chunks are done, so none of them changes any more.
+            // The other chunks are done, so none of them can change any more.
             let parts = job.chunks.keys().copied().filter(|p| *p != part);
             let parts = std::iter::once(part).chain(parts).take(limits.txn_ops - 1);
             changes.extend(parts.map(|p| Change::Delete {
@@ -285,7 +291,7 @@
         }
     }
 
-    /// A change that ends a job's record.
+    /// The change that moves a job's record to its final phase.
     pub(crate) fn put_final(&self, id: &JobId, job: &Job, phase: Phase) -> Change {
         let mut record = JobRecord {
             phase,
@@ -303,19 +309,19 @@
         }
     }
 
-    /// A change that writes a chunk's record; none if it would be too large.
-    /// Where need be, terms that are over are not told apart any more: a task
-    /// handed under any of them waits for the same proof.
+    /// The change that writes a chunk's record, or none if it would be too large. If
+    /// necessary, terms that are over are written as 0 to save space: tasks assigned under
+    /// any of them wait for the same proof.
     pub(crate) fn put_chunk(
         &self,
         key: String,
         first: u32,
         mut statuses: Vec<TaskStatus>,
     ) -> Option<Change> {
-        let (level, most) = (self.level(), self.limits().value_bytes());
+        let (level, max_bytes) = (self.level(), self.limits().value_bytes());
         let pack = |statuses: &[TaskStatus]| {
             let value = ChunkRecord::pack(level, first, statuses)?.to_value();
-            (level < FormatLevel::PIPELINES || json_len(&value) <= most).then_some(value)
+            (level < FormatLevel::PIPELINES || json_len(&value) <= max_bytes).then_some(value)
         };
         let value = pack(&statuses).or_else(|| {
             for status in &mut statuses {
@@ -332,7 +338,7 @@
             pack(&statuses)
         });
         if value.is_none() {
-            log::error!("{key}: too large to be written");
+            log::error!("{key}: record too large to write, value limit {max_bytes} bytes");
         }
         Some(Change::Put {
             key,
@@ -341,7 +347,7 @@
         })
     }
 
-    /// Sends a write of a chunk; false if the budget does not allow it now.
+    /// Sends a write of a chunk. Returns false if the request budget does not allow it now.
     pub(crate) fn write_chunk(
         &mut self,
         id: &JobId,
@@ -369,7 +375,7 @@
     pub(crate) fn chunk_written(&mut self, id: JobId, part: u32, txn: Txn, outcome: Outcome) {
         let now = self.now;
         let key = (id, part);
-        // Records that the write left out, or that it lost, are tried again.
+        // Results that the write left out or failed to record are tried again.
         let (id, part) = &key;
         self.mark_chunk_dirty(id, *part);
         let Some(write) = self.chunk_writes.get_mut(&key) else {
@@ -380,7 +386,11 @@
         }
         write.in_doubt |= outcome == Outcome::Unknown;
         write.impossible = outcome == Outcome::Impossible;
-        let wait = if write.impossible { PATIENCE } else { RETRY };
+        let wait = if write.impossible {
+            MAX_BATCH_DELAY
+        } else {
+            WRITE_RETRY_DELAY
+        };
         match WriteStep::after(outcome, write.in_doubt, now) {
             Some(step) => write.step = step,
             None => {
@@ -392,27 +402,26 @@
         self.advance_chunk_writes();
     }
 
-    /// Ends the wait for writes whose outcome the view shows, and repeats
-    /// those that got no answer.
+    /// Removes writes whose outcome the view shows, and repeats those that got no answer.
     pub(crate) fn advance_chunk_writes(&mut self) {
         if self.chunk_writes.is_empty() {
             return;
         }
         let view = &self.view;
-        let before = self.chunk_writes.len();
+        let count_before = self.chunk_writes.len();
         self.chunk_writes.retain(|(id, part), write| {
-            let shown = matches!(write.step, WriteStep::VisibleAt(r) if view.revision >= r);
-            let moved = view.chunk_version(id, *part) != write.base_version
+            let is_visible = matches!(write.step, WriteStep::VisibleAt(r) if view.revision >= r);
+            let is_changed = view.chunk_version(id, *part) != write.base_version
                 || view.jobs.get(id).is_none_or(Job::is_cleaned_up);
-            !shown && !moved
+            !is_visible && !is_changed
         });
-        if self.chunk_writes.len() != before
+        if self.chunk_writes.len() != count_before
             && let Some(leader) = &mut self.leader
         {
             leader.plan_due = true;
         }
         let now = self.now;
-        let again: Vec<_> = self
+        let to_repeat: Vec<_> = self
             .chunk_writes
             .iter()
             .filter(|(_, b)| matches!(b.step, WriteStep::Retry(at) if now >= at))
@@ -424,14 +433,16 @@
                 )
             })
             .collect();
-        for ((id, part), too_large, mut txn) in again {
+        for ((id, part), too_large, mut txn) in to_repeat {
             if too_large {
-                // Its repeat is refused, and that proves nothing. The same
-                // chunk written as it was keeps it from ever taking effect,
-                // or finds that it has.
-                log::info!("{id}: a write in doubt is too large by now and is settled");
+                // A repeat would be refused, which proves nothing. Writing the chunk
+                // unchanged raises its version, so the write in doubt can no longer take
+                // effect. A conflict shows that the chunk has already changed.
+                log::info!(
+                    "{id}: chunk write without an answer exceeds the limits, replaced by an unchanged record"
+                );
                 match self.no_op_write(&id, part) {
-                    Some(small) => txn = small,
+                    Some(replacement) => txn = replacement,
                     None => continue,
                 }
             }
@@ -445,7 +456,7 @@
         }
     }
 
-    /// A write that changes nothing of a chunk but its version.
+    /// A write that changes only the version of a chunk.
     fn no_op_write(&self, id: &JobId, part: u32) -> Option<Txn> {
         let job = self.view.jobs.get(id)?;
         let (first, count) = job.chunk_span(part);
--- a/crates/core/src/recorder/tests.rs
+++ b/crates/core/src/recorder/tests.rs
@@ -14,21 +14,23 @@
     records::{FormatRecord, to_list, to_map},
 };
 
-/// A hand-out whose answer was lost counted as not executed once its
-/// repeat was refused as one too many: what it had handed out was then
-/// free for others, beyond their team's limit.
+/// An assignment whose answer was lost counted as not executed once its repeat was refused
+/// by the rate limit. Its capacity was then used for other tasks, beyond the team's limit.
 #[test]
 fn a_refused_repeat_proves_nothing() {
     let now = Duration::from_secs(9);
     for refused in [Outcome::Refused, Outcome::Impossible] {
         assert_eq!(WriteStep::after(refused, false, now), None);
-        let again = Some(WriteStep::Retry(now + RETRY));
-        assert_eq!(WriteStep::after(refused, true, now), again);
+        let retry = Some(WriteStep::Retry(now + WRITE_RETRY_DELAY));
+        assert_eq!(WriteStep::after(refused, true, now), retry);
     }
     for in_doubt in [false, true] {
-        let shown = Some(WriteStep::VisibleAt(7));
-        assert_eq!(WriteStep::after(Outcome::Done(7), in_doubt, now), shown);
-        assert_eq!(WriteStep::after(Outcome::Conflict(7), in_doubt, now), shown);
+        let visible = Some(WriteStep::VisibleAt(7));
+        assert_eq!(WriteStep::after(Outcome::Done(7), in_doubt, now), visible);
+        assert_eq!(
+            WriteStep::after(Outcome::Conflict(7), in_doubt, now),
+            visible
+        );
     }
 }
 
@@ -61,9 +63,9 @@
     calls.collect()
 }
 
-/// The first level's record of a chunk is larger than the service takes by
-/// now, and so is a write of it that got no answer. Its repeat would be
-/// refused for ever.
+/// A write in the first record format got no answer and exceeds the state service's limits
+/// since they were lowered, as the record itself does. Repeats of it would always be
+/// refused.
 #[test]
 fn a_write_in_doubt_that_is_too_large_is_settled_by_a_small_one() {
     let mut controller = controller();
@@ -100,7 +102,7 @@
     ] {
         controller.view.apply(event);
     }
-    // Sent before the switch and never answered; then refused.
+    // Sent before the format switch without an answer; its repeat was refused.
     places[7] = TaskStatus::Waiting;
     let value = record(&places).expect("it fits").to_value();
     let txn = Txn {
@@ -142,7 +144,7 @@
             .any(|c| c.key == chunk.path() && c.version == 3)
     );
     assert!(controller.chunk_writes.contains_key(&key));
-    // It is executed: the other one never will be.
+    // It is executed, so the write in doubt never will be.
     let body = encode(&TxnAnswer {
         revision: 5,
         failed: Vec::new(),
@@ -155,11 +157,11 @@
     controller.view.apply(put(&chunk, value.clone(), 5));
     controller.advance_chunk_writes();
     assert!(controller.chunk_writes.is_empty());
-    let whole = |place: TaskStatus| match place {
+    let assigned_block = |place: TaskStatus| match place {
         TaskStatus::Assigned { block, .. } => block,
         _ => panic!("handed as before"),
     };
     let places = &controller.view.jobs[&id].chunks[&0].task_statuses;
-    let blocks: Vec<_> = places.iter().copied().map(whole).collect();
+    let blocks: Vec<_> = places.iter().copied().map(assigned_block).collect();
     assert_eq!(blocks, (0..256).map(|i| i % 60).collect::<Vec<_>>());
 }
