--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -673,7 +673,7 @@
             pending.targets_unresponsive_worker(),
         );
         if pending.is_state() && matches!(reply, Reply::Answer { .. }) {
-            self.store.answered = self.now;
+            self.store.last_answer_at = self.now;
         }
         match pending {
             Pending::LeaseGrant => self.lease_grant_answered(&reply, sent),
@@ -710,7 +710,7 @@
             Purpose::User(id) => self.user_written(&id, outcome),
             Purpose::Chunk(id, part) => self.chunk_written(id, part, txn, outcome),
             Purpose::LeaderWrite(what) => self.duty_written(what, outcome),
-            Purpose::Lists => self.machine_lists_written(&txn, outcome),
+            Purpose::MachineLists => self.machine_lists_written(&txn, outcome),
             Purpose::Upgrade(step) => self.upgrade_written(step, outcome),
         }
     }
--- a/crates/core/src/forwarding/tests.rs
+++ b/crates/core/src/forwarding/tests.rs
@@ -209,7 +209,7 @@
     fixtures::show(&mut controller, records);
     controller.now = ms(1000);
     controller.store.ready = true;
-    controller.store.contact = Some(ms(1000));
+    controller.store.last_contact = Some(ms(1000));
     controller
 }
 
--- a/crates/core/src/machine_lists.rs
+++ b/crates/core/src/machine_lists.rs
@@ -125,7 +125,7 @@
     }
 
     fn send_lists(&mut self, txn: Txn, in_doubt: bool) {
-        if self.send_txn(txn.clone(), Purpose::Lists, Urgency::Safety)
+        if self.send_txn(txn.clone(), Purpose::MachineLists, Urgency::Safety)
             && let Some(leader) = &mut self.leader
         {
             leader.lists_at = self.now;
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -1,5 +1,5 @@
-//! Dealings with the state service: the lease that says that we are up, the
-//! first read, watches, reads and transactions.
+//! The client of the state service: the lease of this controller's membership, reads
+//! of all records, watches, reads of changes and transactions.
 
 use std::time::Duration;
 
@@ -24,31 +24,31 @@
     view::View,
 };
 
-/// How long a watch stays open without news. Short, since one that a cut or a
-/// refusal holds back just hangs, and contact counts from its sending.
-const WATCH: Duration = Duration::from_millis(800);
-/// When to give a request up.
-const TIMEOUT: Duration = Duration::from_millis(1500);
-/// The least time between two watches, and between two reads for users.
-const WATCH_GAP: Duration = Duration::from_millis(30);
-const READ_GAP: Duration = Duration::from_millis(50);
-/// The shares of our requests that watches and reads may take: when much
-/// changes, each watch returns at once.
-const WATCH_SHARE: f64 = 0.45;
-const READ_SHARE: f64 = 0.25;
-/// The age of contact beyond which submissions are sent back at once.
-const CONTACT_LOST: Duration = Duration::from_millis(2600);
-/// After so long without any answer of the state service, and without a word of a
-/// peer, it is us who are cut off.
-const CUT_OFF: Duration = Duration::from_millis(4000);
-/// The share of the limits that we use: refusals cost more than waiting.
-const SHARE: f64 = 0.92;
-/// The leader's part of the writes, and how many followers' part of the
-/// requests it has.
-const LEADER_SHARE: f64 = 0.4;
-const LEADER_REQUESTS: f64 = 2.0;
-
-/// What a transaction is for.
+/// How long a watch waits for changes. Short, because a watch that a cut connection or
+/// a refusal holds back just hangs, and contact counts from when it was sent.
+const WATCH_BLOCK_TIMEOUT: Duration = Duration::from_millis(800);
+/// The timeout of a request; a watch has it on top of [`WATCH_BLOCK_TIMEOUT`].
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The minimum time between two watches, and between two reads of changes.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(30);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(50);
+/// The shares of this controller's request rate that watches and reads may take.
+/// Watches need a limit because each returns at once when there are many changes.
+const WATCH_REQUEST_SHARE: f64 = 0.45;
+const READ_REQUEST_SHARE: f64 = 0.25;
+/// The age of the last contact beyond which submissions are refused at once.
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(2600);
+/// How long the state service must not have answered, with no message from a peer, for
+/// this controller to count as isolated.
+const ISOLATION_TIMEOUT: Duration = Duration::from_millis(4000);
+/// The share of the rate limits that is used: refusals cost more than waiting.
+const USABLE_LIMIT_SHARE: f64 = 0.92;
+/// The leader's share of all writes, and the number of followers whose share of the
+/// requests it gets.
+const LEADER_WRITE_SHARE: f64 = 0.4;
+const LEADER_REQUEST_WEIGHT: f64 = 2.0;
+
+/// The purpose of a transaction.
 #[derive(Debug)]
 pub(crate) enum Purpose {
     Member,
@@ -56,7 +56,7 @@
     User(WriteId),
     Chunk(JobId, u32),
     LeaderWrite(Duty),
-    Lists,
+    MachineLists,
     Upgrade(upgrade::Step),
 }
 
@@ -64,51 +64,51 @@
     fn name(&self) -> &'static str {
         match self {
             Self::Member => "member",
-            Self::Leadership => "lead",
+            Self::Leadership => "leadership",
             Self::User(_) => "user",
             Self::Chunk(..) => "chunk",
             Self::LeaderWrite(Duty::Lease(_)) => "lease",
             Self::LeaderWrite(Duty::Tidy(_)) => "tidy",
             Self::LeaderWrite(Duty::Admit) => "admit",
             Self::LeaderWrite(Duty::Resign) => "resign",
-            Self::Lists => "lists",
+            Self::MachineLists => "machine lists",
             Self::Upgrade(_) => "upgrade",
         }
     }
 }
 
-/// What came of a transaction.
+/// The outcome of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// Done, at this revision.
+    /// Committed, at this revision.
     Done(u64),
-    /// A condition did not hold; so it was at this revision.
+    /// A condition did not hold, as of this revision.
     Conflict(u64),
-    /// This request was surely not executed. Of an earlier one that got no
-    /// answer it says nothing.
+    /// This request was not executed. An earlier request for the same transaction that
+    /// got no answer may still have been.
     Refused,
-    /// The same, and it never will be as it is: it is malformed, or larger
-    /// than the service takes now.
+    /// This request was not executed and would be rejected again: it is malformed, or
+    /// larger than the service accepts now.
     Impossible,
-    /// Its lease is over.
+    /// The lease that it refers to has expired.
     NoLease,
-    /// Executed or not, or later.
+    /// No usable answer: it may have been executed, or may be later.
     Unknown,
 }
 
-/// What came of a request for changes.
+/// The outcome of a request for changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Taken {
-    /// The view has all changes that there were when it was answered.
-    Changes,
-    /// They are no longer kept.
+enum ChangesOutcome {
+    /// The view has all changes up to the time of the answer.
+    Applied,
+    /// The state service no longer keeps these changes.
     TooOld,
-    /// Nothing that could be used.
-    Nothing,
+    /// There was no usable answer.
+    Unusable,
 }
 
-/// How much a request matters: the share of the budget left for what matters
-/// more.
+/// How urgent a transaction or read is. It decides which share of the budget is left
+/// for more urgent ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Urgency {
     Session,
@@ -125,12 +125,12 @@
     fn reserve(self) -> f64 {
         match self {
             Self::Session => 0.0,
-            // Users come first, on credit: they are few, and what they are
-            // told to repeat costs them a second.
+            // Writes for users may overdraw the budget: they are few, and a user who is
+            // told to repeat a request loses a second.
             Self::User => -1.0,
-            // Reads for users are kept apart by themselves. With something
-            // left to others, they starved for minutes, and nobody was told
-            // that their work was done.
+            // Reads for users have a rate limit of their own. With a positive reserve
+            // they starved for minutes, and users did not learn that their jobs were
+            // done.
             Self::Read => -0.5,
             Self::Safety => 0.05,
             Self::Handout => 0.15,
@@ -141,40 +141,43 @@
     }
 }
 
-/// The state of our dealings.
+/// The state of the connection to the state service.
 #[derive(Debug)]
 pub(crate) struct StoreClient {
-    /// Requests a second that we may make.
+    /// How many requests a second this controller may make.
     rps: f64,
     requests: Budget,
     writes: Budget,
-    hold: Option<u64>,
-    hold_pending: bool,
-    touch_at: Duration,
-    member_pending: bool,
-    lead_pending: bool,
-    /// What came of the last of these two writes shows at this revision.
-    session_at: u64,
-    /// All records are being read, beside the view in use.
+    member_lease: Option<u64>,
+    member_lease_pending: bool,
+    renew_lease_at: Duration,
+    member_write_pending: bool,
+    leader_write_pending: bool,
+    /// The revision at which the view shows the outcome of the last member or leader
+    /// write.
+    session_visible_at: u64,
+    /// The read of all records in progress, apart from the view in use.
     snapshot: Option<SnapshotRead>,
-    /// A request of that reading is under way.
+    /// Whether a request of that read is in flight.
     snapshot_pending: bool,
-    /// The whole view has been read once.
+    /// Whether all records have been read at least once.
     pub ready: bool,
-    /// When the request was sent whose answer last made the view whole.
-    pub contact: Option<Duration>,
-    /// When the state service answered last, be it that it can't serve us.
-    pub answered: Duration,
+    /// The last contact: when the request was sent whose answer last brought the view up
+    /// to date.
+    pub last_contact: Option<Duration>,
+    /// When the state service last answered, also if only to refuse a request.
+    pub last_answer_at: Duration,
     watch_pending: bool,
-    watch_at: Duration,
+    next_watch_at: Duration,
     read_pending: bool,
-    read_at: Duration,
+    next_read_at: Duration,
     failures: u32,
-    /// When we last went on after standing still.
+    /// When this controller last resumed after a pause.
     resumed_at: Duration,
-    /// The end of a lease waits for proof that its block is still ours.
+    /// Whether a worker lease can only expire once a fresh read has proven that its block
+    /// is still held here.
     pub needs_fresh_read: bool,
-    /// The lower limits hold.
+    /// Whether the lowered limits of the state service apply.
     pub lowered_limits_active: bool,
 }
 
@@ -182,24 +185,27 @@
     pub fn new(settings: &Settings) -> Self {
         let nodes = settings.peers_and_me() as f64;
         Self {
-            rps: settings.params.state.rps * SHARE / nodes,
-            requests: Budget::new(settings.params.state.rps * SHARE / nodes, 1.0),
-            writes: Budget::new(settings.params.state.write_rps * SHARE / nodes, 1.0),
-            hold: None,
-            hold_pending: false,
-            touch_at: Duration::ZERO,
-            member_pending: false,
-            lead_pending: false,
-            session_at: 0,
+            rps: settings.params.state.rps * USABLE_LIMIT_SHARE / nodes,
+            requests: Budget::new(settings.params.state.rps * USABLE_LIMIT_SHARE / nodes, 1.0),
+            writes: Budget::new(
+                settings.params.state.write_rps * USABLE_LIMIT_SHARE / nodes,
+                1.0,
+            ),
+            member_lease: None,
+            member_lease_pending: false,
+            renew_lease_at: Duration::ZERO,
+            member_write_pending: false,
+            leader_write_pending: false,
+            session_visible_at: 0,
             snapshot: None,
             snapshot_pending: false,
             ready: false,
-            contact: None,
-            answered: Duration::ZERO,
+            last_contact: None,
+            last_answer_at: Duration::ZERO,
             watch_pending: false,
-            watch_at: Duration::ZERO,
+            next_watch_at: Duration::ZERO,
             read_pending: false,
-            read_at: Duration::ZERO,
+            next_read_at: Duration::ZERO,
             failures: 0,
             resumed_at: Duration::ZERO,
             needs_fresh_read: false,
@@ -209,36 +215,39 @@
 }
 
 impl StoreClient {
-    /// Until when our blocks were surely ours.
+    /// Until when the blocks held here are proven to be held.
     pub fn tenure(&self) -> Tenure {
-        Tenure::proven_until(self.contact)
+        Tenure::proven_until(self.last_contact)
     }
 }
 
 impl Controller {
-    /// How old our contact is; none: never had, or not since we stood still.
+    /// The age of the last contact; `None` if there was none, or none since the last pause.
     pub(crate) fn contact_age(&self) -> Option<Duration> {
-        let contact = self
+        let last_contact = self
             .store
-            .contact
+            .last_contact
             .filter(|at| *at >= self.store.resumed_at)?;
-        Some(self.now.saturating_sub(contact))
+        Some(self.now.saturating_sub(last_contact))
     }
 
-    /// We took nothing in for so long that our leases may be over, while our
-    /// clock ran on: what was true then has to be proven anew before we answer
-    /// or order anything. Without it a controller that woke up within the contact
-    /// limit went on under terms that were others' by then.
+    /// Records a pause: no input was processed for so long that this controller's leases
+    /// may have expired. The view has to be confirmed before it answers or sends orders;
+    /// without this a controller that resumed within the contact limit acted under terms
+    /// that had passed to other controllers.
     pub(crate) fn record_pause(&mut self, now: Duration) {
         if self.store.ready {
-            log::info!("stood still for {:.1?}", now.saturating_sub(self.now));
+            log::info!(
+                "no input was processed for {:.1?}; waiting for new contact with the state service",
+                now.saturating_sub(self.now)
+            );
         }
         self.store.resumed_at = now;
     }
 
-    /// Whether our view is recent enough to act for the controllers towards
-    /// workers. Beyond that we might have missed a cancellation, or that a
-    /// block was leased anew, for longer than `cancel_s` allows.
+    /// Whether the view is recent enough to give orders to workers. With an older view a
+    /// cancellation or a new lease of a block could be missed for longer than `cancel_s`
+    /// allows.
     pub(crate) fn may_act(&self) -> bool {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoContactLimit) {
@@ -250,42 +259,43 @@
                 .is_some_and(|age| age < self.settings.contact_limit())
     }
 
-    /// Whether the state service can be expected to answer now.
+    /// Whether the state service can be expected to answer.
     pub(crate) fn in_contact(&self) -> bool {
-        self.store.ready && self.contact_age().is_some_and(|age| age < CONTACT_LOST)
+        self.store.ready && self.contact_age().is_some_and(|age| age < CONTACT_TIMEOUT)
     }
 
-    /// Whether the load balancer should send us users. While nobody has
-    /// contact, staying up saves users the time that it takes the load
-    /// balancer to trust us again.
+    /// Whether the load balancer should send users here. While no controller has contact
+    /// all stay healthy, as it takes the load balancer time to use a controller again.
     pub(crate) fn healthy(&self) -> bool {
-        let others = self.peers_have_contact() || self.is_cut_off();
+        let others = self.peers_have_contact() || self.is_isolated();
         self.store.ready && (self.in_contact() || !others)
     }
 
-    /// Whether it looks as if we were cut off from all the others: the state service
-    /// does not answer at all, while in an outage it says so, and no peer is heard.
-    /// Who is cut off so hears of nobody's contact, took it for an outage, and users
-    /// went on coming to it for as long as the cut lasted.
-    fn is_cut_off(&self) -> bool {
-        let silent = self.now > self.store.answered + CUT_OFF;
+    /// Whether this controller seems to be isolated: no peer is heard, and the state
+    /// service does not answer at all, whereas in an outage it answers with an error.
+    /// An isolated controller learns of no peer's contact; it took this for an outage,
+    /// called itself healthy and got users for as long as it was isolated.
+    fn is_isolated(&self) -> bool {
+        let silent = self.now > self.store.last_answer_at + ISOLATION_TIMEOUT;
         silent && !self.settings.peers.is_empty() && !self.has_fresh_peer()
     }
 
-    /// Shares the limits among the controllers that are up: one that is not
-    /// writes nothing. The leader writes more than the others, so its share is
-    /// larger.
+    /// Divides the rate limits among the members; a controller that is not a member
+    /// writes nothing. The leader writes more than the others, so its share is larger.
     pub(crate) fn update_request_budgets(&mut self) {
         let most = self.settings.peers_and_me();
         let nodes = self.view.members.len().clamp(most.min(2), most) as f64;
-        let part = LEADER_REQUESTS / (nodes - 1.0 + LEADER_REQUESTS);
+        let part = LEADER_REQUEST_WEIGHT / (nodes - 1.0 + LEADER_REQUEST_WEIGHT);
         let (requests, writes) = if nodes < 2.0 {
-            (SHARE, SHARE)
+            (USABLE_LIMIT_SHARE, USABLE_LIMIT_SHARE)
         } else if self.leader.is_some() {
-            (SHARE * part, SHARE * LEADER_SHARE)
+            (
+                USABLE_LIMIT_SHARE * part,
+                USABLE_LIMIT_SHARE * LEADER_WRITE_SHARE,
+            )
         } else {
-            let each = SHARE / (nodes - 1.0);
-            (each * (1.0 - part), each * (1.0 - LEADER_SHARE))
+            let each = USABLE_LIMIT_SHARE / (nodes - 1.0);
+            (each * (1.0 - part), each * (1.0 - LEADER_WRITE_SHARE))
         };
         let limits = if self.store.lowered_limits_active {
             &self.lowered_limits
@@ -299,29 +309,29 @@
     }
 
     pub(crate) fn store_tick(&mut self) {
-        self.keep_hold();
-        self.keep_view();
+        self.keep_member_lease();
+        self.sync_view();
         self.upgrade_tick();
-        self.keep_member();
+        self.keep_member_record();
         self.seek_leadership();
     }
 
     fn state_call(&mut self, method: Method, path: String, body: Vec<u8>, pending: Pending) {
         let timeout = match pending {
-            Pending::Watch { .. } => WATCH + TIMEOUT,
-            _ => TIMEOUT,
+            Pending::Watch { .. } => WATCH_BLOCK_TIMEOUT + REQUEST_TIMEOUT,
+            _ => REQUEST_TIMEOUT,
         };
         self.call(Target::State, method, path, body, timeout, pending);
     }
 
-    fn keep_view(&mut self) {
+    fn sync_view(&mut self) {
         if !self.store.ready || self.store.snapshot.is_some() {
             self.read_snapshot();
-        } else if !self.store.watch_pending && self.now >= self.store.watch_at {
+        } else if !self.store.watch_pending && self.now >= self.store.next_watch_at {
             self.store.requests.force(self.now, 1.0);
             self.store.watch_pending = true;
             let after = self.view.revision;
-            let ms = WATCH.as_millis();
+            let ms = WATCH_BLOCK_TIMEOUT.as_millis();
             let path = format!("/changes?starts={KEY_PREFIX}&after={after}&block_ms={ms}");
             self.state_call(Method::Get, path, Vec::new(), Pending::Watch { after });
         }
@@ -337,14 +347,15 @@
         view
     }
 
-    /// Reads all records: the next page, or the changes since the first one.
+    /// Continues the read of all records with the next page, or with the changes since
+    /// the first page.
     fn read_snapshot(&mut self) {
-        if self.store.snapshot_pending || self.now < self.store.watch_at {
+        if self.store.snapshot_pending || self.now < self.store.next_watch_at {
             return;
         }
         let empty = self.empty_view();
         let snapshot = self.store.snapshot.get_or_insert_with(|| {
-            log::info!("reading all records");
+            log::info!("starting to read all records");
             SnapshotRead::new(empty)
         });
         let (part, path) = snapshot.next_request();
@@ -353,7 +364,8 @@
         self.state_call(Method::Get, path, Vec::new(), Pending::Snapshot(part));
     }
 
-    /// A part of all records, asked for at some time, has been answered.
+    /// Handles the answer to a part of a read of all records; `sent` is when it was
+    /// requested.
     pub(crate) fn snapshot_answered(&mut self, part: SnapshotPart, sent: Duration, reply: &Reply) {
         self.store.snapshot_pending = false;
         let taken = match part {
@@ -371,12 +383,12 @@
         let consistent = |s: &mut SnapshotRead| consistent(s) || (partial && s.has_all_pages());
         match self.store.snapshot.take_if(consistent) {
             Some(snapshot) => {
-                // Pages alone are no contact: the watch that follows at once is.
+                // Pages alone do not count as contact; the watch that follows at once does.
                 let is_contact = part == SnapshotPart::Changes;
                 #[cfg(feature = "sabotage")]
                 let is_contact = is_contact || partial;
-                let contact = is_contact.then_some(sent);
-                self.use_view(snapshot.into_view(), contact);
+                let last_contact = is_contact.then_some(sent);
+                self.replace_view(snapshot.into_view(), last_contact);
             }
             None => self.read_snapshot(),
         }
@@ -410,7 +422,10 @@
                 true
             }
             Reply::Answer { status: 410, .. } => {
-                log::info!("reading all records took too long: once more");
+                log::info!(
+                    "reading all records took too long, the changes since the first page are gone: \
+                     starting over"
+                );
                 self.store.snapshot = Some(SnapshotRead::new(self.empty_view()));
                 false
             }
@@ -418,21 +433,21 @@
         }
     }
 
-    /// Uses other records, which are not older than those in use and were the state
-    /// service's at some moment after `contact`.
-    fn use_view(&mut self, view: View, contact: Option<Duration>) {
+    /// Replaces the view with records that are at least as recent and that the state
+    /// service held at some time after `last_contact`.
+    fn replace_view(&mut self, view: View, last_contact: Option<Duration>) {
         self.view = view;
-        self.store.contact = self.store.contact.max(contact);
+        self.store.last_contact = self.store.last_contact.max(last_contact);
         self.store.failures = 0;
         self.store.ready = true;
-        self.store.watch_at = self.now;
+        self.store.next_watch_at = self.now;
         self.resync();
         self.advance_chunk_writes();
         self.cancels_progress();
         self.store_tick();
     }
 
-    /// Everything that follows from the records, anew.
+    /// Recomputes all state that is derived from the records.
     fn resync(&mut self) {
         self.members_changed();
         let blocks: Vec<_> = self
@@ -466,90 +481,96 @@
         self.store.failures += 1;
         let most = 150 << self.store.failures.min(3);
         let wait = Duration::from_millis(self.rng.u64(100..=most));
-        self.store.watch_at = self.now + wait;
+        self.store.next_watch_at = self.now + wait;
     }
 
     pub(crate) fn watch_answered(&mut self, after: u64, sent: Duration, reply: &Reply) {
         self.store.watch_pending = false;
-        match self.take_events(after, sent, reply) {
-            Taken::Changes | Taken::TooOld => {
-                self.store.watch_at = self.now.max(sent + self.gap(WATCH_GAP, WATCH_SHARE));
+        match self.apply_changes_reply(after, sent, reply) {
+            ChangesOutcome::Applied | ChangesOutcome::TooOld => {
+                self.store.next_watch_at = self
+                    .now
+                    .max(sent + self.min_interval(MIN_WATCH_INTERVAL, WATCH_REQUEST_SHARE));
             }
-            Taken::Nothing => self.back_off(),
+            ChangesOutcome::Unusable => self.back_off(),
         }
-        self.keep_view();
+        self.sync_view();
     }
 
-    /// The least time between two requests of a kind that may take a share of
-    /// our requests.
-    fn gap(&self, least: Duration, share: f64) -> Duration {
+    /// The minimum time between two requests of a kind that may use the given share of
+    /// this controller's request rate, and at least `least`.
+    fn min_interval(&self, least: Duration, share: f64) -> Duration {
         let rate = (self.store.rps * share).max(1.0);
         least.max(Duration::from_secs_f64(1.0 / rate))
     }
 
-    /// Applies what a watch or read for the changes after some revision brought.
-    fn take_events(&mut self, after: u64, sent: Duration, reply: &Reply) -> Taken {
+    /// Applies the answer to a watch or read of the changes after a revision.
+    fn apply_changes_reply(&mut self, after: u64, sent: Duration, reply: &Reply) -> ChangesOutcome {
         let body = match reply {
             Reply::Answer { status: 200, body } => body,
             Reply::Answer { status: 410, .. } => {
                 self.changes_too_old(after);
-                return Taken::TooOld;
+                return ChangesOutcome::TooOld;
             }
             Reply::Answer { status: 429, .. } => {
                 self.store.requests.drain(self.now);
-                return Taken::Nothing;
+                return ChangesOutcome::Unusable;
             }
-            _ => return Taken::Nothing,
+            _ => return ChangesOutcome::Unusable,
         };
         let Ok(events) = decode::<Events>(body) else {
-            return Taken::Nothing;
+            return ChangesOutcome::Unusable;
         };
         if events.revision < after {
             self.invariants.report(&Violation::RevisionWentBack {
                 known: after,
                 seen: events.revision,
             });
-            return Taken::Nothing;
+            return ChangesOutcome::Unusable;
         }
-        self.apply(events.events);
+        self.apply_events(events.events);
         self.view.revision = self.view.revision.max(events.revision);
         if self.store.failures > 2 {
-            log::info!("contact with the state service regained");
+            log::info!("the state service answers again");
         }
         self.store.failures = 0;
-        self.store.contact = self.store.contact.max(Some(sent));
+        self.store.last_contact = self.store.last_contact.max(Some(sent));
         self.advance_chunk_writes();
         self.cancels_progress();
-        Taken::Changes
+        ChangesOutcome::Applied
     }
 
-    /// The state service no longer has the changes after a revision.
+    /// Starts a new read of all records, as the state service no longer keeps the changes
+    /// after a revision.
     fn changes_too_old(&mut self, after: u64) {
-        // Several requests may be told so. Beginning anew with a request of the
-        // reading under way, its answer was taken for the first page, and all that
-        // lies before it was missing: accepted jobs were answered with 404, and the
-        // tasks of blocks that came back later were started once more.
+        // Several requests may get this answer. When a second one restarted the read while
+        // a page was in flight, that page was taken for the first one and all records
+        // before it were missing: accepted jobs were answered with 404, and tasks of
+        // blocks that came back later were started again.
         let is_reading = self.store.snapshot.is_some();
         #[cfg(feature = "sabotage")]
         let is_reading = is_reading && self.sabotage != Some(crate::Sabotage::MixedReads);
-        // What has been read since went further than what was asked for.
+        // If the view has advanced since the request, later changes have been read.
         if is_reading || after < self.view.revision {
             return;
         }
-        log::info!("the changes after revision {after} are no longer kept: all is read anew");
+        log::info!(
+            "the state service no longer keeps the changes after revision {after}: \
+             reading all records again"
+        );
         self.store.snapshot = Some(SnapshotRead::new(self.empty_view()));
     }
 
-    /// Applies changes, revision by revision: what a transaction has written
-    /// holds as a whole. Seen one by one, a machine that moves from one list
-    /// to another would be nowhere in between, and its tasks with it.
-    fn apply(&mut self, mut events: Vec<Event>) {
-        // The view is whole at its revision. An answer that was overtaken would bring
-        // back what has been deleted since.
+    /// Applies changes revision by revision, so that all changes of a transaction take
+    /// effect together. One by one, a machine that moves from one list to another would
+    /// be in no list in between, and its tasks with it.
+    fn apply_events(&mut self, mut events: Vec<Event>) {
+        // The view has all changes up to its revision. An answer overtaken by a later one
+        // would bring back records that have been deleted since.
         let known = self.view.revision;
         let program = self.supported_level;
         events.retain(|event| event.version() > known && upgrade::can_read(program, event));
-        // A job comes before what continues it, as its key does.
+        // A job sorts before its overflow records and chunks, as its key does.
         events.sort_by(|a, b| (a.version(), a.key()).cmp(&(b.version(), b.key())));
         let mut events = events.into_iter().peekable();
         while let Some(event) = events.next() {
@@ -564,16 +585,17 @@
         }
     }
 
-    /// Reads on for those who wait for an answer no older than their request.
+    /// Reads the latest changes for user requests that need an answer no older than the
+    /// request, after a pause, or to prove that blocks are still held here.
     pub(crate) fn refresh_view(&mut self) {
         let stood_still = self
             .store
-            .contact
+            .last_contact
             .is_none_or(|at| at < self.store.resumed_at);
         let doubts = stood_still || self.store.needs_fresh_read;
         if self.store.read_pending
             || (self.admission.asks.is_empty() && !doubts)
-            || self.now < self.store.read_at
+            || self.now < self.store.next_read_at
             || !self.store.ready
             || !self
                 .store
@@ -584,7 +606,8 @@
         }
         self.store.read_pending = true;
         self.store.needs_fresh_read = false;
-        self.store.read_at = self.now + self.gap(READ_GAP, READ_SHARE);
+        self.store.next_read_at =
+            self.now + self.min_interval(MIN_READ_INTERVAL, READ_REQUEST_SHARE);
         let asks = std::mem::take(&mut self.admission.asks);
         let after = self.view.revision;
         let path = format!("/changes?starts={KEY_PREFIX}&after={after}");
@@ -599,23 +622,23 @@
         reply: &Reply,
     ) {
         self.store.read_pending = false;
-        let fresh = self.take_events(after, sent, reply) == Taken::Changes;
+        let fresh = self.apply_changes_reply(after, sent, reply) == ChangesOutcome::Applied;
         if fresh {
-            // It served as a watch as well.
-            let gap = self.gap(WATCH_GAP, WATCH_SHARE);
-            self.store.watch_at = self.store.watch_at.max(sent + gap);
+            // The read replaces a watch.
+            let min_interval = self.min_interval(MIN_WATCH_INTERVAL, WATCH_REQUEST_SHARE);
+            self.store.next_watch_at = self.store.next_watch_at.max(sent + min_interval);
         }
         self.asks_read(asks, fresh);
         self.refresh_view();
     }
 
-    /// Whether writes need not be spared.
+    /// Whether the write budget has room to spare.
     pub(crate) fn has_spare_writes(&mut self) -> bool {
         self.store.writes.is_rich(self.now)
     }
 
-    /// Whether a transaction keeps to the sizes that the service takes, or
-    /// will take.
+    /// Whether a transaction keeps to the size limits of the state service, including
+    /// announced lower ones.
     pub(crate) fn txn_fits(&self, txn: &Txn) -> bool {
         let limits = self.limits();
         let most = limits.value_bytes();
@@ -629,15 +652,16 @@
             && json_len(txn) <= MAX_TXN
     }
 
-    /// Sends a transaction if the budget allows; false: try again later.
+    /// Sends a transaction if the budget allows. If it returns false, the caller has to
+    /// try again later.
     pub(crate) fn send_txn(&mut self, txn: Txn, purpose: Purpose, urgency: Urgency) -> bool {
         let puts = txn.changes.len() as f64;
         if urgency == Urgency::Session {
             self.store.requests.force(self.now, 1.0);
             self.store.writes.force(self.now, puts);
         } else {
-            // Nothing is taken from one budget when the other has too little:
-            // tries that fail would use it up for everybody else.
+            // Nothing is taken from one budget if the other has too little: failed attempts
+            // would use it up for other transactions.
             let (now, reserve) = (self.now, urgency.reserve());
             let store = &mut self.store;
             if !store.requests.has(now, 1.0, reserve) {
@@ -649,7 +673,10 @@
             }
             store.requests.take(now, 1.0, reserve);
         }
-        log::debug!("writes {puts}: {}, {urgency:?}", purpose.name());
+        log::debug!(
+            "sending transaction: {}, {puts} changes, urgency {urgency:?}",
+            purpose.name()
+        );
         let body = encode(&txn);
         let pending = Pending::Txn(purpose, txn);
         self.state_call(Method::Post, "/multi".into(), body, pending);
@@ -672,7 +699,7 @@
                     }
                     400 => {
                         log::error!(
-                            "the state service does not take a transaction: {}",
+                            "the state service rejected a transaction as malformed or too large: {}",
                             String::from_utf8_lossy(body)
                         );
                         Outcome::Impossible
--- a/crates/core/src/store/session.rs
+++ b/crates/core/src/store/session.rs
@@ -1,4 +1,5 @@
-//! The lease that says that we are up, our record as a member, and the lead.
+//! The session of this controller at the state service: the lease of its membership,
+//! its member record and the leader record.
 
 use std::time::Duration;
 
@@ -15,73 +16,78 @@
 };
 
 impl Controller {
-    pub(super) fn keep_hold(&mut self) {
-        if self.store.hold_pending || self.now < self.store.touch_at {
+    pub(super) fn keep_member_lease(&mut self) {
+        if self.store.member_lease_pending || self.now < self.store.renew_lease_at {
             return;
         }
         self.store.requests.force(self.now, 1.0);
-        self.store.hold_pending = true;
-        match self.store.hold {
+        self.store.member_lease_pending = true;
+        match self.store.member_lease {
             None => {
                 let ttl_ms = self.tuning.member_lease.as_millis() as u64;
                 let body = encode(&NewLease { ttl_ms });
                 self.state_call(Method::Post, "/holds".into(), body, Pending::LeaseGrant);
             }
-            Some(hold) => {
-                let path = format!("/holds/{hold}/touch");
+            Some(member_lease) => {
+                let path = format!("/holds/{member_lease}/touch");
                 self.state_call(Method::Post, path, Vec::new(), Pending::LeaseRenewal);
             }
         }
     }
 
     pub(crate) fn lease_grant_answered(&mut self, reply: &Reply, sent: Duration) {
-        self.store.hold_pending = false;
-        self.store.touch_at = self.now + Duration::from_millis(300);
+        self.store.member_lease_pending = false;
+        self.store.renew_lease_at = self.now + Duration::from_millis(300);
         if let Reply::Answer { status: 200, body } = reply
             && let Ok(grant) = decode::<LeaseGrant>(body)
         {
-            self.store.hold = Some(grant.lease);
-            self.store.touch_at = sent + self.tuning.member_lease / 3;
+            self.store.member_lease = Some(grant.lease);
+            self.store.renew_lease_at = sent + self.tuning.member_lease / 3;
         }
     }
 
     pub(crate) fn lease_renewal_answered(&mut self, reply: &Reply, sent: Duration) {
-        self.store.hold_pending = false;
+        self.store.member_lease_pending = false;
         match reply {
             Reply::Answer { status: 404, .. } => {
-                log::info!("our lease at the state service has run out");
-                self.store.hold = None;
-                self.store.touch_at = self.now;
+                log::info!(
+                    "the membership lease at the state service has expired: requesting a new one"
+                );
+                self.store.member_lease = None;
+                self.store.renew_lease_at = self.now;
             }
             Reply::Answer { status: 200, .. } => {
-                self.store.touch_at = sent + self.tuning.member_lease / 3;
+                self.store.renew_lease_at = sent + self.tuning.member_lease / 3;
             }
-            _ => self.store.touch_at = self.now + Duration::from_millis(250),
+            _ => self.store.renew_lease_at = self.now + Duration::from_millis(250),
         }
     }
 
-    /// Lets our lease run out, so that the leader gives our blocks away under new
-    /// terms; a new lease is taken at once.
+    /// Abandons the membership lease, so that the leader leases this controller's blocks
+    /// again under new terms once it has expired. A new lease is requested at once.
     pub(crate) fn rejoin(&mut self) {
-        log::info!("we leave and join anew");
-        self.store.hold = None;
-        self.store.touch_at = self.now;
+        log::info!("abandoning the membership lease to join again under a new one");
+        self.store.member_lease = None;
+        self.store.renew_lease_at = self.now;
     }
 
-    pub(super) fn keep_member(&mut self) {
-        let Some(hold) = self.store.hold else { return };
+    pub(super) fn keep_member_record(&mut self) {
+        let Some(member_lease) = self.store.member_lease else {
+            return;
+        };
         let node = &self.settings.node;
         let listed = self.view.members.get(node);
         let ours = listed.is_some_and(|m| m.record.incarnation == self.incarnation);
-        let waits = self.store.member_pending || self.view.revision < self.store.session_at;
+        let waits =
+            self.store.member_write_pending || self.view.revision < self.store.session_visible_at;
         if ours || waits || !self.store.ready || self.is_founding() {
             return;
         }
         let record = self.member_record();
         let key = Key::Member(node.clone()).path();
         let txn = Txn {
-            // A late copy of what a process of our name from before has written
-            // must not put its record in the place of ours.
+            // A delayed write of an earlier process of the same name must not replace
+            // this controller's record.
             conds: vec![Cond {
                 key: key.clone(),
                 version: listed.map_or(0, |m| m.version),
@@ -89,10 +95,10 @@
             changes: vec![Change::Put {
                 key,
                 value: to_list(&record),
-                lease: Some(hold),
+                lease: Some(member_lease),
             }],
         };
-        self.store.member_pending = self.send_txn(txn, Purpose::Member, Urgency::Session);
+        self.store.member_write_pending = self.send_txn(txn, Purpose::Member, Urgency::Session);
     }
 
     fn member_record(&self) -> MemberRecord {
@@ -104,31 +110,32 @@
     }
 
     pub(crate) fn member_written(&mut self, outcome: Outcome) {
-        self.store.member_pending = false;
+        self.store.member_write_pending = false;
         self.session_written(outcome);
     }
 
     fn session_written(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::NoLease => {
-                self.store.hold = None;
-                self.store.touch_at = self.now;
+                self.store.member_lease = None;
+                self.store.renew_lease_at = self.now;
             }
             Outcome::Done(revision) | Outcome::Conflict(revision) => {
-                self.store.session_at = self.store.session_at.max(revision);
+                self.store.session_visible_at = self.store.session_visible_at.max(revision);
             }
             Outcome::Refused | Outcome::Impossible | Outcome::Unknown => {}
         }
     }
 
-    /// Takes the lead when nobody has it, or when it belongs to an earlier
-    /// incarnation of this very controller, which is surely gone.
+    /// Writes the leader record if there is none, or if it names an earlier incarnation
+    /// of this controller, which is known to be gone.
     pub(super) fn seek_leadership(&mut self) {
         let backs_off = self.defers_candidacy();
-        let Some(hold) = self.store.hold.filter(|_| !backs_off) else {
+        let Some(member_lease) = self.store.member_lease.filter(|_| !backs_off) else {
             return;
         };
-        let waits = self.store.lead_pending || self.view.revision < self.store.session_at;
+        let waits =
+            self.store.leader_write_pending || self.view.revision < self.store.session_visible_at;
         if waits || !self.in_contact() || self.is_founding() {
             return;
         }
@@ -151,14 +158,14 @@
             changes: vec![Change::Put {
                 key,
                 value: to_list(&self.member_record()),
-                lease: Some(hold),
+                lease: Some(member_lease),
             }],
         };
-        self.store.lead_pending = self.send_txn(txn, Purpose::Leadership, Urgency::Session);
+        self.store.leader_write_pending = self.send_txn(txn, Purpose::Leadership, Urgency::Session);
     }
 
     pub(crate) fn lead_written(&mut self, outcome: Outcome) {
-        self.store.lead_pending = false;
+        self.store.leader_write_pending = false;
         self.session_written(outcome);
     }
 }
--- a/crates/core/src/store/tests.rs
+++ b/crates/core/src/store/tests.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// The call whose path begins so, and is or is no watch.
+/// The id of the call whose path starts with `path` and that is a watch or not.
 fn call(outputs: &[Output], path: &str, watch: bool) -> u64 {
     let found = outputs.iter().find_map(|output| match output {
         Output::Call(call) => (call.path.starts_with(path)
@@ -51,14 +51,14 @@
     answer(200, encode(&Events { revision, events }))
 }
 
-/// Its block may be another's by then, and a cancellation may have been
-/// missed: within the contact limit a controller that woke up answered its
-/// workers all the same.
+/// A controller that resumed after a pause within the contact limit answered its
+/// workers, although its blocks may have been leased to another controller and it may
+/// have missed a cancellation.
 #[test]
-fn whoever_stood_still_acts_only_after_new_contact() {
+fn a_controller_acts_after_a_pause_only_with_new_contact() {
     let mut controller = controller();
     controller.store.ready = true;
-    controller.store.contact = Some(now(1000).monotonic);
+    controller.store.last_contact = Some(now(1000).monotonic);
     for ms in [1000, 2000, 3000] {
         controller.handle(now(ms), Input::Tick);
         assert!(controller.may_act(), "{ms}");
@@ -66,7 +66,7 @@
     let outputs = controller.handle(now(9000), Input::Tick);
     assert!(controller.settings.contact_limit() > Duration::from_secs(8));
     assert!(!controller.may_act() && !controller.in_contact());
-    // It asks at once, and does not wait for something to change.
+    // It reads at once instead of waiting for a change.
     let read = call(&outputs, "/changes", false);
     controller.handle(now(9010), Input::Reply(read, events(5)));
     assert!(controller.may_act() && controller.in_contact());
@@ -86,13 +86,13 @@
     answer(200, encode(&page))
 }
 
-/// A controller that uses records of revision 4 and has just been told that the
-/// changes since are no longer kept; with its request for the first page.
-fn told_too_old(breaks: fn(&mut Controller)) -> (Controller, u64) {
+/// A controller with the view of revision 4 that has just learned that the changes
+/// since then are no longer kept, and its request for the first page.
+fn with_changes_too_old(breaks: fn(&mut Controller)) -> (Controller, u64) {
     let mut controller = controller();
     breaks(&mut controller);
     controller.store.ready = true;
-    controller.store.contact = Some(now(1000).monotonic);
+    controller.store.last_contact = Some(now(1000).monotonic);
     controller.view.revision = 4;
     let outputs = controller.handle(now(1010), Input::Tick);
     let watch = call(&outputs, "/changes", true);
@@ -101,9 +101,9 @@
     (controller, first)
 }
 
-/// The same after the first page, with its requests for a user and for the second page.
-fn reads_the_second_page(breaks: fn(&mut Controller)) -> (Controller, [u64; 2]) {
-    let (mut controller, first) = told_too_old(breaks);
+/// The same after the first page, and its requests for a user and for the second page.
+fn reading_the_second_page(breaks: fn(&mut Controller)) -> (Controller, [u64; 2]) {
+    let (mut controller, first) = with_changes_too_old(breaks);
     controller.poll(7, "j-1");
     let outputs = controller.handle(now(1110), Input::Tick);
     let read = call(&outputs, "/changes", false);
@@ -112,22 +112,22 @@
     (controller, [read, second])
 }
 
-/// While all was read anew, a read for a user brought the view before up to date. The
-/// pages are of different moments and may lack a cancellation that the view before
-/// had; that view's contact counted for them all the same.
+/// During a new read of all records, a read for a user brought the old view up to date.
+/// The pages were of different revisions and could lack a cancellation that the old view
+/// had, but replaced it, and the old view's contact counted for them.
 #[test]
 fn records_are_used_only_once_they_are_consistent() {
     let replaced = |breaks| {
-        let (mut controller, [read, second]) = reads_the_second_page(breaks);
+        let (mut controller, [read, second]) = reading_the_second_page(breaks);
         controller.handle(now(1130), Input::Reply(read, events(12)));
-        assert!(controller.in_contact(), "the view before is whole");
+        assert!(controller.in_contact(), "the old view is up to date");
         let outputs = controller.handle(now(1140), Input::Reply(second, page(false, 13)));
         (controller, outputs)
     };
     let (mut controller, outputs) = replaced(|_| {});
-    assert_eq!(controller.view.revision, 12, "the view before is in use");
+    assert_eq!(controller.view.revision, 12, "the old view is in use");
     let changes = call(&outputs, "/changes", false);
-    // It was answered before the last page was.
+    // This answer is of a revision before that of the last page.
     let outputs = controller.handle(now(1150), Input::Reply(changes, events(12)));
     assert_eq!(
         (
@@ -145,20 +145,23 @@
         ),
         (13, 9)
     );
-    assert_eq!(controller.store.contact, Some(now(1150).monotonic));
+    assert_eq!(controller.store.last_contact, Some(now(1150).monotonic));
     #[cfg(feature = "sabotage")]
     {
         let (controller, _) = replaced(|c| c.sabotage = Some(crate::Sabotage::PartialView));
-        assert_eq!(controller.view.revision, 10, "which the test has to notice");
+        assert_eq!(
+            controller.view.revision, 10,
+            "the injected fault is noticed"
+        );
     }
 }
 
-/// Another request was told so as well, while the second page was on its way: that
-/// page was taken for the first one of a new reading.
+/// While the second page was in flight, another request learned that its changes were no
+/// longer kept. That restarted the read, and the page was taken for the first one.
 #[test]
 fn a_second_answer_that_changes_are_too_old_changes_nothing() {
     let asked_next = |breaks| {
-        let (mut controller, [read, second]) = reads_the_second_page(breaks);
+        let (mut controller, [read, second]) = reading_the_second_page(breaks);
         controller.handle(now(1130), Input::Reply(read, answer(410, Vec::new())));
         let outputs = controller.handle(now(1140), Input::Reply(second, page(false, 13)));
         let asked = outputs.iter().find_map(|output| match output {
@@ -172,17 +175,17 @@
     #[cfg(feature = "sabotage")]
     {
         let mixed = asked_next(|c| c.sabotage = Some(crate::Sabotage::MixedReads));
-        assert_eq!(mixed.0, 13, "which the test has to notice");
+        assert_eq!(mixed.0, 13, "the injected fault is noticed");
     }
 }
 
-/// An answer that was overtaken by others tells of changes that are known, and
-/// brought back what had been deleted since.
+/// An answer overtaken by later ones holds changes that are known already. Applying them
+/// brought back records that had been deleted since.
 #[test]
-fn an_overtaken_answer_brings_nothing_back() {
+fn an_overtaken_answer_restores_no_deleted_records() {
     let mut controller = controller();
     controller.store.ready = true;
-    controller.store.contact = Some(now(1000).monotonic);
+    controller.store.last_contact = Some(now(1000).monotonic);
     controller.view.revision = 4;
     let outputs = controller.handle(now(1010), Input::Tick);
     let watch = call(&outputs, "/changes", true);
@@ -207,31 +210,34 @@
     );
 }
 
-/// A state service that has lost data is no contact: what we know may be undone.
+/// A revision that goes back means that the state service has lost data. Its answer must
+/// not count as contact, as records that the controller relies on may be gone.
 #[test]
-fn a_revision_that_goes_back_is_a_violation_and_no_contact() {
+fn a_decreasing_revision_is_a_violation_and_no_contact() {
     let mut controller = controller();
     controller.store.ready = true;
-    controller.store.contact = Some(now(1000).monotonic);
+    controller.store.last_contact = Some(now(1000).monotonic);
     controller.view.revision = 4;
     let outputs = controller.handle(now(1010), Input::Tick);
     let watch = call(&outputs, "/changes", true);
     controller.handle(now(1020), Input::Reply(watch, events(3)));
     assert_eq!(controller.violations(), 1);
-    assert_eq!(controller.store.contact, Some(now(1000).monotonic));
+    assert_eq!(controller.store.last_contact, Some(now(1000).monotonic));
 }
 
-/// A controller that lost the state service and all peers at once, and no users, heard
-/// of nobody's contact, took it for an outage of all and called itself healthy.
+/// A controller that lost the state service and all peers at once, but not its users,
+/// learned of no peer's contact, took this for a general outage and called itself
+/// healthy.
 #[test]
-fn whoever_is_cut_off_alone_is_not_healthy() {
+fn an_isolated_controller_is_not_healthy() {
     let peer = r#"{"member":"n-1","site":"a","endpoint":"10.0.0.2:81"}"#;
-    // What comes back for a watch, and whether the peer is heard, without contact.
-    let healthy_after = |ms: u64, reply: Option<Reply>, hears: bool| {
+    // `reply` answers each watch; `hears_peer` is whether messages arrive from the peer, which
+    // has no contact either.
+    let healthy_after = |ms: u64, reply: Option<Reply>, hears_peer: bool| {
         let mut controller = with_peers(peer);
         controller.store.ready = true;
-        controller.store.contact = Some(now(1000).monotonic);
-        controller.store.answered = now(1000).monotonic;
+        controller.store.last_contact = Some(now(1000).monotonic);
+        controller.store.last_answer_at = now(1000).monotonic;
         let mut at = 1000;
         while at < 1000 + ms {
             at += 100;
@@ -247,7 +253,7 @@
                     controller.handle(now(at), Input::Reply(call.id, reply.clone()));
                 }
             }
-            if hears {
+            if hears_peer {
                 let message = oliveshift_wire::peer::PeerMessage {
                     from: "n-1".into(),
                     incarnation: 7,
@@ -265,8 +271,11 @@
         controller.healthy()
     };
     let refused = || Some(answer(503, Vec::new()));
-    assert!(healthy_after(3000, None, false), "it may be a moment");
-    assert!(!healthy_after(6000, None, false), "cut off alone");
+    assert!(
+        healthy_after(3000, None, false),
+        "not silent for long enough"
+    );
+    assert!(!healthy_after(6000, None, false), "isolated");
     assert!(healthy_after(6000, refused(), false), "an outage");
     assert!(
         healthy_after(6000, None, true),
