--- a/crates/core/src/gate.rs
+++ b/crates/core/src/admission_shares.rs
@@ -30,8 +30,8 @@
 
 use crate::{
     floors::Flow,
+    queue_order::{QueueOrder, dominant_share},
     records::Phase,
-    serving::{Serving, most_share},
     view::View,
 };
 
@@ -107,7 +107,7 @@
 
 impl AdmissionRecord {
     /// Whether anybody may be refused under it.
-    pub fn limits(&self) -> bool {
+    pub fn is_limiting(&self) -> bool {
         !self.nodes.is_empty()
     }
 
@@ -123,7 +123,7 @@
 
     /// All that can be let in under it, by all controllers, without what goes
     /// beyond a share by one job.
-    pub fn whole_s(&self) -> f64 {
+    pub fn total_s(&self) -> f64 {
         let flows: f64 = self.flows.iter().map(|f| f.share_s).sum();
         (flows + self.other_s + self.reserve_s) * self.nodes.len() as f64
     }
@@ -137,30 +137,30 @@
         gpus,
         memory_gb,
     };
-    let run_s = most_share(&spec.amounts(), &fleet) * f64::from(tasks) * spec.estimate_s;
+    let run_s = dominant_share(&spec.amounts(), &fleet) * f64::from(tasks) * spec.estimate_s;
     run_s.max(horizon_s / MOST_JOBS)
 }
 
 /// Whether a job is subject to shares: services are people's, few, and stop
 /// others; they are refused only by their team's limit.
-pub(crate) fn is_subject(spec: &JobSpec) -> bool {
+pub(crate) fn needs_share(spec: &JobSpec) -> bool {
     spec.shape != Shape::Service
 }
 
 /// What a submission is told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It may come in, whatever the record is by then.
-    Free,
+    Unrestricted,
     /// It may come in as long as the record has this version.
-    Under(u64),
+    IfVersion(u64),
     /// It is refused and should come again after this time.
-    Later(Duration),
+    RetryAfter(Duration),
 }
 
 /// A place kept for somebody who was refused.
 #[derive(Debug)]
-struct Kept {
+struct RetrySlot {
     flow: Flow,
     work_s: f64,
     at: Duration,
@@ -168,36 +168,36 @@
 
 /// A controller's own shares, and what it has spent of them.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct AdmissionShares {
     version: u64,
     since: Duration,
     spent: BTreeMap<Flow, f64>,
     other_spent: f64,
     reserve_spent: f64,
-    kept: BTreeMap<JobId, Kept>,
+    retry_slots: BTreeMap<JobId, RetrySlot>,
     /// When the last place of each flow is.
-    last_place: BTreeMap<Flow, Duration>,
+    last_retry_at: BTreeMap<Flow, Duration>,
     /// What is broken on purpose.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<crate::Sabotage>,
 }
 
-impl Gate {
+impl AdmissionShares {
     /// Whether a job may come in now. `record` is the newest one that this
     /// controller, `node` by its name and incarnation, has seen.
-    pub fn ask(
+    pub fn admit(
         &mut self,
         now: Duration,
         node: (&str, u64),
         record: Option<(u64, &AdmissionRecord)>,
         spec: &JobSpec,
-    ) -> Verdict {
-        let Some((version, record)) = record.filter(|(_, r)| r.limits()) else {
-            self.kept.clear();
-            return Verdict::Free;
+    ) -> AdmissionDecision {
+        let Some((version, record)) = record.filter(|(_, r)| r.is_limiting()) else {
+            self.retry_slots.clear();
+            return AdmissionDecision::Unrestricted;
         };
-        if !is_subject(spec) {
-            return Verdict::Free;
+        if !needs_share(spec) {
+            return AdmissionDecision::Unrestricted;
         }
         self.follow(now, version);
         if !record
@@ -206,31 +206,35 @@
             .any(|(name, life)| (name.as_str(), *life) == node)
         {
             // Just up: the next record has a share for it.
-            return Verdict::Later(SOON);
+            return AdmissionDecision::RetryAfter(SOON);
         }
         let work = record.work_s(spec);
         let flow = self.named(record, Flow::of(spec));
-        let mine = self.kept.get(&spec.id).is_some_and(|k| now >= k.at);
-        let kept = if mine { 0.0 } else { self.kept_for(&flow, now) };
+        let mine = self.retry_slots.get(&spec.id).is_some_and(|k| now >= k.at);
+        let held = if mine {
+            0.0
+        } else {
+            self.held_work_s(&flow, now)
+        };
         let (share, spent) = match record.flow(&flow) {
             Some(f) => (f.share_s, self.spent.get(&flow).copied().unwrap_or(0.0)),
             None => (record.other_s, self.other_spent),
         };
         // A job that is larger than any share comes in on an untouched one.
-        let fits = spent + work + kept <= share + 1e-9;
-        let large = spent <= 0.0 && kept <= 0.0 && share > 0.0;
+        let fits = spent + work + held <= share + 1e-9;
+        let large = spent <= 0.0 && held <= 0.0 && share > 0.0;
         if fits || large {
             self.spend(record, &flow, work);
-            self.kept.remove(&spec.id);
-            return Verdict::Under(version);
+            self.retry_slots.remove(&spec.id);
+            return AdmissionDecision::IfVersion(version);
         }
         let stale = now > self.since + STALE;
         if stale && self.reserve_spent + work <= record.reserve_s + 1e-9 {
             self.reserve_spent += work;
-            self.kept.remove(&spec.id);
-            return Verdict::Under(version);
+            self.retry_slots.remove(&spec.id);
+            return AdmissionDecision::IfVersion(version);
         }
-        Verdict::Later(self.place(now, record, flow, work, &spec.id))
+        AdmissionDecision::RetryAfter(self.assign_retry(now, record, flow, work, &spec.id))
     }
 
     /// A job that was let in under a version did not come in.
@@ -259,7 +263,7 @@
             self.other_spent = 0.0;
             self.reserve_spent = 0.0;
         }
-        self.kept.retain(|_, kept| now <= kept.at + GRACE);
+        self.retry_slots.retain(|_, slot| now <= slot.at + GRACE);
     }
 
     /// The flow whose share counts, which is another one only if it is broken
@@ -276,8 +280,8 @@
     }
 
     /// What is kept of a flow for those who were told to come by now.
-    fn kept_for(&self, flow: &Flow, now: Duration) -> f64 {
-        let due = self.kept.values();
+    fn held_work_s(&self, flow: &Flow, now: Duration) -> f64 {
+        let due = self.retry_slots.values();
         let due = due.filter(|k| k.flow == *flow && k.at <= now + SOON);
         due.map(|k| k.work_s).sum()
     }
@@ -285,7 +289,7 @@
     /// Keeps a place for somebody who is refused: one after the other, as fast
     /// as the flow drains, so that they don't all come at once. Who comes too
     /// early keeps his.
-    fn place(
+    fn assign_retry(
         &mut self,
         now: Duration,
         record: &AdmissionRecord,
@@ -293,19 +297,20 @@
         work_s: f64,
         id: &JobId,
     ) -> Duration {
-        if let Some(kept) = self.kept.get(id).filter(|k| k.at > now) {
-            return (kept.at - now).clamp(SOON, LATEST);
+        if let Some(slot) = self.retry_slots.get(id).filter(|k| k.at > now) {
+            return (slot.at - now).clamp(SOON, LATEST);
         }
         let named = record.flow(&flow);
         let drain = named.map_or(0.0, |f| f.drain) / record.nodes.len().max(1) as f64;
         let takes = Duration::try_from_secs_f64(work_s / drain.max(1e-6)).unwrap_or(LATEST);
-        let last = self.last_place.get(&flow).copied().unwrap_or_default();
+        let last = self.last_retry_at.get(&flow).copied().unwrap_or_default();
         // Behind the last one, and soonest in a second.
         let at = last.max(now) + takes.clamp(Duration::from_millis(20), LATEST);
         let at = at.clamp(now + SOON, now + LATEST);
-        self.last_place.insert(flow.clone(), at);
-        if self.kept.len() < MOST_PLACES {
-            self.kept.insert(id.clone(), Kept { flow, work_s, at });
+        self.last_retry_at.insert(flow.clone(), at);
+        if self.retry_slots.len() < MOST_PLACES {
+            self.retry_slots
+                .insert(id.clone(), RetrySlot { flow, work_s, at });
         }
         at - now
     }
@@ -313,7 +318,7 @@
 
 /// What the leader sees of a flow.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Demand {
+pub struct FlowLoad {
     /// What is open, in seconds of the whole fleet.
     pub open_s: f64,
     /// How fast it drains: seconds of the whole fleet in a second.
@@ -322,24 +327,29 @@
 
 /// All that the leader sees.
 #[derive(Clone, Debug, Default)]
-pub struct Demands {
+pub struct FleetLoad {
     /// The fleet: processors, accelerators, GB of memory.
     pub fleet: [f64; 3],
     /// The horizon in seconds.
     pub horizon_s: f64,
     /// By flow.
-    pub flows: BTreeMap<Flow, Demand>,
+    pub flows: BTreeMap<Flow, FlowLoad>,
     /// The jobs that are open and subject to shares, with their flow and work.
     pub open: BTreeMap<JobId, (Flow, f64)>,
     /// The controllers that are up, with their incarnations.
     pub nodes: Vec<(String, u64)>,
     /// Machines are on their way: the fleet is not yet what it can be.
-    pub grows: bool,
+    pub is_growing: bool,
 }
 
-impl Demands {
+impl FleetLoad {
     /// Looks at all open jobs. `fleet` is what all machines have.
-    pub(crate) fn look(view: &View, serving: &Serving, fleet: [f64; 3], horizon: Duration) -> Self {
+    pub(crate) fn from_view(
+        view: &View,
+        queue_order: &QueueOrder,
+        fleet: [f64; 3],
+        horizon: Duration,
+    ) -> Self {
         let mut seen = Self {
             fleet,
             horizon_s: horizon.as_secs_f64(),
@@ -354,15 +364,15 @@
             let Some(job) = view.jobs.get(id).filter(|j| j.phase == Phase::Open) else {
                 continue;
             };
-            let Some(spec) = job.spec.as_ref().filter(|s| is_subject(s)) else {
+            let Some(spec) = job.spec.as_ref().filter(|s| needs_share(s)) else {
                 continue;
             };
             let left = job.tasks.saturating_sub(job.done);
             let work = work_s(spec, left, fleet, seen.horizon_s);
             let flow = job.flow.clone().unwrap_or_else(|| Flow::of(spec));
-            let demand = seen.flows.entry(flow.clone()).or_insert_with(|| Demand {
+            let demand = seen.flows.entry(flow.clone()).or_insert_with(|| FlowLoad {
                 open_s: 0.0,
-                drain: serving.rate(&flow),
+                drain: queue_order.drain_rate(&flow),
             });
             demand.open_s += work;
             seen.open.insert(id.clone(), (flow, work));
@@ -373,7 +383,7 @@
 
 /// The leader's side: what the next record says, and when it is due.
 #[derive(Debug, Default)]
-pub struct Steward {
+pub struct SharePlanner {
     at: Duration,
     /// The record of which we know what came in since it was written, and the
     /// jobs that had come in when we saw it first.
@@ -383,16 +393,16 @@
     pub sabotage: Option<crate::Sabotage>,
 }
 
-impl Steward {
+impl SharePlanner {
     /// The record to be written in place of the present one, if any is due.
-    pub fn next(
+    pub fn next_record(
         &mut self,
         now: Duration,
         present: Option<(u64, &AdmissionRecord)>,
-        seen: &Demands,
+        seen: &FleetLoad,
     ) -> Option<AdmissionRecord> {
         let version = present.map_or(0, |(v, _)| v);
-        let limits = present.filter(|(_, r)| r.limits()).map(|(_, r)| r);
+        let limits = present.filter(|(_, r)| r.is_limiting()).map(|(_, r)| r);
         if self.since.as_ref().is_none_or(|(v, _)| *v != version) {
             // What had come in by now may have been under this record or not:
             // none of it counts as spent, and all shares as still to be spent.
@@ -403,7 +413,7 @@
         }
         let open: f64 = seen.flows.values().map(|d| d.open_s).sum();
         let full = seen.horizon_s * if limits.is_some() { CALM } else { ACTIVE };
-        let grows = seen.grows && limits.is_none();
+        let grows = seen.is_growing && limits.is_none();
         if open < full || grows || seen.nodes.is_empty() {
             self.at = now;
             return limits.map(|_| AdmissionRecord::default());
@@ -430,7 +440,7 @@
 
     /// What may still be let in, by flow, under the present record by the time
     /// the next one is written, beyond what we see.
-    fn unspent(&self, present: Option<&AdmissionRecord>, seen: &Demands) -> Unspent {
+    fn unspent(&self, present: Option<&AdmissionRecord>, seen: &FleetLoad) -> Unspent {
         let Some(record) = present else {
             return Unspent::default();
         };
@@ -478,7 +488,7 @@
 /// length thresholds (1998): however many flood, something stays free for those
 /// who do not, and a single flow may have most. Within that, max-min fair. What
 /// may have been spent meanwhile counts as open.
-fn divide(seen: &Demands, unspent: &Unspent, part: f64) -> AdmissionRecord {
+fn divide(seen: &FleetLoad, unspent: &Unspent, part: f64) -> AdmissionRecord {
     let names: BTreeSet<&Flow> = seen.flows.keys().chain(unspent.flows.keys()).collect();
     let nodes = seen.nodes.len() as f64;
     let have = names.iter().map(|flow| {
--- a/crates/core/src/assigned_tasks/tests.rs
+++ b/crates/core/src/assigned_tasks/tests.rs
@@ -95,7 +95,7 @@
         configure(&mut controller);
         let id: JobId = "j-1".parse().expect("an id");
         let spec = job_spec();
-        let block = fixtures::block_of(&controller);
+        let block = fixtures::block_record(&controller);
         let list = fixtures::machine_list();
         let job = JobRecord {
             phase: Phase::Open,
@@ -116,7 +116,7 @@
             (Key::Chunk(id.clone(), 0), chunk.to_value(), 7),
             (Key::Block(0), to_list(&block), 9),
         ];
-        fixtures::show(&mut controller, records);
+        fixtures::apply_records(&mut controller, records);
         let at = Duration::from_secs(1);
         let now = Now {
             monotonic: at,
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -11,19 +11,19 @@
     tokens: f64,
     at: Duration,
     /// The most urgent of those that had to wait lately.
-    claim: Option<Claim>,
+    blocked: Option<BlockedRequest>,
 }
 
 /// Somebody waits for so much to be in the bucket.
 #[derive(Clone, Copy, Debug)]
-struct Claim {
+struct BlockedRequest {
     cost: f64,
     reserve: f64,
     until: Duration,
 }
 
 /// For how long a claim that is not renewed counts.
-const CLAIM: Duration = Duration::from_millis(300);
+const BLOCKED_REQUEST_TTL: Duration = Duration::from_millis(300);
 
 impl Budget {
     /// A full bucket that holds `burst_s` seconds' worth.
@@ -34,7 +34,7 @@
             burst,
             tokens: burst,
             at: Duration::ZERO,
-            claim: None,
+            blocked: None,
         }
     }
 
@@ -56,10 +56,10 @@
     /// is left for what matters more. What is larger than that ever allows
     /// goes when the bucket is full: a job whose last write was too large for
     /// a small share was never recorded as done.
-    pub fn has(&mut self, now: Duration, cost: f64, reserve: f64) -> bool {
+    pub fn can_take(&mut self, now: Duration, cost: f64, reserve: f64) -> bool {
         self.refill(now);
-        self.claim = self.claim.filter(|c| now < c.until);
-        let before = self.claim.filter(|c| c.reserve < reserve);
+        self.blocked = self.blocked.filter(|c| now < c.until);
+        let before = self.blocked.filter(|c| c.reserve < reserve);
         let floor = self.burst * reserve + before.map_or(0.0, |c| c.cost);
         let large = cost > self.burst - floor && self.tokens >= self.burst - 1e-9;
         self.tokens - cost >= floor || large
@@ -68,13 +68,13 @@
     /// Has those wait that matter less, until there is enough for this. What
     /// is large would otherwise never be there: whatever drips in went to small
     /// requests, and for minutes no machine was taken into a block.
-    pub fn claim(&mut self, now: Duration, cost: f64, reserve: f64) {
+    pub fn record_blocked(&mut self, now: Duration, cost: f64, reserve: f64) {
         if self
-            .claim
+            .blocked
             .is_none_or(|c| now >= c.until || reserve <= c.reserve)
         {
-            let until = now + CLAIM;
-            self.claim = Some(Claim {
+            let until = now + BLOCKED_REQUEST_TTL;
+            self.blocked = Some(BlockedRequest {
                 cost,
                 reserve,
                 until,
@@ -83,29 +83,29 @@
     }
 
     /// Whether there is so much left that nothing needs to be spared.
-    pub fn is_rich(&mut self, now: Duration) -> bool {
+    pub fn is_mostly_full(&mut self, now: Duration) -> bool {
         self.refill(now);
         self.tokens >= 0.75 * self.burst
     }
 
     /// Takes `cost` if it can be had.
     pub fn take(&mut self, now: Duration, cost: f64, reserve: f64) -> bool {
-        let has = self.has(now, cost, reserve);
+        let has = self.can_take(now, cost, reserve);
         if has {
             self.tokens -= cost;
-            self.claim = self.claim.filter(|c| c.reserve < reserve);
+            self.blocked = self.blocked.filter(|c| c.reserve < reserve);
         }
         has
     }
 
     /// Takes `cost` in any case; what follows waits the longer.
-    pub fn force(&mut self, now: Duration, cost: f64) {
+    pub fn charge(&mut self, now: Duration, cost: f64) {
         self.refill(now);
         self.tokens = (self.tokens - cost).max(-self.burst);
     }
 
     /// Empties the bucket: the other side says that it is too much.
-    pub fn drain(&mut self, now: Duration) {
+    pub fn empty(&mut self, now: Duration) {
         self.refill(now);
         self.tokens = self.tokens.min(0.0);
     }
@@ -121,7 +121,7 @@
         let mut budget = Budget::new(2.9, 1.0);
         assert!(budget.take(s(0), 3.0, 0.05));
         assert!(!budget.take(s(0), 1.0, 0.05), "it is paid for afterwards");
-        assert!(!budget.has(s(1), 3.0, 0.05));
+        assert!(!budget.can_take(s(1), 3.0, 0.05));
         assert!(budget.take(s(3), 3.0, 0.4));
     }
 
@@ -129,14 +129,14 @@
     fn what_is_large_is_saved_for() {
         let ms = Duration::from_millis;
         let mut budget = Budget::new(6.0, 1.0);
-        budget.force(ms(0), 6.0);
+        budget.charge(ms(0), 6.0);
         let mut small = 0;
         let got = (1..100).find(|i| {
             let now = ms(50 * i);
             small += u32::from(budget.take(now, 1.0, 0.15));
             let got = budget.take(now, 5.0, 0.05);
             if !got {
-                budget.claim(now, 5.0, 0.05);
+                budget.record_blocked(now, 5.0, 0.05);
             }
             got
         });
@@ -153,6 +153,6 @@
         assert!(budget.take(now, 5.0, 0.0));
         assert!(!budget.take(now, 1.0, 0.0));
         assert!(budget.take(now, 10.0, -1.0), "on credit");
-        assert!(!budget.has(now, 1.0, -1.0));
+        assert!(!budget.can_take(now, 1.0, -1.0));
     }
 }
--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -74,7 +74,7 @@
 
     pub(crate) fn cloud_reply(&mut self, what: CloudCall, sent: Duration, reply: &Reply) {
         if matches!(reply, Reply::Answer { status: 429, .. }) {
-            self.fleet.budget.drain(self.now);
+            self.fleet.budget.empty(self.now);
         }
         match what {
             CloudCall::Types => {
@@ -96,7 +96,7 @@
                     Reply::Answer { status: 200, body } => decode::<MachineList>(body).ok(),
                     _ => None,
                 };
-                self.listed(page, sent);
+                self.list_answered(page, sent);
             }
             CloudCall::Rent(rent) => {
                 let names = match reply {
@@ -104,11 +104,11 @@
                     _ => None,
                 };
                 let refused = matches!(reply, Reply::Answer { status: 503, .. });
-                self.rented(rent, names.map(|n| n.names), refused);
+                self.rent_answered(rent, names.map(|n| n.names), refused);
             }
             CloudCall::Return(names) => {
                 let gone = matches!(reply, Reply::Answer { status: 200, .. });
-                self.returned(names, gone);
+                self.return_answered(names, gone);
             }
         }
     }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::{
-    admission::{Admission, Ask},
+    admission_shares::AdmissionShares,
     assigned_tasks::AssignedTask,
     blocks::HeldBlock,
     call::{Answer, Call, CallId, ConnId, Listener, Method, Output, Reply, Request, Target},
@@ -24,7 +24,6 @@
     fleet::Fleet,
     forwarding::Forwarding,
     futile::Futile,
-    gate::Gate,
     invariants::Invariants,
     leader::Leader,
     machine::Machine,
@@ -42,6 +41,7 @@
     team_use::TeamUse,
     tuning::Tuning,
     upgrade::Upgrade,
+    user_api::{UserRequest, UserRequests},
     view::View,
 };
 
@@ -227,7 +227,7 @@
     },
     Read {
         after: u64,
-        asks: Vec<Ask>,
+        user_requests: Vec<UserRequest>,
     },
     Txn(Purpose, Txn),
     Cloud(CloudCall),
@@ -317,9 +317,9 @@
     pub(crate) view: View,
     pub(crate) store: StoreClient,
     pub(crate) invariants: Invariants,
-    pub(crate) admission: Admission,
+    pub(crate) user_requests: UserRequests,
     /// Admission shares of this controller.
-    pub(crate) gate: Gate,
+    pub(crate) admission_shares: AdmissionShares,
     /// Machine types by name; empty until they have been read from the cloud.
     pub(crate) machine_types: BTreeMap<String, MachineType>,
     pub(crate) held_blocks: BTreeMap<BlockId, HeldBlock>,
@@ -395,8 +395,8 @@
             calls: HashMap::new(),
             view: View::default(),
             invariants: Invariants::default(),
-            admission: Admission::default(),
-            gate: Gate::default(),
+            user_requests: UserRequests::default(),
+            admission_shares: AdmissionShares::default(),
             machine_types: BTreeMap::new(),
             held_blocks: BTreeMap::new(),
             machines: BTreeMap::new(),
@@ -579,7 +579,7 @@
         let close = self.sockets.tick(self.now);
         self.close(close);
         self.store_tick();
-        self.admission_tick();
+        self.user_requests_tick();
         self.blocks_tick();
         self.links_tick();
         self.cloud_tick();
@@ -618,7 +618,7 @@
             (Listener::Public, (Some("work"), id, what, more), _) => {
                 self.relay
                     .store_request(self.now, conn, method, &path, &body);
-                self.serve_user(conn, method, (id, what, more), &body);
+                self.handle_user_request(conn, method, (id, what, more), &body);
             }
             (Listener::Public, (Some("checkin"), None, ..), Method::Post) => {
                 self.handle_report(conn, &body)
@@ -646,7 +646,7 @@
             (Listener::Internal, (Some("level"), None, ..), Method::Get)
                 if self.supported_level >= FormatLevel::PIPELINES =>
             {
-                self.tell_level(conn);
+                self.send_level(conn);
             }
             (Listener::Internal, (Some("admin"), Some("upgrade"), None, _), Method::Get) => {
                 self.upgrade_status(conn);
@@ -680,7 +680,10 @@
             Pending::LeaseRenewal => self.lease_renewal_answered(&reply, sent),
             Pending::Snapshot(part) => self.snapshot_answered(part, sent, &reply),
             Pending::Watch { after } => self.watch_answered(after, sent, &reply),
-            Pending::Read { after, asks } => self.read_answered(after, sent, asks, &reply),
+            Pending::Read {
+                after,
+                user_requests,
+            } => self.read_answered(after, sent, user_requests, &reply),
             Pending::Txn(purpose, txn) => {
                 let outcome = self.txn_outcome(&reply);
                 self.txn_done(purpose, txn, outcome);
@@ -695,7 +698,7 @@
             Pending::PeerMessage(peer, version) => {
                 self.peer_message_answered(&peer, version, &reply)
             }
-            Pending::FormatLevel(node) => self.level_told(&node, &reply),
+            Pending::FormatLevel(node) => self.level_answered(&node, &reply),
             Pending::Reach => {}
             Pending::RelayedRequest(conn) => self.relay_answered(conn, &reply),
             Pending::ForwardedReport(conn) => self.forward_answered(conn, &reply),
@@ -707,11 +710,11 @@
         match purpose {
             Purpose::Member => self.member_written(outcome),
             Purpose::Leadership => self.lead_written(outcome),
-            Purpose::User(id) => self.user_written(&id, outcome),
+            Purpose::User(id) => self.user_write_answered(&id, outcome),
             Purpose::Chunk(id, part) => self.chunk_written(id, part, txn, outcome),
             Purpose::LeaderWrite(what) => self.duty_written(what, outcome),
             Purpose::MachineLists => self.machine_lists_written(&txn, outcome),
-            Purpose::Upgrade(step) => self.upgrade_written(step, outcome),
+            Purpose::Upgrade(step) => self.upgrade_write_answered(step, outcome),
         }
     }
 
@@ -731,7 +734,7 @@
             }
             Key::Job(id) => {
                 self.job_changed(id);
-                self.confirm_by_record(id);
+                self.confirm_writes_by_record(id);
             }
             Key::Chunk(id, part) => self.chunk_changed(id, *part),
             Key::Format => {
--- a/crates/core/src/fixtures.rs
+++ b/crates/core/src/fixtures.rs
@@ -28,7 +28,7 @@
 }
 
 /// The record of a block that a controller holds.
-pub(crate) fn block_of(controller: &Controller) -> BlockRecord {
+pub(crate) fn block_record(controller: &Controller) -> BlockRecord {
     BlockRecord {
         zone: "a".into(),
         holder: "n-0".into(),
@@ -48,7 +48,10 @@
 }
 
 /// Shows records to a controller, each with its version.
-pub(crate) fn show<const N: usize>(controller: &mut Controller, records: [(Key, Value, u64); N]) {
+pub(crate) fn apply_records<const N: usize>(
+    controller: &mut Controller,
+    records: [(Key, Value, u64); N],
+) {
     for (key, value, version) in records {
         let key = key.path();
         let put = Event::Put {
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -71,7 +71,7 @@
     early: Vec<Duration>,
     /// Returned for sure, and when: their records go next. The lagging list
     /// shows them for a while longer.
-    pub gone: BTreeMap<String, Duration>,
+    pub returned_machines: BTreeMap<String, Duration>,
     lag: Duration,
     rent_at: Duration,
     returns_at: Duration,
@@ -103,14 +103,14 @@
             wanting_since: None,
             leaving: BTreeMap::new(),
             early: Vec::new(),
-            gone: BTreeMap::new(),
+            returned_machines: BTreeMap::new(),
             lag: Duration::from_secs_f64(limits.list_lag_s),
             rent_at: Duration::ZERO,
         }
     }
 
     /// Remembers what size the jobs of each class have.
-    pub fn note_job(&mut self, now: Duration, id: &JobId, spec: &Rc<JobSpec>) {
+    pub fn record_job(&mut self, now: Duration, id: &JobId, spec: &Rc<JobSpec>) {
         if self.noted.contains_key(id) {
             return;
         }
@@ -119,12 +119,12 @@
     }
 
     /// Whether a machine is on its way back to the cloud.
-    pub fn returning(&self, name: &str) -> bool {
-        self.leaving.contains_key(name) || self.gone.contains_key(name)
+    pub fn is_returning(&self, name: &str) -> bool {
+        self.leaving.contains_key(name) || self.returned_machines.contains_key(name)
     }
 
     /// Takes the plan's wants.
-    pub fn note_plan(&mut self, now: Duration, wants: Vec<Want>) {
+    pub fn set_capacity_requests(&mut self, now: Duration, wants: Vec<Want>) {
         if wants.is_empty() {
             self.wanting_since = None;
         } else if self.wanting_since.is_none() {
@@ -147,7 +147,7 @@
         let (now, machines) = (self.now, &self.view.machines);
         let shown = self.fleet.lag * 4 + LIST_PERIOD * 3;
         self.fleet
-            .gone
+            .returned_machines
             .retain(|name, at| machines.contains_key(name) || now < *at + shown);
     }
 
@@ -199,14 +199,14 @@
         self.cloud_call(Method::Get, &path, Vec::new(), CloudCall::List);
     }
 
-    pub(crate) fn listed(&mut self, page: Option<MachineList>, sent: Duration) {
+    pub(crate) fn list_answered(&mut self, page: Option<MachineList>, sent: Duration) {
         self.fleet.listing = false;
         let Some(page) = page else { return };
         let more = page.more;
         self.fleet.page.extend(page.machines);
         if more && let Some(last) = self.fleet.page.last().map(|m| m.name.clone()) {
             self.fleet.listing = true;
-            self.fleet.budget.force(self.now, 1.0);
+            self.fleet.budget.charge(self.now, 1.0);
             self.list_from(&last);
             return;
         }
@@ -231,7 +231,7 @@
             }
         };
         for (name, machine) in &self.fleet.list {
-            let up = self.view.machines.contains_key(name) || self.fleet.returning(name);
+            let up = self.view.machines.contains_key(name) || self.fleet.is_returning(name);
             let late = machine.age_s > 2.0 * self.boot_s(&machine.kind) + 10.0;
             let failed = machine.phase == MachinePhase::Failed;
             if !up && !late && !failed {
@@ -241,7 +241,7 @@
         for (name, (offer, _)) in &self.fleet.fresh {
             let known = self.fleet.list.contains_key(name)
                 || self.view.machines.contains_key(name)
-                || self.fleet.returning(name);
+                || self.fleet.is_returning(name);
             if !known {
                 add(offer.clone(), 1);
             }
@@ -254,29 +254,29 @@
 
     /// Whether a good part of the fleet is on its way: it is not yet what it
     /// can be.
-    pub(crate) fn fleet_grows(&self) -> bool {
+    pub(crate) fn is_fleet_growing(&self) -> bool {
         self.coming().len() > self.view.machines.len() / GROWS
     }
 
     /// How long a task takes to start on a machine rented for it, if nothing
     /// goes wrong: it boots and fetches the image.
     fn fresh_start_s(&self, spec: &JobSpec) -> f64 {
-        self.shortest_boot_s() * SLOW_BOOT + self.fetch_s(spec)
+        self.shortest_boot_s() * SLOW_BOOT + self.image_fetch_s(spec)
     }
 
     /// How long the fetch of a job's image takes where that is fastest.
-    pub(crate) fn fetch_s(&self, spec: &JobSpec) -> f64 {
+    pub(crate) fn image_fetch_s(&self, spec: &JobSpec) -> f64 {
         let rate = self.machine_types.values().map(|t| t.fetch_gb_per_s);
         spec.image_gb / rate.fold(f64::MIN_POSITIVE, f64::max)
     }
 
     /// How long work that may use spot machines waits for them before it gets
     /// ordinary ones: less where an aim says how soon it has to start.
-    pub(crate) fn spot_patience_s(&self, spec: &JobSpec) -> f64 {
+    pub(crate) fn max_spot_wait_s(&self, spec: &JobSpec) -> f64 {
         let aims = self.settings.params.aims_of(&spec.class);
         let waits = aims.filter(|a| a.kind == "wait");
         let within = waits.filter_map(|a| a.within_s).reduce(f64::min);
-        let most = self.tuning.spot_patience * self.shortest_boot_s();
+        let most = self.tuning.max_spot_wait_boots * self.shortest_boot_s();
         match within {
             Some(within) => (within - self.fresh_start_s(spec)).clamp(0.0, most),
             None => most,
@@ -346,9 +346,9 @@
     /// How long a machine may stand idle: an ordinary one costs more.
     fn idle_limit(&self, spot: bool) -> Duration {
         if spot {
-            self.tuning.idle_spot
+            self.tuning.spot_idle_timeout
         } else {
-            self.tuning.idle_return
+            self.tuning.on_demand_idle_timeout
         }
     }
 
@@ -411,7 +411,7 @@
         }
         let load = |zone: &str| loads.get(zone).copied().unwrap_or(0);
         let wants = std::mem::take(&mut self.fleet.wants);
-        let most = self.tuning.rent_burst;
+        let most = self.tuning.max_rent_batch;
         let mut offers = to_rent(&wants, &mut stock, &types, closed, load, most);
         let reserve = self.reserve();
         if !reserve.is_empty() {
@@ -458,7 +458,7 @@
         }
     }
 
-    pub(crate) fn rented(&mut self, rent: Rent, names: Option<Vec<String>>, refused: bool) {
+    pub(crate) fn rent_answered(&mut self, rent: Rent, names: Option<Vec<String>>, refused: bool) {
         let now = self.now;
         let Some((offer, ..)) = self.fleet.asked.get(&rent.request).cloned() else {
             return;
@@ -487,7 +487,7 @@
     }
 
     fn return_machine(&mut self, name: &str, why: &str) {
-        if self.fleet.returning(name) {
+        if self.fleet.is_returning(name) {
             return;
         }
         log::info!("{name}: returned: {why}");
@@ -536,7 +536,7 @@
                 && !self.fleet.fresh.contains_key(name)
                 && silent > self.silence_limit()
                 && now.saturating_sub(silent) + self.fleet.lag * 2 < list_age;
-            if self.fleet.returning(name) {
+            if self.fleet.is_returning(name) {
                 continue;
             }
             if silent > lost {
@@ -620,7 +620,7 @@
         self.cloud_return(names);
     }
 
-    pub(crate) fn returned(&mut self, names: Vec<String>, gone: bool) {
+    pub(crate) fn return_answered(&mut self, names: Vec<String>, gone: bool) {
         let now = self.now;
         for name in names {
             if gone {
@@ -629,7 +629,7 @@
                 self.fleet.fresh.remove(&name);
                 self.draining.remove(&name);
                 self.drain_changed(&name);
-                self.fleet.gone.insert(name, now);
+                self.fleet.returned_machines.insert(name, now);
             } else if let Some(sent) = self.fleet.leaving.get_mut(&name) {
                 *sent = false;
             }
--- a/crates/core/src/forwarding/tests.rs
+++ b/crates/core/src/forwarding/tests.rs
@@ -200,13 +200,13 @@
 fn holder() -> Controller {
     let members = r#"[{"member":"n-1","site":"a","endpoint":"10.0.0.2:81"}]"#;
     let mut controller = fixtures::controller(members);
-    let block = fixtures::block_of(&controller);
+    let block = fixtures::block_record(&controller);
     let list = fixtures::machine_list();
     let records = [
         (Key::Machines(0, 0), list.to_value(), 5),
         (Key::Block(0), crate::records::to_list(&block), TERM),
     ];
-    fixtures::show(&mut controller, records);
+    fixtures::apply_records(&mut controller, records);
     controller.now = ms(1000);
     controller.store.ready = true;
     controller.store.last_contact = Some(ms(1000));
--- a/crates/core/src/handout.rs
+++ b/crates/core/src/handout.rs
@@ -25,12 +25,12 @@
 
 use crate::{
     controller::Controller,
-    drain::Progress,
     floors::Flow,
+    queue_order::{QueuedJob, dominant_share, latest_starts, waited_s},
     records::{BlockId, Key, Phase, TaskStatus, Term, max_block_terms},
     rooms::{Room, Rooms},
-    serving::{Queued, latest_starts, most_share, waited_s},
     store::Urgency,
+    throughput::JobProgress,
     view::{Chunk, Job},
 };
 
@@ -164,14 +164,14 @@
         for queued in queue {
             self.hand_job(&mut plan, &queued);
         }
-        self.fleet.note_plan(now, plan.wants);
+        self.fleet.set_capacity_requests(now, plan.wants);
         if let Some(leader) = &mut self.leader {
             leader.rooms = plan.rooms;
         }
     }
 
     /// The jobs with waiting tasks, in the order of serving.
-    fn queue(&mut self, plan: &mut Plan) -> Vec<Queued> {
+    fn queue(&mut self, plan: &mut Plan) -> Vec<QueuedJob> {
         let now = self.now;
         let mut open: Vec<_> = self
             .view
@@ -183,11 +183,14 @@
         open.sort_by_key(|(at, id, _)| (*at, *id));
         let mut claimed: BTreeMap<&str, Amounts> = BTreeMap::new();
         let mut queue = Vec::new();
-        let pace = self.leader.as_ref().map_or(1.0, |l| l.serving.pace());
+        let pace = self
+            .leader
+            .as_ref()
+            .map_or(1.0, |l| l.queue_order.execution_speed());
         let mut progress = BTreeMap::new();
         for (at, id, job) in open {
             let Some(spec) = &job.spec else { continue };
-            self.fleet.note_job(now, id, spec);
+            self.fleet.record_job(now, id, spec);
             let left = f64::from(job.tasks.saturating_sub(job.done));
             let need = spec.amounts();
             let claim = claimed.entry(&spec.team).or_default();
@@ -200,12 +203,12 @@
             }
             let flow = job.flow.clone().unwrap_or_else(|| Flow::of(spec));
             if spec.shape != Shape::Service {
-                let seen = Progress {
+                let seen = JobProgress {
                     flow: flow.clone(),
-                    work_s: most_share(&need, &plan.fleet) * spec.estimate_s,
+                    task_work_s: dominant_share(&need, &plan.fleet) * spec.estimate_s,
                     done: job.done,
-                    handed: job.assigned_total(),
-                    length_s: spec.estimate_s,
+                    assigned_count: job.assigned_total(),
+                    estimate_s: spec.estimate_s,
                 };
                 progress.insert(id.clone(), seen);
             }
@@ -218,9 +221,9 @@
             if job.waiting() > 0 {
                 let latest = self.view.claim(id).and_then(|c| c.latest_start);
                 let length_s = spec.estimate_s / pace;
-                let takes_s = length_s + self.fetch_s(spec);
+                let takes_s = length_s + self.image_fetch_s(spec);
                 let aims = self.settings.params.aims_of(&spec.class);
-                queue.push(Queued {
+                queue.push(QueuedJob {
                     id: id.clone(),
                     spec: spec.clone(),
                     flow,
@@ -233,7 +236,7 @@
                     order_ms: latest.map_or(at, |at| at.as_millis() as u64),
                     waited_s: waited_s(self.wall_clock, job.ready_ms),
                     latest_s: latest_starts(aims, job, spec, self.wall_clock, takes_s),
-                    begun: job.assigned_total() > 0,
+                    started: job.assigned_total() > 0,
                     length_s,
                     starved_turn: false,
                 });
@@ -255,12 +258,12 @@
             return queue;
         };
         #[cfg(feature = "sabotage")]
-        leader.serving.sabotage(self.sabotage);
+        leader.queue_order.sabotage(self.sabotage);
         let jobs = &self.view.jobs;
         let done = |id: &JobId| jobs.get(id).map(|j| j.done);
-        leader.serving.look(now, progress, done);
+        leader.queue_order.update(now, progress, done);
         leader
-            .serving
+            .queue_order
             .order(now, &plan.rooms.list, &plan.used, queue)
     }
 
@@ -284,8 +287,8 @@
     /// Types that are all that some job can use which has waited for a while.
     /// Without this, small tasks take every bit of room that gets free on a
     /// large machine, and a large task never finds enough of it.
-    fn scarce(&self, plan: &mut Plan, queue: &[Queued]) -> BTreeSet<String> {
-        let patience = self.tuning.scarce_after.as_secs_f64();
+    fn scarce(&self, plan: &mut Plan, queue: &[QueuedJob]) -> BTreeSet<String> {
+        let patience = self.tuning.scarce_type_wait.as_secs_f64();
         let mut scarce = BTreeSet::new();
         for queued in queue {
             // One that its team's limit holds back would have them to itself for
@@ -309,7 +312,7 @@
     }
 
     /// Hands out as many of a job's waiting tasks as there is room for.
-    fn hand_job(&mut self, plan: &mut Plan, queued: &Queued) {
+    fn hand_job(&mut self, plan: &mut Plan, queued: &QueuedJob) {
         let id = &queued.id;
         let Some(job) = self.view.jobs.get(id) else {
             return;
@@ -489,7 +492,7 @@
                 .min(by_limit(share.limit.1, used.gpus, need.gpus));
             self.make_room(plan, queued, &spec, tasks, open);
             let waited = self.wall_clock.as_millis() as f64 / 1e3 - job_at;
-            let patience = self.spot_patience_s(&spec);
+            let patience = self.max_spot_wait_s(&spec);
             plan.wants.push(Want {
                 spot_only: spec.spot && waited < patience,
                 need,
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -13,13 +13,13 @@
 };
 
 use crate::{
+    admission_shares::{FleetLoad, SharePlanner},
     call::ConnId,
     controller::Controller,
-    gate::{Demands, Steward},
     machine_lists::MachineListWrite,
+    queue_order::QueueOrder,
     records::{BlockId, BlockRecord, FormatLevel, Key, Phase, to_list, to_map},
     rooms::Rooms,
-    serving::Serving,
     store::{Outcome, Purpose, Urgency},
     view::Job,
 };
@@ -64,9 +64,9 @@
     /// All machines as last seen.
     pub rooms: Rooms,
     /// What may be let in.
-    pub steward: Steward,
+    pub share_planner: SharePlanner,
     /// What the order of serving depends on.
-    pub serving: Serving,
+    pub queue_order: QueueOrder,
     /// When what teams use was logged last.
     pub usage_logged: Duration,
     /// When each task was last asked to make room.
@@ -150,8 +150,8 @@
                     reports: Vec::new(),
                     up: BTreeMap::new(),
                     rooms: Rooms::default(),
-                    steward: Steward::default(),
-                    serving: Serving::default(),
+                    share_planner: SharePlanner::default(),
+                    queue_order: QueueOrder::default(),
                     asked: BTreeMap::new(),
                     handed_at: BTreeMap::new(),
                     usage_logged: Duration::ZERO,
@@ -472,22 +472,23 @@
 
     /// Says what may be let in, once that is less than all.
     fn admit(&mut self) {
-        let grows = self.fleet_grows();
+        let grows = self.is_fleet_growing();
         let Some(leader) = &mut self.leader else {
             return;
         };
         let all = leader.rooms.all();
         let fleet = [all.cpus, all.gpus, all.memory_gb];
-        let mut seen = Demands::look(&self.view, &leader.serving, fleet, self.tuning.horizon);
-        seen.grows = grows;
+        let mut seen =
+            FleetLoad::from_view(&self.view, &leader.queue_order, fleet, self.tuning.horizon);
+        seen.is_growing = grows;
         #[cfg(feature = "sabotage")]
         {
-            leader.steward.sabotage = self.sabotage;
+            leader.share_planner.sabotage = self.sabotage;
         }
         let present = self.view.admission.as_ref();
         let version = present.map_or(0, |r| r.version);
         let present = present.map(|r| (r.version, &r.record));
-        let Some(next) = leader.steward.next(self.now, present, &seen) else {
+        let Some(next) = leader.share_planner.next_record(self.now, present, &seen) else {
             return;
         };
         // An old program knows no such record and goes on as before.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`Output`]s, such as calls to make and requests to answer. Time and the seed for
 //! random numbers are passed in, so the same inputs always give the same outputs.
 
-mod admission;
+pub mod admission_shares;
 mod assigned_tasks;
 mod attempt;
 mod blocks;
@@ -13,14 +13,12 @@
 mod call;
 mod cloud;
 mod controller;
-mod drain;
 #[cfg(test)]
 mod fixtures;
 mod fleet;
 pub mod floors;
 mod forwarding;
 mod futile;
-pub mod gate;
 mod handout;
 mod invariants;
 mod leader;
@@ -34,22 +32,24 @@
 mod peers;
 mod placement;
 mod preemption;
+mod queue_order;
 mod reachability;
 mod recorder;
 pub mod records;
 mod relay;
 mod request_queue;
 mod rooms;
-mod serving;
 mod snapshot;
 pub mod sockets;
 mod starvation;
 mod store;
 mod team_use;
+mod throughput;
 pub mod tuning;
 mod unplaced;
 mod upgrade;
 mod usage;
+mod user_api;
 mod user_writes;
 mod view;
 
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -221,7 +221,7 @@
         let method = if asks { Method::Get } else { Method::Post };
         match route(&path) {
             (Some("work"), id, what, more) => {
-                self.serve_user(conn, method, (id, what, more), &body);
+                self.handle_user_request(conn, method, (id, what, more), &body);
             }
             _ => self.refuse(conn, 404, "no such path"),
         }
--- a/crates/core/src/machine_lists.rs
+++ b/crates/core/src/machine_lists.rs
@@ -58,15 +58,16 @@
     fn block_size(&self) -> usize {
         let waiting = self.leader.as_ref().map_or(0, |l| l.reports.len());
         let machines = self.view.machines.len() + waiting;
-        let blocks = self.settings.peers_and_me() * self.tuning.blocks_each;
-        let mut max_machines = self.tuning.block_most;
+        let blocks = self.settings.peers_and_me() * self.tuning.blocks_per_controller;
+        let mut max_machines = self.tuning.max_block_machines;
         if self.level() < FormatLevel::PIPELINES {
             let fits = self.limits().value_kb * 1024.0 / MAX_FLAT_ENTRY_BYTES;
             max_machines = max_machines.min(fits as usize);
         }
-        machines
-            .div_ceil(blocks.max(1))
-            .clamp(self.tuning.block_least.min(max_machines), max_machines)
+        machines.div_ceil(blocks.max(1)).clamp(
+            self.tuning.min_block_machines.min(max_machines),
+            max_machines,
+        )
     }
 
     /// Adds machines that have reported to blocks of their zone, and removes machines
@@ -86,7 +87,7 @@
         }
         let since = now.saturating_sub(leader.lists_at);
         let due = if leader.reports.is_empty() {
-            let mut gone = self.fleet.gone.keys();
+            let mut gone = self.fleet.returned_machines.keys();
             since >= MIN_REMOVE_INTERVAL && gone.any(|name| self.view.machines.contains_key(name))
         } else {
             since >= MIN_ADD_INTERVAL || self.has_spare_writes()
@@ -238,7 +239,7 @@
             let machines: usize = lists.values().map(Vec::len).sum();
             lists.contains_key(at) || (lists.len() < max_lists && machines < MAX_MACHINES_PER_WRITE)
         };
-        for name in self.fleet.gone.keys() {
+        for name in self.fleet.returned_machines.keys() {
             let Some(machine) = self.view.machines.get(name) else {
                 continue;
             };
@@ -259,7 +260,7 @@
         let reports = self.leader.iter().flat_map(|l| &l.reports);
         for (_, report, _) in reports {
             let known = self.view.machines.contains_key(&report.machine);
-            if known || self.fleet.returning(&report.machine) || !taken.insert(&report.machine) {
+            if known || self.fleet.is_returning(&report.machine) || !taken.insert(&report.machine) {
                 continue;
             }
             // The number of machines of a block once the planned lists are written.
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -67,7 +67,7 @@
             if alike {
                 self.futile.note(self.now, block, job);
             }
-            let patience = self.tuning.place_patience;
+            let patience = self.tuning.placement_timeout;
             if let AssignmentState::Free { since, .. } = assigned.state
                 && self.now > since + patience
             {
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -12,7 +12,7 @@
     job::{Amounts, JobSpec, Priority},
 };
 
-use crate::{controller::Controller, handout::Plan, rooms::Room, serving::Queued};
+use crate::{controller::Controller, handout::Plan, queue_order::QueuedJob, rooms::Room};
 
 /// How often a plan may look through all machines for work to stop.
 const MOST_SEARCHES: u32 = 12;
@@ -24,7 +24,7 @@
     pub(crate) fn make_room(
         &mut self,
         plan: &mut Plan,
-        queued: &Queued,
+        queued: &QueuedJob,
         spec: &Rc<JobSpec>,
         tasks: u32,
         mut zones: BTreeMap<String, u32>,
@@ -83,7 +83,7 @@
         &self,
         plan: &Plan,
         room: &Room,
-        queued: &Queued,
+        queued: &QueuedJob,
         need: &Amounts,
     ) -> Option<(Amounts, Vec<TaskId>)> {
         let mut free = room.candidate.free;
--- a/crates/core/src/serving.rs
+++ b/crates/core/src/queue_order.rs
@@ -18,19 +18,19 @@
 };
 
 use crate::{
-    drain::{Drain, Progress},
     floors::{Floors, Flow, Oldest},
     rooms::Room,
     starvation::{self, Starvation},
+    throughput::{JobProgress, Throughput},
     view::Job,
 };
 
 /// When a job of a class without aims counts as late, in seconds.
-const PATIENCE_S: f64 = 60.0;
+const DEFAULT_MAX_WAIT_S: f64 = 60.0;
 
 /// A job in the queue.
 #[derive(Debug)]
-pub(crate) struct Queued {
+pub(crate) struct QueuedJob {
     pub id: JobId,
     pub spec: Rc<JobSpec>,
     pub flow: Flow,
@@ -52,14 +52,14 @@
     /// The latest starts that its aims allow, in seconds from now, ascending.
     pub latest_s: Vec<f64>,
     /// Some of its tasks are handed out.
-    pub begun: bool,
+    pub started: bool,
     /// How long a task will take, in seconds.
     pub length_s: f64,
     /// It goes ahead of others because it is starved, with one of its tasks.
     pub starved_turn: bool,
 }
 
-impl Queued {
+impl QueuedJob {
     /// Whether it goes by floors: production and guarantees go before them.
     fn borrows(&self) -> bool {
         !self.guaranteed && self.priority != Priority::Production
@@ -67,7 +67,7 @@
 
     /// Seconds until an aim is missed; below 0: since then.
     fn left_s(&self, aim: Option<&f64>) -> f64 {
-        aim.copied().unwrap_or(PATIENCE_S - self.waited_s)
+        aim.copied().unwrap_or(DEFAULT_MAX_WAIT_S - self.waited_s)
     }
 }
 
@@ -108,21 +108,21 @@
 
 /// What the order depends on besides the jobs.
 #[derive(Debug, Default)]
-pub(crate) struct Serving {
-    drain: Drain,
+pub(crate) struct QueueOrder {
+    throughput: Throughput,
     floors: Floors,
     starvation: Starvation,
 }
 
-impl Serving {
+impl QueueOrder {
     /// Seconds of work, by its owners' word, that a task gets done in a second.
-    pub fn pace(&self) -> f64 {
-        self.drain.pace()
+    pub fn execution_speed(&self) -> f64 {
+        self.throughput.execution_speed()
     }
 
     /// How fast a flow drains: seconds of the whole fleet in a second.
-    pub fn rate(&self, flow: &Flow) -> f64 {
-        self.drain.rate(flow)
+    pub fn drain_rate(&self, flow: &Flow) -> f64 {
+        self.throughput.drain_rate(flow)
     }
 
     /// Breaks the floors on purpose.
@@ -133,21 +133,21 @@
     }
 
     /// Looks at all open jobs again; see [`Drain::look`] and [`Starvation::look`].
-    pub fn look(
+    pub fn update(
         &mut self,
         now: Duration,
-        open: BTreeMap<JobId, Progress>,
+        open: BTreeMap<JobId, JobProgress>,
         ended: impl Fn(&JobId) -> Option<u32>,
     ) {
         let tasks = open.iter().map(|(id, seen)| {
             let tasks = starvation::Tasks {
-                any_out: seen.handed > 0,
+                any_out: seen.assigned_count > 0,
                 done: seen.done,
             };
             (id, tasks)
         });
         self.starvation.look(now, tasks);
-        self.drain.look(now, open, ended);
+        self.throughput.update(now, open, ended);
     }
 
     /// Puts waiting jobs in the order of serving. `used` is what each team uses.
@@ -156,8 +156,8 @@
         now: Duration,
         rooms: &[Room],
         used: &BTreeMap<String, Amounts>,
-        mut queue: Vec<Queued>,
-    ) -> Vec<Queued> {
+        mut queue: Vec<QueuedJob>,
+    ) -> Vec<QueuedJob> {
         let mut lines = Lines::new(rooms, used);
         let waiting = queue.iter().map(|queued| triage::Waiting {
             stratum: triage::Stratum {
@@ -168,7 +168,7 @@
             },
             order_ms: queued.order_ms,
             latest_s: queued.latest_s.clone(),
-            begun: queued.begun,
+            begun: queued.started,
             lines: lines.places(queued),
             length_s: queued.length_s,
         });
@@ -190,7 +190,7 @@
         &mut self,
         now: Duration,
         (rooms, used): (&[Room], &BTreeMap<String, Amounts>),
-        queue: &mut [Queued],
+        queue: &mut [QueuedJob],
         jobs: &mut [triage::Waiting],
         order: &[usize],
     ) -> bool {
@@ -216,7 +216,7 @@
         let late = late.into_iter().map(|(flow, (_, o))| (flow, o)).collect();
         let waits = |id: &JobId| queue.iter().any(|q| q.id == *id);
         let turns = self.floors.turns(now, &late, waits);
-        let mut short = self.floors.short(now, &long, &self.drain.given);
+        let mut short = self.floors.short(now, &long, &self.throughput.assigned);
         let waiting = held_back(&self.starvation, now, queue, rooms, used);
         let starved = self.starvation.turns(now, waiting);
         let mut ahead = false;
@@ -244,13 +244,13 @@
 fn held_back(
     starvation: &Starvation,
     now: Duration,
-    queue: &[Queued],
+    queue: &[QueuedJob],
     rooms: &[Room],
     used: &BTreeMap<String, Amounts>,
 ) -> Vec<starvation::Candidate> {
     let waiting = queue
         .iter()
-        .filter(|q| q.borrows() && !q.begun && q.spec.shape != Shape::Gang);
+        .filter(|q| q.borrows() && !q.started && q.spec.shape != Shape::Gang);
     let candidates = waiting.filter_map(|queued| {
         let candidate = starvation::Candidate {
             id: queued.id.clone(),
@@ -296,7 +296,7 @@
 
     /// The lines that a job stands in, with the share of each that it asks
     /// for.
-    fn places(&mut self, queued: &Queued) -> Vec<(usize, f64)> {
+    fn places(&mut self, queued: &QueuedJob) -> Vec<(usize, f64)> {
         let need = queued.spec.amounts();
         let tasks = f64::from(queued.tasks);
         let (rooms, lines) = (self.rooms, &mut self.lines);
@@ -304,11 +304,11 @@
         let (line, all) = machines.or_insert_with(|| {
             let (free, all) = machines_of(rooms, &queued.types);
             lines.push(triage::Line {
-                free: least_share(&free, &all),
+                free: smallest_share(&free, &all),
             });
             (lines.len() - 1, all)
         });
-        let mut places = vec![(*line, most_share(&need, all) * tasks)];
+        let mut places = vec![(*line, dominant_share(&need, all) * tasks)];
         let limit = queued.limit_cpus;
         if limit > 0.0 {
             let team = &queued.spec.team;
@@ -355,10 +355,10 @@
 }
 
 /// The largest share that some amounts are of others.
-pub(crate) fn most_share(part: &Amounts, all: &Amounts) -> f64 {
+pub(crate) fn dominant_share(part: &Amounts, all: &Amounts) -> f64 {
     shares(part, all).fold(0.0, f64::max)
 }
 
-fn least_share(part: &Amounts, all: &Amounts) -> f64 {
+fn smallest_share(part: &Amounts, all: &Amounts) -> f64 {
     shares(part, all).fold(1.0, f64::min).max(0.0)
 }
--- a/crates/core/src/rooms.rs
+++ b/crates/core/src/rooms.rs
@@ -263,7 +263,7 @@
     }
 
     fn ending(&self, tasks: &[(TaskId, Rc<JobSpec>)]) -> Amounts {
-        let horizon = self.tuning.rent_horizon * self.shortest_boot_s();
+        let horizon = self.tuning.rent_horizon_boots * self.shortest_boot_s();
         let mut ending = Amounts::default();
         for (_, spec) in tasks.iter().filter(|(_, s)| s.shape != Shape::Service) {
             let part = (horizon / spec.estimate_s.max(1.0)).min(1.0);
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -10,7 +10,6 @@
 };
 
 use crate::{
-    admission::Ask,
     budget::Budget,
     call::{Method, Reply, Target},
     controller::{Controller, Pending},
@@ -20,6 +19,7 @@
     records::{KEY_PREFIX, Key},
     snapshot::{SnapshotPart, SnapshotRead},
     upgrade,
+    user_api::UserRequest,
     user_writes::WriteId,
     view::View,
 };
@@ -57,7 +57,7 @@
     Chunk(JobId, u32),
     LeaderWrite(Duty),
     MachineLists,
-    Upgrade(upgrade::Step),
+    Upgrade(upgrade::UpgradeWrite),
 }
 
 impl Purpose {
@@ -328,7 +328,7 @@
         if !self.store.ready || self.store.snapshot.is_some() {
             self.read_snapshot();
         } else if !self.store.watch_pending && self.now >= self.store.next_watch_at {
-            self.store.requests.force(self.now, 1.0);
+            self.store.requests.charge(self.now, 1.0);
             self.store.watch_pending = true;
             let after = self.view.revision;
             let ms = WATCH_BLOCK_TIMEOUT.as_millis();
@@ -359,7 +359,7 @@
             SnapshotRead::new(empty)
         });
         let (part, path) = snapshot.next_request();
-        self.store.requests.force(self.now, 1.0);
+        self.store.requests.charge(self.now, 1.0);
         self.store.snapshot_pending = true;
         self.state_call(Method::Get, path, Vec::new(), Pending::Snapshot(part));
     }
@@ -443,7 +443,7 @@
         self.store.next_watch_at = self.now;
         self.resync();
         self.advance_chunk_writes();
-        self.cancels_progress();
+        self.resume_cancellations();
         self.store_tick();
     }
 
@@ -513,7 +513,7 @@
                 return ChangesOutcome::TooOld;
             }
             Reply::Answer { status: 429, .. } => {
-                self.store.requests.drain(self.now);
+                self.store.requests.empty(self.now);
                 return ChangesOutcome::Unusable;
             }
             _ => return ChangesOutcome::Unusable,
@@ -536,7 +536,7 @@
         self.store.failures = 0;
         self.store.last_contact = self.store.last_contact.max(Some(sent));
         self.advance_chunk_writes();
-        self.cancels_progress();
+        self.resume_cancellations();
         ChangesOutcome::Applied
     }
 
@@ -594,7 +594,7 @@
             .is_none_or(|at| at < self.store.resumed_at);
         let doubts = stood_still || self.store.needs_fresh_read;
         if self.store.read_pending
-            || (self.admission.asks.is_empty() && !doubts)
+            || (self.user_requests.awaiting_read.is_empty() && !doubts)
             || self.now < self.store.next_read_at
             || !self.store.ready
             || !self
@@ -608,17 +608,25 @@
         self.store.needs_fresh_read = false;
         self.store.next_read_at =
             self.now + self.min_interval(MIN_READ_INTERVAL, READ_REQUEST_SHARE);
-        let asks = std::mem::take(&mut self.admission.asks);
+        let user_requests = std::mem::take(&mut self.user_requests.awaiting_read);
         let after = self.view.revision;
         let path = format!("/changes?starts={KEY_PREFIX}&after={after}");
-        self.state_call(Method::Get, path, Vec::new(), Pending::Read { after, asks });
+        self.state_call(
+            Method::Get,
+            path,
+            Vec::new(),
+            Pending::Read {
+                after,
+                user_requests,
+            },
+        );
     }
 
     pub(crate) fn read_answered(
         &mut self,
         after: u64,
         sent: Duration,
-        asks: Vec<Ask>,
+        user_requests: Vec<UserRequest>,
         reply: &Reply,
     ) {
         self.store.read_pending = false;
@@ -628,13 +636,13 @@
             let min_interval = self.min_interval(MIN_WATCH_INTERVAL, WATCH_REQUEST_SHARE);
             self.store.next_watch_at = self.store.next_watch_at.max(sent + min_interval);
         }
-        self.asks_read(asks, fresh);
+        self.complete_user_requests(user_requests, fresh);
         self.refresh_view();
     }
 
     /// Whether the write budget has room to spare.
     pub(crate) fn has_spare_writes(&mut self) -> bool {
-        self.store.writes.is_rich(self.now)
+        self.store.writes.is_mostly_full(self.now)
     }
 
     /// Whether a transaction keeps to the size limits of the state service, including
@@ -657,18 +665,18 @@
     pub(crate) fn send_txn(&mut self, txn: Txn, purpose: Purpose, urgency: Urgency) -> bool {
         let puts = txn.changes.len() as f64;
         if urgency == Urgency::Session {
-            self.store.requests.force(self.now, 1.0);
-            self.store.writes.force(self.now, puts);
+            self.store.requests.charge(self.now, 1.0);
+            self.store.writes.charge(self.now, puts);
         } else {
             // Nothing is taken from one budget if the other has too little: failed attempts
             // would use it up for other transactions.
             let (now, reserve) = (self.now, urgency.reserve());
             let store = &mut self.store;
-            if !store.requests.has(now, 1.0, reserve) {
+            if !store.requests.can_take(now, 1.0, reserve) {
                 return false;
             }
             if !store.writes.take(now, puts, reserve) {
-                store.writes.claim(now, puts, reserve);
+                store.writes.record_blocked(now, puts, reserve);
                 return false;
             }
             store.requests.take(now, 1.0, reserve);
@@ -692,9 +700,9 @@
                     409 => revision().map_or(Outcome::Refused, Outcome::Conflict),
                     400 if String::from_utf8_lossy(body).contains("lease") => Outcome::NoLease,
                     429 => {
-                        self.store.requests.drain(self.now);
-                        self.store.writes.drain(self.now);
-                        self.rate_refused();
+                        self.store.requests.empty(self.now);
+                        self.store.writes.empty(self.now);
+                        self.write_rate_refused();
                         Outcome::Refused
                     }
                     400 => {
--- a/crates/core/src/store/session.rs
+++ b/crates/core/src/store/session.rs
@@ -20,7 +20,7 @@
         if self.store.member_lease_pending || self.now < self.store.renew_lease_at {
             return;
         }
-        self.store.requests.force(self.now, 1.0);
+        self.store.requests.charge(self.now, 1.0);
         self.store.member_lease_pending = true;
         match self.store.member_lease {
             None => {
@@ -80,7 +80,7 @@
         let ours = listed.is_some_and(|m| m.record.incarnation == self.incarnation);
         let waits =
             self.store.member_write_pending || self.view.revision < self.store.session_visible_at;
-        if ours || waits || !self.store.ready || self.is_founding() {
+        if ours || waits || !self.store.ready || self.is_initializing() {
             return;
         }
         let record = self.member_record();
@@ -136,7 +136,7 @@
         };
         let waits =
             self.store.leader_write_pending || self.view.revision < self.store.session_visible_at;
-        if waits || !self.in_contact() || self.is_founding() {
+        if waits || !self.in_contact() || self.is_initializing() {
             return;
         }
         let version = match &self.view.leader {
--- a/crates/core/src/upgrade.rs
+++ b/crates/core/src/upgrade.rs
@@ -26,13 +26,13 @@
 
 /// How long to wait after a write that did not succeed, and between two
 /// questions to a peer.
-const AGAIN: Duration = Duration::from_millis(1000);
+const RETRY_INTERVAL: Duration = Duration::from_millis(1000);
 /// When to give a question to a peer up.
-const TIMEOUT: Duration = Duration::from_millis(800);
+const LEVEL_QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// What a write of this part is for.
 #[derive(Debug)]
-pub(crate) enum Step {
+pub(crate) enum UpgradeWrite {
     /// A controller's level; with the operator who waits for it.
     FormatLevel(String, Option<ConnId>),
     /// The switch to our level.
@@ -52,7 +52,7 @@
     /// When to ask those whose level is not known.
     ask_at: Duration,
     /// The first write to an empty store is under way.
-    founding: bool,
+    initializing: bool,
     ended: bool,
 }
 
@@ -97,27 +97,27 @@
             return;
         }
         if format == self.supported_level {
-            return self.note_lowered();
+            return self.record_lowered_limits();
         }
         if self.view.is_empty() {
-            return self.found();
+            return self.initialize();
         }
-        self.write_own_level();
+        self.record_own_level();
         if self.leader.is_some() {
-            self.switch();
+            self.switch_format();
             self.ask_levels();
         }
     }
 
     /// Whether the first write to an empty store is awaited: nothing else is
     /// written before.
-    pub(crate) fn is_founding(&self) -> bool {
-        self.upgrade.founding && self.view.is_empty()
+    pub(crate) fn is_initializing(&self) -> bool {
+        self.upgrade.initializing && self.view.is_empty()
     }
 
     /// An empty store begins at our level. An old program that is up has its
     /// `member` record there.
-    fn found(&mut self) {
+    fn initialize(&mut self) {
         if self.now < self.upgrade.format_at {
             return;
         }
@@ -127,16 +127,20 @@
             version: 0,
         });
         let conds = none.take(self.limits().txn_conds()).collect();
-        self.upgrade.founding = self.write_format(conds);
+        self.upgrade.initializing = self.write_format(conds);
     }
 
     fn write_format(&mut self, conds: Vec<Cond>) -> bool {
-        self.upgrade.format_at = self.now + AGAIN;
+        self.upgrade.format_at = self.now + RETRY_INTERVAL;
         let record = FormatRecord {
             level: self.supported_level,
         };
         let txn = put(conds, Key::Format, &record);
-        self.send_txn(txn, Purpose::Upgrade(Step::Format), Urgency::Session)
+        self.send_txn(
+            txn,
+            Purpose::Upgrade(UpgradeWrite::Format),
+            Urgency::Session,
+        )
     }
 
     fn all_nodes(&self) -> Vec<String> {
@@ -155,13 +159,13 @@
             && up.is_none_or(|m| m.record.incarnation == proof.incarnation)
     }
 
-    fn write_own_level(&mut self) {
+    fn record_own_level(&mut self) {
         let node = self.settings.node.clone();
         let ours = self.view.levels.get(&node).map(|l| l.record.incarnation);
         if ours == Some(self.incarnation) || self.now < self.upgrade.level_at {
             return;
         }
-        self.upgrade.level_at = self.now + AGAIN;
+        self.upgrade.level_at = self.now + RETRY_INTERVAL;
         self.write_level(node, self.incarnation, None);
     }
 
@@ -175,13 +179,13 @@
             level: self.supported_level,
             incarnation,
         };
-        let step = Step::FormatLevel(node, asker);
+        let step = UpgradeWrite::FormatLevel(node, asker);
         let txn = put(conds, key, &record);
         self.send_txn(txn, Purpose::Upgrade(step), Urgency::Session)
     }
 
     /// Writes the switch once all controllers are proven to be of our level.
-    fn switch(&mut self) {
+    fn switch_format(&mut self) {
         let nodes = self.all_nodes();
         if self.now < self.upgrade.format_at || !nodes.iter().all(|n| self.is_proven(n)) {
             return;
@@ -209,18 +213,25 @@
         if self.now < self.upgrade.ask_at {
             return;
         }
-        self.upgrade.ask_at = self.now + AGAIN;
+        self.upgrade.ask_at = self.now + RETRY_INTERVAL;
         let mut nodes = self.all_nodes();
         nodes.retain(|n| *n != self.settings.node && !self.is_proven(n));
         for node in nodes {
             let (path, pending) = ("/level".to_owned(), Pending::FormatLevel(node.clone()));
             let to = Target::Peer(node);
-            self.call(to, Method::Get, path, Vec::new(), TIMEOUT, pending);
+            self.call(
+                to,
+                Method::Get,
+                path,
+                Vec::new(),
+                LEVEL_QUERY_TIMEOUT,
+                pending,
+            );
         }
     }
 
     /// A peer asks for our level.
-    pub(crate) fn tell_level(&mut self, conn: ConnId) {
+    pub(crate) fn send_level(&mut self, conn: ConnId) {
         let word = LevelWord {
             node: self.settings.node.clone(),
             incarnation: self.incarnation,
@@ -232,7 +243,7 @@
     }
 
     /// What a peer answered when asked for its level.
-    pub(crate) fn level_told(&mut self, node: &str, reply: &Reply) {
+    pub(crate) fn level_answered(&mut self, node: &str, reply: &Reply) {
         let Reply::Answer { status: 200, body } = reply else {
             return;
         };
@@ -246,10 +257,10 @@
         }
     }
 
-    pub(crate) fn upgrade_written(&mut self, step: Step, outcome: Outcome) {
+    pub(crate) fn upgrade_write_answered(&mut self, step: UpgradeWrite, outcome: Outcome) {
         match step {
-            Step::Format => {
-                self.upgrade.founding &= matches!(outcome, Outcome::Done(_));
+            UpgradeWrite::Format => {
+                self.upgrade.initializing &= matches!(outcome, Outcome::Done(_));
                 if let Outcome::Done(_) = outcome {
                     log::info!(
                         "all write in the form of level {} from now on",
@@ -257,8 +268,8 @@
                     );
                 }
             }
-            Step::LoweredLimits | Step::FormatLevel(_, None) => {}
-            Step::FormatLevel(node, Some(conn)) => match outcome {
+            UpgradeWrite::LoweredLimits | UpgradeWrite::FormatLevel(_, None) => {}
+            UpgradeWrite::FormatLevel(node, Some(conn)) => match outcome {
                 Outcome::Done(_) => {
                     log::info!("{node} never comes back, by an operator's word");
                     self.answer(conn, 200, json(&WriteOff { without: node }));
@@ -273,7 +284,7 @@
 
     /// The state service has refused a write as one too many: if lower limits
     /// are to come, they have come.
-    pub(crate) fn rate_refused(&mut self) {
+    pub(crate) fn write_rate_refused(&mut self) {
         let lower = self.lowered_limits.write_rps < self.settings.params.state.write_rps;
         if lower && !self.store.lowered_limits_active && self.level() >= FormatLevel::PIPELINES {
             log::info!("the state service takes fewer writes now");
@@ -283,7 +294,7 @@
     }
 
     /// Lets everybody know of lower limits at once, later starts included.
-    fn note_lowered(&mut self) {
+    fn record_lowered_limits(&mut self) {
         if self.view.lowered_limits_version > 0 && !self.store.lowered_limits_active {
             self.store.lowered_limits_active = true;
             self.update_request_budgets();
@@ -292,7 +303,7 @@
         if told || self.now < self.upgrade.lowered_at {
             return;
         }
-        self.upgrade.lowered_at = self.now + AGAIN;
+        self.upgrade.lowered_at = self.now + RETRY_INTERVAL;
         let conds = vec![Cond {
             key: Key::LoweredLimits.path(),
             version: 0,
@@ -301,7 +312,11 @@
             level: self.supported_level,
         };
         let txn = put(conds, Key::LoweredLimits, &record);
-        self.send_txn(txn, Purpose::Upgrade(Step::LoweredLimits), Urgency::Safety);
+        self.send_txn(
+            txn,
+            Purpose::Upgrade(UpgradeWrite::LoweredLimits),
+            Urgency::Safety,
+        );
     }
 
     /// An operator asks how far the upgrade is.
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/user_api.rs
@@ -16,9 +16,9 @@
 };
 
 use crate::{
+    admission_shares::AdmissionDecision,
     call::{ConnId, Method},
     controller::Controller,
-    gate::Verdict,
     records::{FormatLevel, JobRecord, JobTooLarge, Key, Phase, max_chunk_tasks},
     store::{Outcome, Purpose, Urgency},
     user_writes::{UserWrite, UserWrites, WriteId, WriteResolution},
@@ -27,13 +27,13 @@
 
 /// The time after which a user stops waiting for an answer to a question is
 /// 2 s; we give up before.
-const PATIENCE: Duration = Duration::from_millis(1500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Most requests kept waiting for a read or a write.
-const MOST_WAITING: usize = 2000;
+const MAX_WAITING: usize = 2000;
 
 /// What a user wants to know or have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Wish {
+pub(crate) enum RequestKind {
     /// To submit a job that seems to be known already.
     Submit,
     /// To know its state.
@@ -44,10 +44,10 @@
 
 /// A user who waits for an answer.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct UserRequest {
     pub conn: ConnId,
     pub job: JobId,
-    pub wish: Wish,
+    pub kind: RequestKind,
     pub since: Duration,
     /// What is submitted.
     pub spec: Option<Rc<JobSpec>>,
@@ -57,7 +57,7 @@
 
 /// How the jobs that a submission names are known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Named {
+enum AwaitedJobs {
     /// All are accepted.
     Accepted,
     /// Some are not, as far as we know.
@@ -68,18 +68,18 @@
 
 /// Users who wait.
 #[derive(Debug, Default)]
-pub(crate) struct Admission {
+pub(crate) struct UserRequests {
     /// For a read of the records.
-    pub asks: Vec<Ask>,
+    pub awaiting_read: Vec<UserRequest>,
     /// For the view to reach a revision, to cancel then.
-    cancels: Vec<(Ask, u64)>,
+    awaiting_revision: Vec<(UserRequest, u64)>,
     /// For a write to be confirmed.
-    pub writes: UserWrites,
+    pub awaiting_write: UserWrites,
 }
 
 impl Controller {
     /// A user's request below `/work`, whichever way it came in.
-    pub(crate) fn serve_user(
+    pub(crate) fn handle_user_request(
         &mut self,
         conn: ConnId,
         method: Method,
@@ -108,9 +108,9 @@
         let id = spec.id.clone();
         if let Some(job) = self.view.jobs.get(&id) {
             if job.phase == Phase::Open {
-                self.ask(conn, id, Wish::Submit, None);
+                self.read_first(conn, id, RequestKind::Submit, None);
             } else {
-                self.tell(conn, &id, 200);
+                self.answer_status(conn, &id, 200);
             }
             return;
         }
@@ -120,7 +120,7 @@
         if self.machine_types.is_empty() {
             return self.refuse_with_retry(conn, "the machine types are not known yet");
         }
-        if let Err(why) = self.can_ever_run(&spec) {
+        if let Err(why) = self.check_feasible(&spec) {
             // It may have been accepted under other circumstances by another
             // controller; an accepted job is never refused.
             log::debug!("{id}: refused: {why}");
@@ -131,22 +131,24 @@
             return self
                 .refuse_with_retry(conn, "not all controllers can keep jobs that await others");
         }
-        match self.named(&spec) {
-            Named::Accepted => self.accept(conn, Rc::new(spec)),
-            Named::Service => self.refuse(conn, 422, "a service can not be awaited"),
-            Named::Unknown => self.ask(conn, id, Wish::Submit, Some(Rc::new(spec))),
+        match self.classify_awaited(&spec) {
+            AwaitedJobs::Accepted => self.accept(conn, Rc::new(spec)),
+            AwaitedJobs::Service => self.refuse(conn, 422, "a service can not be awaited"),
+            AwaitedJobs::Unknown => {
+                self.read_first(conn, id, RequestKind::Submit, Some(Rc::new(spec)))
+            }
         }
     }
 
     /// How the jobs that a submission names are known. It can't name itself:
     /// it is not accepted before.
-    fn named(&self, spec: &JobSpec) -> Named {
-        let mut known = Named::Accepted;
+    fn classify_awaited(&self, spec: &JobSpec) -> AwaitedJobs {
+        let mut known = AwaitedJobs::Accepted;
         for awaited in &spec.awaits {
             match self.view.jobs.get(awaited) {
-                Some(job) if job.service => return Named::Service,
+                Some(job) if job.service => return AwaitedJobs::Service,
                 Some(_) => {}
-                None => known = Named::Unknown,
+                None => known = AwaitedJobs::Unknown,
             }
         }
         known
@@ -208,13 +210,13 @@
         let present = present.map(|r| (r.version, &r.record));
         #[cfg(feature = "sabotage")]
         {
-            self.gate.sabotage = self.sabotage;
+            self.admission_shares.sabotage = self.sabotage;
         }
         let me = (self.settings.node.as_str(), self.incarnation);
-        let version = match self.gate.ask(self.now, me, present, &spec) {
-            Verdict::Free => None,
-            Verdict::Under(version) => Some(version),
-            Verdict::Later(after) => {
+        let version = match self.admission_shares.admit(self.now, me, present, &spec) {
+            AdmissionDecision::Unrestricted => None,
+            AdmissionDecision::IfVersion(version) => Some(version),
+            AdmissionDecision::RetryAfter(after) => {
                 log::debug!("{id}: refused for now, to come again in {after:?}");
                 return self.refuse_with_retry_after(
                     conn,
@@ -228,30 +230,30 @@
             key: Key::Admission.path(),
             version,
         }));
-        let ask = Ask {
+        let request = UserRequest {
             conn,
             job: id,
-            wish: Wish::Submit,
+            kind: RequestKind::Submit,
             since: self.now,
             spec: Some(spec),
             at_ms: Some(accepted_ms),
         };
-        let spec = ask.spec.clone();
-        if !self.write_for_user(ask, txn) {
-            self.not_let_in(version, spec.as_deref());
+        let spec = request.spec.clone();
+        if !self.write_for_user(request, txn) {
+            self.refund_share(version, spec.as_deref());
         }
     }
 
     /// A job that had a share of ours under this version did not come in.
-    fn not_let_in(&mut self, version: Option<u64>, spec: Option<&JobSpec>) {
+    fn refund_share(&mut self, version: Option<u64>, spec: Option<&JobSpec>) {
         let record = self.view.admission.as_ref().map(|r| &r.record);
         if let (Some(version), Some(spec)) = (version, spec) {
-            self.gate.refund(version, record, spec);
+            self.admission_shares.refund(version, record, spec);
         }
     }
 
     /// Why a job could never run, if so.
-    fn can_ever_run(&self, spec: &JobSpec) -> Result<(), &'static str> {
+    fn check_feasible(&self, spec: &JobSpec) -> Result<(), &'static str> {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoAdmissionChecks) {
             return Ok(());
@@ -300,16 +302,16 @@
     }
 
     /// Sends a write that a user waits for; false if there is no budget for it.
-    fn write_for_user(&mut self, ask: Ask, txn: Txn) -> bool {
-        let id = (ask.job.clone(), ask.conn);
-        if self.admission.writes.len() >= MOST_WAITING
+    fn write_for_user(&mut self, request: UserRequest, txn: Txn) -> bool {
+        let id = (request.job.clone(), request.conn);
+        if self.user_requests.awaiting_write.len() >= MAX_WAITING
             || !self.send_txn(txn.clone(), Purpose::User(id), Urgency::User)
         {
-            self.refuse_with_retry(ask.conn, "too many requests at once");
+            self.refuse_with_retry(request.conn, "too many requests at once");
             return false;
         }
-        let write = UserWrite::new(self.now, ask, txn);
-        self.admission.writes.add(write);
+        let write = UserWrite::new(self.now, request, txn);
+        self.user_requests.awaiting_write.add(write);
         true
     }
 
@@ -319,78 +321,82 @@
         if !self.in_contact() {
             return;
         }
-        for id in self.admission.writes.due(self.now) {
-            let Some(txn) = self.admission.writes.txn(&id).cloned() else {
+        for id in self.user_requests.awaiting_write.due(self.now) {
+            let Some(txn) = self.user_requests.awaiting_write.txn(&id).cloned() else {
                 continue;
             };
             if self.send_txn(txn, Purpose::User(id.clone()), Urgency::Background) {
-                self.admission.writes.sent(self.now, &id);
+                self.user_requests.awaiting_write.sent(self.now, &id);
             }
         }
     }
 
     /// A request for a user's write has come to an outcome.
-    pub(crate) fn user_written(&mut self, id: &WriteId, outcome: Outcome) {
-        match self.admission.writes.answered(id, outcome) {
+    pub(crate) fn user_write_answered(&mut self, id: &WriteId, outcome: Outcome) {
+        match self.user_requests.awaiting_write.answered(id, outcome) {
             WriteResolution::Nothing => {}
-            WriteResolution::Confirmed(ask) => self.tell_written(&ask),
+            WriteResolution::Confirmed(request) => self.answer_written(&request),
             // Known already: by a retry that came in elsewhere, or by this write's
             // own first request.
-            WriteResolution::Conflict(ask, _) if ask.wish == Wish::Submit => {
+            WriteResolution::Conflict(request, _) if request.kind == RequestKind::Submit => {
                 let since = self.now;
-                self.admission.asks.push(Ask { since, ..ask });
+                self.user_requests
+                    .awaiting_read
+                    .push(UserRequest { since, ..request });
             }
-            WriteResolution::Conflict(ask, revision) => {
-                self.admission.cancels.push((ask, revision));
+            WriteResolution::Conflict(request, revision) => {
+                self.user_requests
+                    .awaiting_revision
+                    .push((request, revision));
             }
             WriteResolution::Failed(mut write) => {
                 if !write.is_in_doubt() {
                     // Surely not executed.
-                    write.ask.at_ms = None;
+                    write.request.at_ms = None;
                 }
-                self.give_up(&write.ask, "the state service did not answer");
+                self.abandon(&write.request, "the state service did not answer");
             }
         }
-        self.cancels_progress();
+        self.resume_cancellations();
         self.refresh_view();
     }
 
     /// Lets somebody else answer a user who can't be answered here. A submission whose
     /// write may have been executed is not carried on: a peer would call the job known
     /// already at the user's first attempt, which then takes it for somebody else's.
-    fn give_up(&mut self, ask: &Ask, why: &str) {
-        match ask.at_ms {
-            Some(_) => self.refuse_with_retry(ask.conn, why),
-            None => self.relay_to_peer(ask.conn, why),
+    fn abandon(&mut self, request: &UserRequest, why: &str) {
+        match request.at_ms {
+            Some(_) => self.refuse_with_retry(request.conn, why),
+            None => self.relay_to_peer(request.conn, why),
         }
     }
 
     /// A job's record has changed, which may confirm what users wait for.
-    pub(crate) fn confirm_by_record(&mut self, id: &JobId) {
+    pub(crate) fn confirm_writes_by_record(&mut self, id: &JobId) {
         let Some(job) = self.view.jobs.get(id) else {
             return;
         };
         let (at_ms, is_cancelled) = (job.accepted_ms, job.phase == Phase::Cancelled);
-        let shows = |ask: &Ask| match ask.wish {
-            Wish::Submit => ask.has_written(at_ms),
-            Wish::Abort => is_cancelled,
-            Wish::Poll => false,
+        let shows = |request: &UserRequest| match request.kind {
+            RequestKind::Submit => request.has_written(at_ms),
+            RequestKind::Abort => is_cancelled,
+            RequestKind::Poll => false,
         };
-        for ask in self.admission.writes.take_confirmed(id, shows) {
-            self.tell_written(&ask);
+        for request in self.user_requests.awaiting_write.take_confirmed(id, shows) {
+            self.answer_written(&request);
         }
     }
 
     /// Tells a user that the store has what was asked for.
-    fn tell_written(&mut self, ask: &Ask) {
-        match ask.wish {
-            Wish::Abort => self.tell_cancelled(ask),
-            Wish::Submit | Wish::Poll => self.tell_accepted(ask),
+    fn answer_written(&mut self, request: &UserRequest) {
+        match request.kind {
+            RequestKind::Abort => self.answer_cancelled(request),
+            RequestKind::Submit | RequestKind::Poll => self.answer_accepted(request),
         }
     }
 
-    fn tell_accepted(&mut self, ask: &Ask) {
-        let id = &ask.job;
+    fn answer_accepted(&mut self, request: &UserRequest) {
+        let id = &request.job;
         log::debug!("{id}: accepted");
         // It may be over by now, if the answer to the write took long.
         let over = self.view.jobs.get(id).filter(|j| j.phase != Phase::Open);
@@ -398,7 +404,7 @@
             let job = self.view.jobs.get(awaited);
             job.is_some_and(|j| j.phase == Phase::Cancelled)
         };
-        let mut awaits = ask.spec.iter().flat_map(|s| &s.awaits);
+        let mut awaits = request.spec.iter().flat_map(|s| &s.awaits);
         let phase = match over {
             Some(job) => status_of(id, job).phase,
             None if awaits.any(is_cancelled) => JobPhase::Cancelled,
@@ -410,11 +416,11 @@
             done: None,
             running: None,
         };
-        self.answer(ask.conn, 201, encode(&status));
+        self.answer(request.conn, 201, encode(&status));
     }
 
-    fn tell_cancelled(&mut self, ask: &Ask) {
-        let id = &ask.job;
+    fn answer_cancelled(&mut self, request: &UserRequest) {
+        let id = &request.job;
         log::info!("{id}: cancelled by its user");
         let done = self.view.jobs.get(id).map(|j| j.done);
         let status = JobStatus {
@@ -423,7 +429,7 @@
             done,
             running: Some(0),
         };
-        self.answer(ask.conn, 200, encode(&status));
+        self.answer(request.conn, 200, encode(&status));
     }
 
     pub(crate) fn poll(&mut self, conn: ConnId, id: &str) {
@@ -439,13 +445,13 @@
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::FromMemory) {
             return match self.view.jobs.contains_key(&id) {
-                true => self.tell(conn, &id, 200),
+                true => self.answer_status(conn, &id, 200),
                 false => self.refuse(conn, 404, "no such job"),
             };
         }
         match self.view.jobs.get(&id) {
-            Some(job) if job.phase != Phase::Open => self.tell(conn, &id, 200),
-            _ => self.ask(conn, id, Wish::Poll, None),
+            Some(job) if job.phase != Phase::Open => self.answer_status(conn, &id, 200),
+            _ => self.read_first(conn, id, RequestKind::Poll, None),
         }
     }
 
@@ -454,31 +460,37 @@
             return self.refuse(conn, 404, "no such job");
         };
         match self.view.jobs.get(&id) {
-            Some(job) if job.phase != Phase::Open => self.tell(conn, &id, 200),
+            Some(job) if job.phase != Phase::Open => self.answer_status(conn, &id, 200),
             Some(_) if self.in_contact() => {
-                let ask = Ask {
+                let request = UserRequest {
                     conn,
                     job: id,
-                    wish: Wish::Abort,
+                    kind: RequestKind::Abort,
                     since: self.now,
                     spec: None,
                     at_ms: None,
                 };
-                self.cancel(ask);
+                self.cancel(request);
             }
-            _ => self.ask(conn, id, Wish::Abort, None),
+            _ => self.read_first(conn, id, RequestKind::Abort, None),
         }
     }
 
     /// Puts a user among those who wait for a read.
-    fn ask(&mut self, conn: ConnId, job: JobId, wish: Wish, spec: Option<Rc<JobSpec>>) {
-        if !self.in_contact() || self.admission.asks.len() >= MOST_WAITING {
+    fn read_first(
+        &mut self,
+        conn: ConnId,
+        job: JobId,
+        kind: RequestKind,
+        spec: Option<Rc<JobSpec>>,
+    ) {
+        if !self.in_contact() || self.user_requests.awaiting_read.len() >= MAX_WAITING {
             return self.relay_to_peer(conn, "the state service can not be reached");
         }
-        self.admission.asks.push(Ask {
+        self.user_requests.awaiting_read.push(UserRequest {
             conn,
             job,
-            wish,
+            kind,
             since: self.now,
             spec,
             at_ms: None,
@@ -487,39 +499,47 @@
     }
 
     /// A read begun after they asked has ended.
-    pub(crate) fn asks_read(&mut self, asks: Vec<Ask>, fresh: bool) {
-        for ask in asks {
-            let open = self.view.jobs.get(&ask.job).map(|j| j.phase == Phase::Open);
+    pub(crate) fn complete_user_requests(&mut self, requests: Vec<UserRequest>, fresh: bool) {
+        for request in requests {
+            let open = self
+                .view
+                .jobs
+                .get(&request.job)
+                .map(|j| j.phase == Phase::Open);
             if !fresh && open != Some(false) {
-                self.give_up(&ask, "the state service did not answer");
+                self.abandon(&request, "the state service did not answer");
                 continue;
             }
-            match (open, ask.wish) {
-                (None, Wish::Submit) => match ask.spec {
+            match (open, request.kind) {
+                (None, RequestKind::Submit) => match request.spec {
                     // What it names was not known before the read.
-                    Some(spec) => match self.named(&spec) {
-                        Named::Accepted => self.accept(ask.conn, spec),
-                        Named::Service => {
-                            self.refuse(ask.conn, 422, "a service can not be awaited");
+                    Some(spec) => match self.classify_awaited(&spec) {
+                        AwaitedJobs::Accepted => self.accept(request.conn, spec),
+                        AwaitedJobs::Service => {
+                            self.refuse(request.conn, 422, "a service can not be awaited");
                         }
-                        Named::Unknown => {
-                            self.refuse(ask.conn, 422, "it awaits a job that was never accepted");
+                        AwaitedJobs::Unknown => {
+                            self.refuse(
+                                request.conn,
+                                422,
+                                "it awaits a job that was never accepted",
+                            );
                         }
                     },
-                    None => self.refuse_with_retry(ask.conn, "come again"),
+                    None => self.refuse_with_retry(request.conn, "come again"),
                 },
-                (None, _) => self.refuse(ask.conn, 404, "no such job"),
-                (Some(true), Wish::Abort) => self.cancel(ask),
+                (None, _) => self.refuse(request.conn, 404, "no such job"),
+                (Some(true), RequestKind::Abort) => self.cancel(request),
                 (Some(_), _) => {
-                    let at_ms = self.view.jobs.get(&ask.job).map(|j| j.accepted_ms);
-                    let is_ours = at_ms.is_some_and(|at_ms| ask.has_written(at_ms));
-                    self.tell(ask.conn, &ask.job, if is_ours { 201 } else { 200 });
+                    let at_ms = self.view.jobs.get(&request.job).map(|j| j.accepted_ms);
+                    let is_ours = at_ms.is_some_and(|at_ms| request.has_written(at_ms));
+                    self.answer_status(request.conn, &request.job, if is_ours { 201 } else { 200 });
                 }
             }
         }
     }
 
-    fn tell(&mut self, conn: ConnId, id: &JobId, status: u16) {
+    fn answer_status(&mut self, conn: ConnId, id: &JobId, status: u16) {
         let Some(job) = self.view.jobs.get(id) else {
             return;
         };
@@ -527,11 +547,11 @@
         self.answer(conn, status, body);
     }
 
-    fn cancel(&mut self, ask: Ask) {
-        let Some(job) = self.view.jobs.get(&ask.job) else {
+    fn cancel(&mut self, request: UserRequest) {
+        let Some(job) = self.view.jobs.get(&request.job) else {
             return;
         };
-        let id = ask.job.clone();
+        let id = request.job.clone();
         let record = JobRecord {
             phase: Phase::Cancelled,
             spec: job.spec.as_deref().cloned(),
@@ -552,7 +572,7 @@
         };
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::UnconfirmedCancels) {
-            let conn = ask.conn;
+            let conn = request.conn;
             let status = JobStatus {
                 id: id.clone(),
                 phase: JobPhase::Cancelled,
@@ -561,42 +581,43 @@
             };
             self.answer(conn, 200, encode(&status));
         }
-        self.write_for_user(ask, txn);
+        self.write_for_user(request, txn);
     }
 
     /// Cancellations that met a newer record go on once the view has it.
-    pub(crate) fn cancels_progress(&mut self) {
-        if self.admission.cancels.is_empty() {
+    pub(crate) fn resume_cancellations(&mut self) {
+        if self.user_requests.awaiting_revision.is_empty() {
             return;
         }
         let revision = self.view.revision;
-        let (ready, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.admission.cancels)
-            .into_iter()
-            .partition(|(_, needs)| *needs <= revision);
-        self.admission.cancels = wait;
-        let asks = ready.into_iter().map(|(ask, _)| ask).collect();
-        self.asks_read(asks, true);
+        let (ready, wait): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.user_requests.awaiting_revision)
+                .into_iter()
+                .partition(|(_, needs)| *needs <= revision);
+        self.user_requests.awaiting_revision = wait;
+        let requests = ready.into_iter().map(|(request, _)| request).collect();
+        self.complete_user_requests(requests, true);
     }
 
-    pub(crate) fn admission_tick(&mut self) {
+    pub(crate) fn user_requests_tick(&mut self) {
         let now = self.now;
         self.repeat_user_writes();
-        let late = |ask: &Ask| now.saturating_sub(ask.since) > PATIENCE;
+        let late = |request: &UserRequest| now.saturating_sub(request.since) > REQUEST_TIMEOUT;
         let mut given_up = Vec::new();
-        self.admission.asks.retain(|ask| {
-            if late(ask) {
-                given_up.push(ask.clone());
+        self.user_requests.awaiting_read.retain(|request| {
+            if late(request) {
+                given_up.push(request.clone());
             }
-            !late(ask)
+            !late(request)
         });
-        self.admission.cancels.retain(|(ask, _)| {
-            if late(ask) {
-                given_up.push(ask.clone());
+        self.user_requests.awaiting_revision.retain(|(request, _)| {
+            if late(request) {
+                given_up.push(request.clone());
             }
-            !late(ask)
+            !late(request)
         });
-        for ask in given_up {
-            self.give_up(&ask, "the state service did not answer in time");
+        for request in given_up {
+            self.abandon(&request, "the state service did not answer in time");
         }
         self.refresh_view();
     }
--- a/crates/core/src/user_writes.rs
+++ b/crates/core/src/user_writes.rs
@@ -10,9 +10,9 @@
 use oliveshift_wire::{JobId, state::Txn};
 
 use crate::{
-    admission::{Ask, Wish},
     call::ConnId,
     store::Outcome,
+    user_api::{RequestKind, UserRequest},
 };
 
 /// A write without an answer is repeated after so long, so many times at most.
@@ -25,7 +25,7 @@
 /// A user's write that is not confirmed yet.
 #[derive(Debug)]
 pub(crate) struct UserWrite {
-    pub ask: Ask,
+    pub request: UserRequest,
     pub txn: Txn,
     sent: u32,
     in_flight: u32,
@@ -36,9 +36,9 @@
 
 impl UserWrite {
     /// One whose first request goes out now.
-    pub fn new(now: Duration, ask: Ask, txn: Txn) -> Self {
+    pub fn new(now: Duration, request: UserRequest, txn: Txn) -> Self {
         Self {
-            ask,
+            request,
             txn,
             sent: 1,
             in_flight: 1,
@@ -59,9 +59,9 @@
     /// Nothing: others are under way, or its user has been answered.
     Nothing,
     /// The store has it.
-    Confirmed(Ask),
+    Confirmed(UserRequest),
     /// A condition did not hold at this revision.
-    Conflict(Ask, u64),
+    Conflict(UserRequest, u64),
     /// No request for it is left that may be answered.
     Failed(UserWrite),
 }
@@ -80,7 +80,7 @@
 
     /// A new one.
     pub fn add(&mut self, write: UserWrite) {
-        let id = (write.ask.job.clone(), write.ask.conn);
+        let id = (write.request.job.clone(), write.request.conn);
         self.waiting.insert(id, write);
     }
 
@@ -122,28 +122,32 @@
             return WriteResolution::Nothing;
         };
         match outcome {
-            Outcome::Done(_) => WriteResolution::Confirmed(write.ask),
-            Outcome::Conflict(revision) => WriteResolution::Conflict(write.ask, revision),
+            Outcome::Done(_) => WriteResolution::Confirmed(write.request),
+            Outcome::Conflict(revision) => WriteResolution::Conflict(write.request, revision),
             _ => WriteResolution::Failed(write),
         }
     }
 
     /// The record of a job has changed: takes the asks that it confirms. `shows`
     /// tells whether it shows what a wish was for.
-    pub fn take_confirmed(&mut self, job: &JobId, shows: impl Fn(&Ask) -> bool) -> Vec<Ask> {
+    pub fn take_confirmed(
+        &mut self,
+        job: &JobId,
+        shows: impl Fn(&UserRequest) -> bool,
+    ) -> Vec<UserRequest> {
         let all = (job.clone(), ConnId::MIN)..=(job.clone(), ConnId::MAX);
-        let shown = self.waiting.range(all).filter(|(_, w)| shows(&w.ask));
+        let shown = self.waiting.range(all).filter(|(_, w)| shows(&w.request));
         let shown: Vec<_> = shown.map(|(id, _)| id.clone()).collect();
         let writes = shown.iter().filter_map(|id| self.waiting.remove(id));
-        writes.map(|write| write.ask).collect()
+        writes.map(|write| write.request).collect()
     }
 }
 
-impl Ask {
+impl UserRequest {
     /// Whether a job's record of this time of acceptance is the one that this ask
     /// has written.
     pub fn has_written(&self, at_ms: u64) -> bool {
-        self.wish == Wish::Submit && self.at_ms == Some(at_ms)
+        self.kind == RequestKind::Submit && self.at_ms == Some(at_ms)
     }
 }
 
--- a/crates/core/src/user_writes/tests.rs
+++ b/crates/core/src/user_writes/tests.rs
@@ -14,10 +14,10 @@
 
 /// A submission sent after a second.
 fn submission(conn: ConnId, at_ms: u64) -> UserWrite {
-    let ask = Ask {
+    let request = UserRequest {
         conn,
         job: job(),
-        wish: Wish::Submit,
+        kind: RequestKind::Submit,
         since: ms(1000),
         spec: None,
         at_ms: Some(at_ms),
@@ -26,7 +26,7 @@
         conds: Vec::new(),
         changes: Vec::new(),
     };
-    UserWrite::new(ms(1000), ask, txn)
+    UserWrite::new(ms(1000), request, txn)
 }
 
 #[test]
@@ -71,8 +71,8 @@
     let mut writes = UserWrites::default();
     writes.add(submission(7, 1));
     writes.add(submission(8, 2));
-    let shown = writes.take_confirmed(&job(), |ask| ask.has_written(1));
-    let conns: Vec<_> = shown.iter().map(|ask| ask.conn).collect();
+    let shown = writes.take_confirmed(&job(), |request| request.has_written(1));
+    let conns: Vec<_> = shown.iter().map(|request| request.conn).collect();
     assert_eq!(conns, [7], "the other one has not written this record");
     let late = writes.answered(&id(7), Outcome::Done(5));
     assert!(
@@ -80,5 +80,5 @@
         "it is answered once"
     );
     let conflict = writes.answered(&id(8), Outcome::Conflict(5));
-    assert!(matches!(conflict, WriteResolution::Conflict(ask, 5) if ask.conn == 8));
+    assert!(matches!(conflict, WriteResolution::Conflict(request, 5) if request.conn == 8));
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -14,8 +14,8 @@
 };
 use rmpv::Value;
 
+use crate::admission_shares::AdmissionRecord;
 use crate::floors::Flow;
-use crate::gate::AdmissionRecord;
 use crate::records::{
     BlockId, BlockRecord, ChunkRecord, FormatLevel, FormatRecord, JobRecord, Key, LevelRecord,
     MachineListEntry, MachineListRecord, MachineRecord, MemberRecord, Phase, SpecOverflowRecord,
--- a/crates/testkit/tests/admission.rs
+++ b/crates/testkit/tests/admission.rs
@@ -5,8 +5,10 @@
 
 use oliveshift_core::{
     Sabotage,
+    admission_shares::{
+        AdmissionDecision, AdmissionRecord, AdmissionShares, FleetLoad, FlowLoad, SharePlanner,
+    },
     floors::{FLOORS, Floors, Flow, Oldest},
-    gate::{AdmissionRecord, Demand, Demands, Gate, Steward, Verdict},
 };
 use oliveshift_wire::{
     JobId,
@@ -28,8 +30,8 @@
 struct Node {
     name: String,
     life: u64,
-    gate: Gate,
-    steward: Steward,
+    admission_shares: AdmissionShares,
+    share_planner: SharePlanner,
     /// How many events it has seen, and what follows from them.
     seen: usize,
     record: Option<(u64, AdmissionRecord)>,
@@ -39,7 +41,7 @@
 
 /// A write under way.
 enum Write {
-    Job(usize, JobSpec, Verdict),
+    Job(usize, JobSpec, AdmissionDecision),
     Record(usize, u64, AdmissionRecord),
 }
 
@@ -105,8 +107,8 @@
         .map(|i| Node {
             name: format!("n-{i}"),
             life: 1,
-            gate: Gate::default(),
-            steward: Steward::default(),
+            admission_shares: AdmissionShares::default(),
+            share_planner: SharePlanner::default(),
             seen: 0,
             record: None,
             open: BTreeMap::new(),
@@ -149,14 +151,14 @@
         }
         if rng.f64() < 0.003 {
             let at = rng.usize(0..count);
-            nodes[at].gate = Gate::default();
-            nodes[at].steward = Steward::default();
+            nodes[at].admission_shares = AdmissionShares::default();
+            nodes[at].share_planner = SharePlanner::default();
             // Broken on purpose, it takes itself for the one that it was.
             nodes[at].life += u64::from(sabotage != Some(Sabotage::ReusedIncarnation));
         }
         if rng.f64() < 0.004 {
             leader = rng.usize(0..count);
-            nodes[leader].steward = Steward::default();
+            nodes[leader].share_planner = SharePlanner::default();
         }
         let up: Vec<_> = nodes.iter().map(|n| (n.name.clone(), n.life)).collect();
         for (at, node) in nodes.iter_mut().enumerate() {
@@ -182,24 +184,24 @@
             if at != leader {
                 continue;
             }
-            let mut seen = Demands {
+            let mut seen = FleetLoad {
                 fleet: FLEET,
                 horizon_s: HORIZON,
                 open: node.open.clone(),
                 nodes: up.clone(),
-                ..Demands::default()
+                ..FleetLoad::default()
             };
             for (flow, work) in node.open.values() {
-                let demand = seen.flows.entry(flow.clone()).or_insert(Demand {
+                let demand = seen.flows.entry(flow.clone()).or_insert(FlowLoad {
                     open_s: 0.0,
                     drain: 0.5,
                 });
                 demand.open_s += work;
             }
-            node.steward.sabotage = sabotage;
+            node.share_planner.sabotage = sabotage;
             let present = node.record.as_ref().map(|(v, r)| (*v, r));
             let version = present.map_or(0, |(v, _)| v);
-            if let Some(next) = node.steward.next(now, present, &seen) {
+            if let Some(next) = node.share_planner.next_record(now, present, &seen) {
                 let at = now + Duration::from_millis(rng.u64(2..400));
                 writes.push((at, Write::Record(leader, version, next)));
             }
@@ -216,12 +218,12 @@
                 }
                 continue;
             }
-            node.gate.sabotage = sabotage;
+            node.admission_shares.sabotage = sabotage;
             let present = node.record.as_ref().map(|(v, r)| (*v, r));
-            let limited = present.is_some_and(|(_, r)| r.limits());
-            let verdict = node
-                .gate
-                .ask(now, (&node.name, node.life), present, &user.spec);
+            let limited = present.is_some_and(|(_, r)| r.is_limiting());
+            let verdict =
+                node.admission_shares
+                    .admit(now, (&node.name, node.life), present, &user.spec);
             if limited {
                 let tries = if user.again {
                     &mut came.again
@@ -229,10 +231,10 @@
                     &mut came.first
                 };
                 tries.0 += 1;
-                tries.1 += u32::from(!matches!(verdict, Verdict::Later(_)));
+                tries.1 += u32::from(!matches!(verdict, AdmissionDecision::RetryAfter(_)));
             }
             match verdict {
-                Verdict::Later(after) => {
+                AdmissionDecision::RetryAfter(after) => {
                     user.again = true;
                     user.comes = now + after;
                     *came.told.entry(user.comes.as_secs()).or_default() += 1;
@@ -258,13 +260,13 @@
                     records += 1;
                     came.records += 1;
                     let before = sum(&open);
-                    if next.limits() && !record.limits() {
+                    if next.is_limiting() && !record.is_limiting() {
                         limited_at = HORIZON.max(before);
                     }
-                    if next.limits() && record.limits() {
+                    if next.is_limiting() && record.is_limiting() {
                         // What went beyond a share by one large job is nobody's
                         // mistake.
-                        let whole = before + next.whole_s() - over;
+                        let whole = before + next.total_s() - over;
                         came.beyond = came.beyond.max(whole - HORIZON.max(before - over));
                     }
                     over = 0.0;
@@ -275,7 +277,7 @@
                 Write::Record(..) => {}
                 Write::Job(by, spec, verdict) => {
                     let holds = match verdict {
-                        Verdict::Under(version) => version == records,
+                        AdmissionDecision::IfVersion(version) => version == records,
                         _ => true,
                     };
                     if !holds {
@@ -291,7 +293,7 @@
                     let tasks = f64::from(spec.tasks);
                     let work = (4.0 / FLEET[0] * tasks * 10.0).max(HORIZON / 12_000.0);
                     let flow = Flow::of(&spec);
-                    if verdict != Verdict::Free {
+                    if verdict != AdmissionDecision::Unrestricted {
                         let mine = spent.entry((by, spec.class.clone())).or_default();
                         let (mine, large) = (&mut mine.0, &mut mine.1);
                         let share = record.flows.iter().find(|f| f.class == spec.class);
@@ -313,7 +315,7 @@
                     log.push(Event::Opened(spec.id, flow, work));
                 }
             }
-            if record.limits() {
+            if record.is_limiting() {
                 came.beyond_open = came.beyond_open.max(sum(&open) - limited_at);
             }
         }
