--- a/crates/core/src/forwarding.rs
+++ b/crates/core/src/forwarding.rs
@@ -257,8 +257,8 @@
                 .inbox
                 .record_forwarded_report(self.now, &report.machine)
         {
-            let home = self.settings.node.clone();
-            return self.redirect(conn, Some(home));
+            let report_to = self.settings.node.clone();
+            return self.redirect(conn, Some(report_to));
         }
         self.process_report(conn, report);
     }
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -22,7 +22,7 @@
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(800);
 const INSPECT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long a controller that reaches no workers leaves a vacant leadership to other candidates.
-const CANDIDACY_BACKOFF: Duration = Duration::from_secs(2);
+const CANDIDACY_DELAY: Duration = Duration::from_secs(2);
 
 impl Controller {
     /// Handles the report of a worker whose block this controller does not hold.
@@ -173,7 +173,8 @@
     }
 
     /// Relays a user's request to a peer with contact to the state service, as this controller
-    /// can't reach the service or got no answer from it.
+    /// can't reach the service or got no answer from it. If no peer can be asked, the user is told
+    /// to retry.
     pub(crate) fn relay_to_peer(&mut self, conn: ConnId, reason: &str) {
         let peers: Vec<_> = self.peers_in_contact().cloned().collect();
         #[cfg(feature = "sabotage")]
@@ -346,6 +347,6 @@
         let since = *self.leaderless_since.get_or_insert(self.now);
         self.reachability.is_isolated()
             && self.view.members.len() > 1
-            && self.now < since + CANDIDACY_BACKOFF
+            && self.now < since + CANDIDACY_DELAY
     }
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -208,17 +208,17 @@
 
     /// The peers that have contact with the state service, by their recent messages.
     pub(crate) fn peers_in_contact(&self) -> impl Iterator<Item = &String> {
-        let lately = |at: Duration| self.now.saturating_sub(at) < MAX_MESSAGE_AGE;
+        let is_recent = |at: Duration| self.now.saturating_sub(at) < MAX_MESSAGE_AGE;
         let peers = self.peers.iter();
         let peers =
-            peers.filter(move |(_, p)| p.is_fresh(self.now) && p.contact_at.is_some_and(lately));
+            peers.filter(move |(_, p)| p.is_fresh(self.now) && p.contact_at.is_some_and(is_recent));
         peers.map(|(name, _)| name)
     }
 
     /// The images that a machine had by the last status of it that a peer sent.
     pub(crate) fn last_known_images(&self, name: &str) -> Vec<String> {
-        let heard = self.peers.values().find_map(|p| p.machines.get(name));
-        heard.map(|m| m.images.clone()).unwrap_or_default()
+        let status = self.peers.values().find_map(|p| p.machines.get(name));
+        status.map(|m| m.images.clone()).unwrap_or_default()
     }
 
     /// Stops a task to make room. A task that saves its state gets its save time plus 0.5 s.
--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -542,8 +542,8 @@
             self.peer_unreached_zones.remove(&from);
         } else {
             let zones = message.zones.clone();
-            let said = (now, message.incarnation, zones);
-            self.peer_unreached_zones.insert(from.clone(), said);
+            let reported = (now, message.incarnation, zones);
+            self.peer_unreached_zones.insert(from.clone(), reported);
         }
         self.peer_messages.insert(from, (now, message));
         self.index_peer_strays();
@@ -553,20 +553,20 @@
     /// process has other links. `alive` gives the incarnation of a peer that is up.
     pub fn forget_previous_incarnations(&mut self, alive: impl Fn(&str) -> Option<u64>) {
         self.peer_unreached_zones
-            .retain(|node, (_, said, _)| alive(node).is_none_or(|now| now == *said));
+            .retain(|node, (_, reported, _)| alive(node).is_none_or(|now| now == *reported));
     }
 
     /// Whether a controller reports that it does not reach some zone, or that it hears none of a
     /// block's workers. It may have lost more links than it has detected yet.
     pub fn is_suspect(&self, us: &str, node: &str) -> bool {
-        let hears_nobody = match node == us {
+        let hears_none = match node == us {
             true => self.blocks.values().any(|b| b.unheard),
             false => {
                 let message = self.peer_messages.get(node);
                 message.is_some_and(|(_, message)| !message.unheard.is_empty())
             }
         };
-        hears_nobody || !self.zones_unreached_by(us, node).is_empty()
+        hears_none || !self.zones_unreached_by(us, node).is_empty()
     }
 
     /// The message to send to all peers now; `None` if there is nothing to report, or if the
@@ -594,12 +594,12 @@
             zones: self.unreached_zone_names().cloned().collect(),
             strays: self.strays_to_report(now),
         };
-        let some =
+        let has_content =
             !message.unheard.is_empty() || !message.zones.is_empty() || !message.strays.is_empty();
         // The last messages are empty: they revoke the earlier ones.
-        let due = some || self.empty_messages_left > 0;
+        let due = has_content || self.empty_messages_left > 0;
         self.has_changes = false;
-        self.empty_messages_left = match some {
+        self.empty_messages_left = match has_content {
             true => EMPTY_MESSAGE_REPEATS,
             false => self.empty_messages_left.saturating_sub(1),
         };
@@ -623,8 +623,9 @@
         match node == us {
             true => self.unreached_zone_names().collect(),
             false => {
-                let said = self.peer_unreached_zones.get(node);
-                said.map(|(_, _, zones)| zones.iter().collect())
+                let reported = self.peer_unreached_zones.get(node);
+                reported
+                    .map(|(_, _, zones)| zones.iter().collect())
                     .unwrap_or_default()
             }
         }
@@ -713,10 +714,10 @@
         self.strays_at_peers.clear();
         for (at, message) in self.peer_messages.values() {
             for stray in &message.strays {
-                let came = at.saturating_sub(Duration::from_millis(stray.ago_ms));
+                let reported_at = at.saturating_sub(Duration::from_millis(stray.ago_ms));
                 let last = self.strays_at_peers.entry(stray.machine.clone());
-                let last = last.or_insert(came);
-                *last = came.max(*last);
+                let last = last.or_insert(reported_at);
+                *last = reported_at.max(*last);
             }
         }
     }
@@ -781,7 +782,8 @@
                 block: block.id,
                 unheard,
                 reason: format!(
-                    "of {} workers {} reported to other controllers, {repeated} repeatedly; holder {} {heard}",
+                    "of {} workers {} reported to other controllers, {repeated} repeatedly; \
+                     holder {} {heard}",
                     block.machines,
                     times.len(),
                     block.holder
@@ -821,7 +823,7 @@
     pub fn record_move(&mut self, now: Duration, holder: &str, zone: &str, unheard: bool) {
         self.recent_moves.push_back(now);
         if unheard {
-            // The holder reports itself when it reaches the zone again.
+            // A holder that hears none of them reports itself when it reaches the zone again.
             return;
         }
         let key = (holder.to_owned(), zone.to_owned());
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -26,7 +26,7 @@
 /// any other request. Users wait somewhat longer, which leaves time for the way back.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1800);
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(4500);
-/// Longest wait for a peer's answer; a peer that is slower will not answer at all.
+/// Longest wait for a peer's answer; a peer that takes longer will presumably not answer at all.
 const MAX_PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// With less time than this remaining a request is not relayed.
 const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(150);
@@ -143,27 +143,27 @@
         Duration::from_millis(n)
     }
 
-    fn at(relay: &mut Relay, conn: ConnId, method: Method) {
+    fn store(relay: &mut Relay, conn: ConnId, method: Method) {
         relay.store_request(ms(1000), conn, method, "work/j-000001", b"");
     }
 
     #[test]
     fn a_request_is_relayed_once_and_in_time() {
         let mut relay = Relay::default();
-        at(&mut relay, 1, Method::Get);
+        store(&mut relay, 1, Method::Get);
         let (request, remaining) = relay.take_request(ms(2500), 1).expect("time is left");
         assert_eq!((request.asks, remaining), (true, ms(300)));
         assert_eq!(relay.take_request(ms(2500), 1), None, "relayed before");
-        at(&mut relay, 2, Method::Get);
+        store(&mut relay, 2, Method::Get);
         assert_eq!(relay.take_request(ms(2700), 2), None, "too late");
-        at(&mut relay, 3, Method::Post);
+        store(&mut relay, 3, Method::Post);
         assert_eq!(
             relay.take_request(ms(2700), 3).map(|c| c.1),
             Some(MAX_PEER_TIMEOUT)
         );
         assert_eq!(relay.take_request(ms(2700), 4), None, "not a user's");
         for conn in 10..40 {
-            at(&mut relay, conn, Method::Get);
+            store(&mut relay, conn, Method::Get);
         }
         let at_peers = (10..40).filter(|c| relay.take_request(ms(1100), *c).is_some());
         assert_eq!(at_peers.count(), MAX_AT_PEERS - 2);
