--- a/crates/core/src/admission_shares.rs
+++ b/crates/core/src/admission_shares.rs
@@ -29,7 +29,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    floors::Flow,
+    minimum_shares::Flow,
     queue_order::{QueueOrder, dominant_share},
     records::Phase,
     view::View,
--- a/crates/core/src/assigned_tasks.rs
+++ b/crates/core/src/assigned_tasks.rs
@@ -204,7 +204,7 @@
         if job.is_complete()
             && let Some(leader) = &mut self.leader
         {
-            leader.complete.insert(id.clone());
+            leader.complete_jobs.insert(id.clone());
         }
         let cancelled = job.phase == Phase::Cancelled;
         let statuses: Vec<TaskStatus> = (0..count as u32)
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -104,10 +104,10 @@
     pub(crate) fn machine_changed(&mut self, name: &str) {
         self.sync_machine(name);
         self.mark_changed(name);
-        self.room_changed(name);
+        self.mark_machine_stale(name);
         // Also for blocks of other controllers: a worker whose report waits here for
         // this record is redirected at once, before its report times out.
-        self.machines_reported(name);
+        self.answer_waiting_reports(name);
     }
 
     /// Adds or removes a machine of a held block.
@@ -167,7 +167,7 @@
             return self.refuse(conn, 503, "no contact with the state service");
         }
         let Some(record) = self.view.machines.get(&report.machine) else {
-            return self.unknown_machine(conn, report);
+            return self.report_of_unknown_machine(conn, report);
         };
         let block = record.block;
         let Some(held) = self.held_blocks.get(&block) else {
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -21,13 +21,14 @@
     blocks::HeldBlock,
     call::{Answer, Call, CallId, ConnId, Listener, Method, Output, Reply, Request, Target},
     cloud::CloudCall,
+    failed_placements::FailedPlacements,
     fleet::Fleet,
     forwarding::Forwarding,
-    futile::Futile,
     invariants::Invariants,
     leader::Leader,
     machine::Machine,
     machine_status::OwnMachines,
+    near_limit::NearLimitTeams,
     order_queue::OrderQueue,
     peers::{NonMemberPeers, PeerLink, PeerState},
     reachability::Reachability,
@@ -38,7 +39,6 @@
     snapshot::SnapshotPart,
     sockets::{Close, OutboundKind, SocketId, Sockets},
     store::{Outcome, Purpose, StoreClient},
-    team_use::TeamUse,
     tuning::Tuning,
     upgrade::Upgrade,
     user_api::{UserRequest, UserRequests},
@@ -328,9 +328,9 @@
     /// Tasks in state `Free`: they wait for a machine of their block.
     pub(crate) unplaced: BTreeSet<TaskId>,
     /// Recent placement attempts that found no machine.
-    pub(crate) futile: Futile,
+    pub(crate) failed_placements: FailedPlacements,
     /// Teams that are near their limit.
-    pub(crate) team_use: TeamUse,
+    pub(crate) near_limit_teams: NearLimitTeams,
     /// Chunks with task results to record.
     pub(crate) dirty_chunks: BTreeMap<(JobId, u32), DirtyChunk>,
     /// Writes of chunks that are not yet settled.
@@ -402,8 +402,8 @@
             machines: BTreeMap::new(),
             assigned_tasks: BTreeMap::new(),
             unplaced: BTreeSet::new(),
-            futile: Futile::default(),
-            team_use: TeamUse::default(),
+            failed_placements: FailedPlacements::default(),
+            near_limit_teams: NearLimitTeams::default(),
             dirty_chunks: BTreeMap::new(),
             chunk_writes: BTreeMap::new(),
             order_queue: OrderQueue::default(),
@@ -592,7 +592,7 @@
         self.place();
         self.record_dirty_chunks();
         self.refresh_own_machines();
-        if self.futile.take_changed() {
+        if self.failed_placements.take_changed() {
             self.place();
             self.refresh_own_machines();
         }
@@ -712,7 +712,7 @@
             Purpose::Leadership => self.lead_written(outcome),
             Purpose::User(id) => self.user_write_answered(&id, outcome),
             Purpose::Chunk(id, part) => self.chunk_written(id, part, txn, outcome),
-            Purpose::LeaderWrite(what) => self.duty_written(what, outcome),
+            Purpose::LeaderWrite(what) => self.leader_write_done(what, outcome),
             Purpose::MachineLists => self.machine_lists_written(&txn, outcome),
             Purpose::Upgrade(step) => self.upgrade_write_answered(step, outcome),
         }
--- a/crates/core/src/futile.rs
+++ b/crates/core/src/failed_placements.rs
@@ -18,32 +18,32 @@
 
 /// Searches that found nothing, and would find nothing now.
 #[derive(Debug, Default)]
-pub(crate) struct Futile {
+pub(crate) struct FailedPlacements {
     /// When a task of a job was tried last, by block.
-    tried: BTreeMap<BlockId, BTreeMap<JobId, Duration>>,
+    attempts: BTreeMap<BlockId, BTreeMap<JobId, Duration>>,
     /// Some machine has gained room since.
     changed: BTreeSet<BlockId>,
 }
 
-impl Futile {
+impl FailedPlacements {
     /// Whether a task of this job would find nothing in the block, as far as
     /// is known.
-    pub fn is_known(&self, now: Duration, block: BlockId, job: &JobId) -> bool {
-        let tried = self.tried.get(&block).and_then(|jobs| jobs.get(job));
-        tried.is_some_and(|at| now < *at + AGAIN)
+    pub fn has_failed_recently(&self, now: Duration, block: BlockId, job: &JobId) -> bool {
+        let attempts = self.attempts.get(&block).and_then(|jobs| jobs.get(job));
+        attempts.is_some_and(|at| now < *at + AGAIN)
     }
 
     /// One has found nothing.
-    pub fn note(&mut self, now: Duration, block: BlockId, job: &JobId) {
-        let jobs = self.tried.entry(block).or_default();
+    pub fn record(&mut self, now: Duration, block: BlockId, job: &JobId) {
+        let jobs = self.attempts.entry(block).or_default();
         jobs.retain(|_, at| now < *at + AGAIN);
         jobs.insert(job.clone(), now);
     }
 
     /// A machine of the block has room that it had not: all jobs may be tried
     /// again.
-    pub fn room_gained(&mut self, block: BlockId) {
-        if self.tried.remove(&block).is_some() {
+    pub fn capacity_gained(&mut self, block: BlockId) {
+        if self.attempts.remove(&block).is_some() {
             self.changed.insert(block);
         }
     }
@@ -64,17 +64,20 @@
         let job: JobId = "j-000001".parse().expect("an id");
         let other: JobId = "j-000002".parse().expect("an id");
         let (here, there) = (1, 2);
-        let mut futile = Futile::default();
-        assert!(!futile.is_known(ms(0), here, &job));
-        futile.note(ms(0), here, &job);
-        assert!(futile.is_known(ms(100), here, &job));
-        assert!(!futile.is_known(ms(100), there, &job));
-        assert!(!futile.is_known(ms(100), here, &other));
-        assert!(!futile.is_known(ms(250), here, &job), "time passes");
-        futile.room_gained(there);
-        assert!(futile.is_known(ms(100), here, &job) && !futile.take_changed());
-        futile.room_gained(here);
-        assert!(!futile.is_known(ms(100), here, &job));
-        assert!(futile.take_changed() && !futile.take_changed());
+        let mut failures = FailedPlacements::default();
+        assert!(!failures.has_failed_recently(ms(0), here, &job));
+        failures.record(ms(0), here, &job);
+        assert!(failures.has_failed_recently(ms(100), here, &job));
+        assert!(!failures.has_failed_recently(ms(100), there, &job));
+        assert!(!failures.has_failed_recently(ms(100), here, &other));
+        assert!(
+            !failures.has_failed_recently(ms(250), here, &job),
+            "time passes"
+        );
+        failures.capacity_gained(there);
+        assert!(failures.has_failed_recently(ms(100), here, &job) && !failures.take_changed());
+        failures.capacity_gained(here);
+        assert!(!failures.has_failed_recently(ms(100), here, &job));
+        assert!(failures.take_changed() && !failures.take_changed());
     }
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -14,7 +14,9 @@
     settings::Settings,
 };
 
-use crate::{budget::Budget, call::Method, cloud::CloudCall, controller::Controller, rooms::Room};
+use crate::{
+    budget::Budget, call::Method, cloud::CloudCall, controller::Controller, inventory::MachineView,
+};
 
 /// How often the leader reads the cloud's list.
 const LIST_PERIOD: Duration = Duration::from_secs(2);
@@ -154,9 +156,9 @@
     /// Sums up the fleet for the log.
     fn say_fleet(&self) {
         let mut kinds: BTreeMap<(&str, bool), [f64; 6]> = BTreeMap::new();
-        for room in self.leader.iter().flat_map(|l| &l.rooms.list) {
+        for room in self.leader.iter().flat_map(|l| &l.inventory.list) {
             let sums = kinds.entry((&room.kind, room.spot)).or_default();
-            let services = room.kept * room.candidate.total.cpus;
+            let services = room.service_share * room.candidate.total.cpus;
             sums[0] += 1.0;
             sums[1] += room.candidate.total.cpus;
             sums[2] += room.candidate.total.cpus - room.free.cpus;
@@ -319,15 +321,15 @@
     }
 
     /// Whether some work without room could use the machine if it were empty.
-    fn is_wanted(&self, room: &Room) -> bool {
+    fn is_wanted(&self, room: &MachineView) -> bool {
         let offer = room.offer();
         let total = &room.candidate.total;
         let mut wants = self.fleet.wants.iter();
         wants.any(|w| w.tasks > 0 && fits(&w.need, total) && suits(w, &offer))
     }
 
-    fn usable_rooms(&self) -> impl Iterator<Item = &Room> {
-        let rooms = self.leader.iter().flat_map(|l| &l.rooms.list);
+    fn usable_rooms(&self) -> impl Iterator<Item = &MachineView> {
+        let rooms = self.leader.iter().flat_map(|l| &l.inventory.list);
         rooms.filter(|r| r.usable && !r.closed)
     }
 
@@ -338,7 +340,7 @@
         }
         let mut stock = Stock::default();
         for room in self.usable_rooms().filter(|r| !without.contains(&r.name)) {
-            room.add_to(&mut stock, false);
+            room.add_free_to(&mut stock, false);
         }
         reserve.iter().all(|want| stock.count_on(want) == 0)
     }
@@ -363,10 +365,10 @@
     }
 
     /// All room that work may be counted on.
-    fn stock(&self, rented: &[Offer], with_ending: bool) -> Stock {
+    fn stock(&self, rented: &[Offer], with_freed_soon: bool) -> Stock {
         let mut stock = Stock::default();
         for room in self.usable_rooms() {
-            room.add_to(&mut stock, with_ending);
+            room.add_free_to(&mut stock, with_freed_soon);
         }
         for offer in rented {
             self.add_whole(&mut stock, offer);
@@ -521,7 +523,7 @@
         }
         let mut idle = Vec::new();
         let mut early = Vec::new();
-        for room in self.leader.iter().flat_map(|l| &l.rooms.list) {
+        for room in self.leader.iter().flat_map(|l| &l.inventory.list) {
             let name = &room.name;
             if !room.fresh {
                 continue;
@@ -541,7 +543,7 @@
             }
             if silent > lost {
                 returns.push((name.clone(), "it is silent"));
-            } else if silent > self.early_limit()
+            } else if silent > self.early_return_limit()
                 && !room.tasks.is_empty()
                 // A cut, which may end.
                 && !self.reachability.is_reported_unheard(room.block)
@@ -586,7 +588,7 @@
             if spare.len() >= most {
                 break;
             }
-            let room = self.leader.as_ref().and_then(|l| l.rooms.get(&name));
+            let room = self.leader.as_ref().and_then(|l| l.inventory.get(&name));
             if room.is_some_and(|room| unplaced.may_be_on(room)) {
                 continue;
             }
--- a/crates/core/src/handout.rs
+++ b/crates/core/src/handout.rs
@@ -25,10 +25,10 @@
 
 use crate::{
     controller::Controller,
-    floors::Flow,
+    inventory::{Inventory, MachineView},
+    minimum_shares::Flow,
     queue_order::{QueuedJob, dominant_share, latest_starts, waited_s},
     records::{BlockId, Key, Phase, TaskStatus, Term, max_block_terms},
-    rooms::{Room, Rooms},
     store::Urgency,
     throughput::JobProgress,
     view::{Chunk, Job},
@@ -49,7 +49,7 @@
 
 /// A plan in the making.
 pub(crate) struct Plan {
-    pub rooms: Rooms,
+    pub inventory: Inventory,
     /// All machines that can be used.
     fleet: Amounts,
     /// What each team uses, all that counts against its limit.
@@ -98,27 +98,36 @@
 }
 
 /// A machine as a candidate for a job's tasks.
-fn candidate(room: &Room, spec: &JobSpec) -> Candidate {
+fn candidate(room: &MachineView, spec: &JobSpec) -> Candidate {
     Candidate {
-        cached_gb: room.cached(spec),
+        cached_gb: room.cached_gb(spec),
         ..room.candidate.clone()
     }
 }
 
 /// The machines that a job's tasks fit on.
-fn ranking(rooms: &[Room], spec: &JobSpec, avoid: &BTreeSet<String>, weights: &Weights) -> Ranking {
+fn ranking(
+    inventory: &[MachineView],
+    spec: &JobSpec,
+    avoid: &BTreeSet<String>,
+    weights: &Weights,
+) -> Ranking {
     let need = spec.amounts();
-    let all = rooms.iter().enumerate();
+    let all = inventory.iter().enumerate();
     let open = all.filter(|(_, r)| {
-        fits(&need, &r.candidate.free) && r.takes(spec) && !avoid.contains(&r.kind)
+        fits(&need, &r.candidate.free) && r.accepts(spec) && !avoid.contains(&r.kind)
     });
     let candidates = open.map(|(at, room)| (at, candidate(room, spec)));
     Ranking::new(Task::from(spec), candidates, weights)
 }
 
 /// The top scorer in a zone that is still open. Zones only close.
-fn top(ranking: &mut Ranking, rooms: &[Room], zone_ok: impl Fn(&str) -> bool) -> Option<usize> {
-    std::iter::from_fn(|| ranking.pop()).find(|at| zone_ok(&rooms[*at].zone))
+fn top(
+    ranking: &mut Ranking,
+    inventory: &[MachineView],
+    zone_ok: impl Fn(&str) -> bool,
+) -> Option<usize> {
+    std::iter::from_fn(|| ranking.pop()).find(|at| zone_ok(&inventory[*at].zone))
 }
 
 impl Controller {
@@ -130,7 +139,7 @@
             return;
         };
         let due = leader.plan_due || now >= leader.plan_at + PLAN_PERIOD;
-        let looked_at = leader.rooms.list.len() + leader.waiting;
+        let looked_at = leader.inventory.list.len() + leader.waiting;
         let gap = PLAN_GAP + PLAN_GAP_EACH * looked_at as u32;
         if !due || now < leader.plan_at + gap || !contact {
             return;
@@ -139,7 +148,7 @@
         leader.plan_at = now;
         leader.asked.retain(|_, at| now < *at + ASKED);
         let mut plan = Plan {
-            rooms: std::mem::take(&mut leader.rooms),
+            inventory: std::mem::take(&mut leader.inventory),
             fleet: Amounts::default(),
             used: BTreeMap::new(),
             borrowed: HashSet::new(),
@@ -149,14 +158,14 @@
             full: HashSet::new(),
             searches: 0,
         };
-        self.refresh_rooms(&mut plan.rooms);
-        for room in &mut plan.rooms.list {
+        self.refresh_inventory(&mut plan.inventory);
+        for room in &mut plan.inventory.list {
             room.candidate.free = room.free;
-            room.candidate.kept = room.kept;
+            room.candidate.service_share = room.service_share;
             room.closed = false;
         }
-        plan.fleet = plan.rooms.all();
-        self.count_used(&mut plan);
+        plan.fleet = plan.inventory.usable_capacity();
+        self.count_team_usage(&mut plan);
         let queue = self.queue(&mut plan);
         if let Some(leader) = &mut self.leader {
             leader.waiting = queue.len();
@@ -166,7 +175,7 @@
         }
         self.fleet.set_capacity_requests(now, plan.wants);
         if let Some(leader) = &mut self.leader {
-            leader.rooms = plan.rooms;
+            leader.inventory = plan.inventory;
         }
     }
 
@@ -264,7 +273,7 @@
         leader.queue_order.update(now, progress, done);
         leader
             .queue_order
-            .order(now, &plan.rooms.list, &plan.used, queue)
+            .order(now, &plan.inventory.list, &plan.used, queue)
     }
 
     /// The machine types that a job's tasks fit, the scarce ones aside or not.
@@ -351,9 +360,9 @@
             return;
         }
         let before = gang.then(|| {
-            let rooms = plan.rooms.list.iter();
-            let rooms: Vec<_> = rooms.map(|r| r.candidate.clone()).collect();
-            (rooms, plan.used.clone())
+            let inventory = plan.inventory.list.iter();
+            let inventory: Vec<_> = inventory.map(|r| r.candidate.clone()).collect();
+            (inventory, plan.used.clone())
         });
         let signature = Need::new(&spec, !avoid.is_empty());
         let mut scored = None;
@@ -382,7 +391,7 @@
             let mut pairs = handed_to(job, part);
             let mut blocks: BTreeSet<BlockId> = BTreeSet::new();
             let mut aside = Vec::new();
-            let mut crowded = |room: &Room| {
+            let mut crowded = |room: &MachineView| {
                 let pair = (room.block, room.term);
                 let crowded = (!pairs.contains(&pair) && pairs.len() >= most_pairs(count))
                     || (!blocks.contains(&room.block) && blocks.len() >= most_blocks);
@@ -412,16 +421,16 @@
                 let weights = &self.tuning.weights;
                 let scored = scored.get_or_insert_with(|| {
                     let none = plan.full.contains(&signature);
-                    let rooms = if none { &[] } else { &plan.rooms.list[..] };
-                    let scored = ranking(rooms, &spec, avoid, weights);
+                    let inventory = if none { &[] } else { &plan.inventory.list[..] };
+                    let scored = ranking(inventory, &spec, avoid, weights);
                     if scored.is_empty() {
                         plan.full.insert(signature.clone());
                     }
                     scored
                 });
                 let at = loop {
-                    match top(scored, &plan.rooms.list, zone_ok) {
-                        Some(at) if crowded(&plan.rooms.list[at]) => aside.push(at),
+                    match top(scored, &plan.inventory.list, zone_ok) {
+                        Some(at) if crowded(&plan.inventory.list[at]) => aside.push(at),
                         found => break found,
                     }
                 };
@@ -432,8 +441,8 @@
                 if let Some(used) = plan.used.get_mut(&spec.team) {
                     *used = more;
                 }
-                let room = &mut plan.rooms.list[at];
-                room.take(&spec);
+                let room = &mut plan.inventory.list[at];
+                room.reserve(&spec);
                 scored.put(at, &candidate(room, &spec), weights);
                 *in_zone.entry(room.zone.clone()).or_default() += 1;
                 tasks.push((index, at));
@@ -442,7 +451,7 @@
             }
             if let Some(scored) = &mut scored {
                 for at in aside {
-                    let room = &plan.rooms.list[at];
+                    let room = &plan.inventory.list[at];
                     scored.put(at, &candidate(room, &spec), &self.tuning.weights);
                 }
             }
@@ -450,10 +459,10 @@
                 parts.push((part, tasks));
             }
         }
-        if let Some((rooms, used)) = before
+        if let Some((inventory, used)) = before
             && left > 0
         {
-            for (room, candidate) in plan.rooms.list.iter_mut().zip(rooms) {
+            for (room, candidate) in plan.inventory.list.iter_mut().zip(inventory) {
                 room.candidate = candidate;
             }
             plan.used = used;
@@ -490,7 +499,7 @@
             let tasks = left
                 .min(by_limit(share.limit.0, used.cpus, need.cpus))
                 .min(by_limit(share.limit.1, used.gpus, need.gpus));
-            self.make_room(plan, queued, &spec, tasks, open);
+            self.preempt_tasks(plan, queued, &spec, tasks, open);
             let waited = self.wall_clock.as_millis() as f64 / 1e3 - job_at;
             let patience = self.max_spot_wait_s(&spec);
             plan.wants.push(Want {
@@ -547,7 +556,7 @@
         let mut blocks = BTreeSet::new();
         let mut handed = Vec::new();
         for (index, at) in tasks {
-            let room = &plan.rooms.list[*at];
+            let room = &plan.inventory.list[*at];
             let (block, term) = (room.block, room.term);
             if let Some(place) = places.get_mut((index - first) as usize) {
                 *place = TaskStatus::Assigned { block, term };
@@ -578,10 +587,10 @@
         }
         for (index, at) in tasks {
             let task = id.task(*index);
-            let machine = plan.rooms.list[*at].name.clone();
+            let machine = plan.inventory.list[*at].name.clone();
             log::debug!("{task}: planned for {machine}");
             if let Some(leader) = &mut self.leader {
-                leader.planned.insert(task, machine);
+                leader.planned_machines.insert(task, machine);
             }
         }
     }
@@ -602,7 +611,7 @@
 /// The zone in which most of a job's tasks have room.
 fn roomiest_zone(plan: &Plan, spec: &JobSpec) -> Option<String> {
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-    for room in plan.rooms.list.iter().filter(|r| r.takes(spec)) {
+    for room in plan.inventory.list.iter().filter(|r| r.accepts(spec)) {
         let n = how_many(&spec.amounts(), &room.candidate.free).min(spec.tasks);
         let sum = zones.entry(&room.zone).or_default();
         *sum = sum.saturating_add(n);
--- a/crates/core/src/rooms.rs
+++ b/crates/core/src/inventory.rs
@@ -20,7 +20,7 @@
 use crate::{
     controller::Controller,
     machine_status::MachineStatus,
-    placement::kept,
+    placement::service_share,
     records::{BlockId, TaskStatus, Term},
 };
 
@@ -29,7 +29,7 @@
 
 /// A machine, as far as the leader can tell.
 #[derive(Clone, Debug)]
-pub(crate) struct Room {
+pub(crate) struct MachineView {
     pub name: String,
     pub block: BlockId,
     pub term: Term,
@@ -45,19 +45,19 @@
     pub idle_since: Option<Duration>,
     /// What no task takes, and the share that services take, as last told.
     pub free: Amounts,
-    pub kept: f64,
+    pub service_share: f64,
     /// The same as the plan goes on.
     pub candidate: Candidate,
     /// What running work is expected to leave within a boot time.
-    pub ending: Amounts,
+    pub freed_soon: Amounts,
     pub images: Vec<String>,
     pub tasks: Vec<(TaskId, Rc<JobSpec>)>,
     /// Nothing more of the present plan goes there.
     pub closed: bool,
 }
 
-impl Room {
-    pub fn takes(&self, spec: &JobSpec) -> bool {
+impl MachineView {
+    pub fn accepts(&self, spec: &JobSpec) -> bool {
         self.usable
             && !self.closed
             && (spec.spot || !self.spot)
@@ -65,7 +65,7 @@
             && spec.allows_zone(&self.zone)
     }
 
-    pub fn cached(&self, spec: &JobSpec) -> f64 {
+    pub fn cached_gb(&self, spec: &JobSpec) -> f64 {
         if self.images.contains(&spec.image) {
             spec.image_gb
         } else {
@@ -85,27 +85,28 @@
     /// Its free room after the last plan, for sizing the fleet; with what running
     /// work will probably have left by the time a machine rented now would be
     /// up, or without.
-    pub fn add_to(&self, stock: &mut Stock, with_ending: bool) {
+    pub fn add_free_to(&self, stock: &mut Stock, with_freed_soon: bool) {
         let free = &self.candidate.free;
-        let free = match with_ending {
-            true => plus(free, &self.ending),
+        let free = match with_freed_soon {
+            true => plus(free, &self.freed_soon),
             false => *free,
         };
         stock.add(&self.kind, &self.zone, self.spot, free);
     }
 
-    pub fn take(&mut self, spec: &JobSpec) {
+    pub fn reserve(&mut self, spec: &JobSpec) {
         self.candidate.free = minus(&self.candidate.free, &spec.amounts());
         if spec.shape == Shape::Service {
-            self.candidate.kept += spec.cpus / self.candidate.total.cpus.max(f64::MIN_POSITIVE);
+            self.candidate.service_share +=
+                spec.cpus / self.candidate.total.cpus.max(f64::MIN_POSITIVE);
         }
     }
 }
 
 /// All machines, in the order of their names.
 #[derive(Debug, Default)]
-pub(crate) struct Rooms {
-    pub list: Vec<Room>,
+pub(crate) struct Inventory {
+    pub list: Vec<MachineView>,
     /// How many machines each task is bound to.
     bound: HashMap<TaskId, u32>,
     /// Machines to look at again.
@@ -113,15 +114,15 @@
     all_at: Option<Duration>,
 }
 
-impl Rooms {
+impl Inventory {
     /// Where a machine is in the list.
-    pub fn find(&self, name: &str) -> Option<usize> {
+    pub fn index_of(&self, name: &str) -> Option<usize> {
         self.search(name).ok()
     }
 
     /// A machine by its name.
-    pub fn get(&self, name: &str) -> Option<&Room> {
-        self.find(name).map(|at| &self.list[at])
+    pub fn get(&self, name: &str) -> Option<&MachineView> {
+        self.index_of(name).map(|at| &self.list[at])
     }
 
     fn search(&self, name: &str) -> Result<usize, usize> {
@@ -129,24 +130,24 @@
     }
 
     /// What all machines have that can be used.
-    pub fn all(&self) -> Amounts {
+    pub fn usable_capacity(&self) -> Amounts {
         let usable = self.list.iter().filter(|r| r.usable);
         usable.fold(Amounts::default(), |sum, r| plus(&sum, &r.candidate.total))
     }
 
     /// Whether some machine has the task.
-    pub fn has(&self, task: &TaskId) -> bool {
+    pub fn has_task(&self, task: &TaskId) -> bool {
         self.bound.contains_key(task)
     }
 
     /// Counts where a machine's tasks are bound.
-    fn count(&mut self, room: &Room) {
+    fn count(&mut self, room: &MachineView) {
         for (task, _) in &room.tasks {
             *self.bound.entry(task.clone()).or_default() += 1;
         }
     }
 
-    fn set(&mut self, name: &str, room: Option<Room>) {
+    fn set(&mut self, name: &str, room: Option<MachineView>) {
         let at = self.search(name);
         if let Some(room) = &room {
             self.count(room);
@@ -173,35 +174,35 @@
 
 impl Controller {
     /// Something about a machine may have changed.
-    pub(crate) fn room_changed(&mut self, name: &str) {
+    pub(crate) fn mark_machine_stale(&mut self, name: &str) {
         if let Some(leader) = &mut self.leader {
-            leader.rooms.stale.insert(name.to_owned());
+            leader.inventory.stale.insert(name.to_owned());
             leader.plan_due = true;
         }
     }
 
     /// Looks again at what may have changed.
-    pub(crate) fn refresh_rooms(&self, rooms: &mut Rooms) {
+    pub(crate) fn refresh_inventory(&self, inventory: &mut Inventory) {
         let now = self.now;
-        if rooms.all_at.is_none_or(|at| now >= at + PERIOD) {
-            *rooms = Rooms {
+        if inventory.all_at.is_none_or(|at| now >= at + PERIOD) {
+            *inventory = Inventory {
                 all_at: Some(now),
-                ..Rooms::default()
+                ..Inventory::default()
             };
             for name in self.view.machines.keys() {
                 if let Some(room) = self.room(name) {
-                    rooms.count(&room);
-                    rooms.list.push(room);
+                    inventory.count(&room);
+                    inventory.list.push(room);
                 }
             }
             return;
         }
-        for name in std::mem::take(&mut rooms.stale) {
-            rooms.set(&name, self.room(&name));
+        for name in std::mem::take(&mut inventory.stale) {
+            inventory.set(&name, self.room(&name));
         }
     }
 
-    fn room(&self, name: &str) -> Option<Room> {
+    fn room(&self, name: &str) -> Option<MachineView> {
         let record = self.view.machines.get(name)?;
         let block = self.view.blocks.get(&record.block)?;
         let kind = self.machine_types.get(&record.kind)?;
@@ -216,8 +217,8 @@
             let needs = tasks.iter().map(|(_, spec)| spec.amounts());
             needs.fold(total, |free, need| minus(&free, &need))
         };
-        let kept = kept(tasks.iter().map(|(_, spec)| spec), &total);
-        Some(Room {
+        let service_share = service_share(tasks.iter().map(|(_, spec)| spec), &total);
+        Some(MachineView {
             name: name.to_owned(),
             block: record.block,
             term: block.version,
@@ -230,15 +231,15 @@
             silent_since: seen.silent_since,
             idle_since: seen.idle_since,
             free,
-            kept,
+            service_share,
             candidate: Candidate {
                 total,
                 free,
                 cached_gb: 0.0,
                 spot: record.spot,
-                kept,
+                service_share,
             },
-            ending: self.ending(&tasks),
+            freed_soon: self.freed_soon(&tasks),
             images: seen.images.clone(),
             tasks,
             closed: false,
@@ -262,7 +263,7 @@
             .collect()
     }
 
-    fn ending(&self, tasks: &[(TaskId, Rc<JobSpec>)]) -> Amounts {
+    fn freed_soon(&self, tasks: &[(TaskId, Rc<JobSpec>)]) -> Amounts {
         let horizon = self.tuning.rent_horizon_boots * self.shortest_boot_s();
         let mut ending = Amounts::default();
         for (_, spec) in tasks.iter().filter(|(_, s)| s.shape != Shape::Service) {
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -16,10 +16,10 @@
     admission_shares::{FleetLoad, SharePlanner},
     call::ConnId,
     controller::Controller,
+    inventory::Inventory,
     machine_lists::MachineListWrite,
     queue_order::QueueOrder,
     records::{BlockId, BlockRecord, FormatLevel, Key, Phase, to_list, to_map},
-    rooms::Rooms,
     store::{Outcome, Purpose, Urgency},
     view::Job,
 };
@@ -35,13 +35,13 @@
 
 /// What a leader's write is for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Duty {
+pub(crate) enum LeaderWrite {
     /// Leasing a block.
-    Lease(BlockId),
+    LeaseBlock(BlockId),
     /// Tidying up after jobs.
-    Tidy(Vec<JobId>),
+    CompactJobs(Vec<JobId>),
     /// Saying what may be let in.
-    Admit,
+    PublishAdmission,
     /// Leaving the lead to others.
     Resign,
 }
@@ -56,13 +56,13 @@
     /// Jobs with tasks that waited at the last plan.
     pub waiting: usize,
     /// Duties under way, and when to look at them again.
-    duties: BTreeMap<Duty, Duration>,
+    pending_writes: BTreeMap<LeaderWrite, Duration>,
     /// Reports of machines that have no record yet.
     pub reports: Vec<(ConnId, Report, Duration)>,
     /// Since when each controller is up.
     up: BTreeMap<String, (u64, Duration)>,
     /// All machines as last seen.
-    pub rooms: Rooms,
+    pub inventory: Inventory,
     /// What may be let in.
     pub share_planner: SharePlanner,
     /// What the order of serving depends on.
@@ -74,16 +74,16 @@
     /// When tasks of each job were handed out last.
     pub handed_at: BTreeMap<JobId, Duration>,
     /// The machine on which each task was counted at hand-out.
-    pub planned: BTreeMap<TaskId, String>,
+    pub planned_machines: BTreeMap<TaskId, String>,
     /// The write of machine lists under way.
-    pub lists: Option<MachineListWrite>,
+    pub list_write: Option<MachineListWrite>,
     /// When lists were written last.
-    pub lists_at: Duration,
+    pub lists_written_at: Duration,
     /// Blocks being made, and in which zone.
     making: BTreeMap<BlockId, String>,
     tidy_at: Duration,
     /// Jobs all of whose tasks are done and that are recorded as open.
-    pub complete: BTreeSet<JobId>,
+    pub complete_jobs: BTreeSet<JobId>,
 }
 
 /// Why the leader leases a block to a controller.
@@ -140,27 +140,27 @@
                     let job = self.view.jobs.get(*id);
                     job.is_some_and(Job::is_complete)
                 });
-                let complete = complete.cloned().collect();
+                let complete_jobs = complete.cloned().collect();
                 self.leader = Some(Leader {
                     version,
                     plan_due: true,
                     plan_at: self.now,
                     waiting: 0,
-                    duties: BTreeMap::new(),
+                    pending_writes: BTreeMap::new(),
                     reports: Vec::new(),
                     up: BTreeMap::new(),
-                    rooms: Rooms::default(),
+                    inventory: Inventory::default(),
                     share_planner: SharePlanner::default(),
                     queue_order: QueueOrder::default(),
                     asked: BTreeMap::new(),
                     handed_at: BTreeMap::new(),
                     usage_logged: Duration::ZERO,
-                    planned: BTreeMap::new(),
-                    lists: None,
-                    lists_at: Duration::ZERO,
+                    planned_machines: BTreeMap::new(),
+                    list_write: None,
+                    lists_written_at: Duration::ZERO,
                     making: BTreeMap::new(),
                     tidy_at: self.now,
-                    complete,
+                    complete_jobs,
                 });
             }
             None => {
@@ -175,7 +175,7 @@
     }
 
     /// A report of a machine that has no record.
-    pub(crate) fn unknown_machine(&mut self, conn: ConnId, report: Report) {
+    pub(crate) fn report_of_unknown_machine(&mut self, conn: ConnId, report: Report) {
         let now = self.now;
         if let Some(leader) = &mut self.leader {
             leader.reports.push((conn, report, now));
@@ -196,7 +196,7 @@
     }
 
     /// Answers the reports that waited for the machine's record.
-    pub(crate) fn machines_reported(&mut self, name: &str) {
+    pub(crate) fn answer_waiting_reports(&mut self, name: &str) {
         if !self.view.machines.contains_key(name) {
             return;
         }
@@ -222,7 +222,7 @@
             .into_iter()
             .partition(|(_, _, since)| now > *since + REPORT_PATIENCE);
         leader.reports = wait;
-        leader.duties.retain(|_, at| *at > now);
+        leader.pending_writes.retain(|_, at| *at > now);
         let members = &self.view.members;
         leader
             .up
@@ -252,27 +252,32 @@
         self.fleet_tick();
     }
 
-    pub(crate) fn duty(&mut self, duty: Duty, txn: Txn, urgency: Urgency) -> bool {
+    pub(crate) fn submit_leader_write(
+        &mut self,
+        duty: LeaderWrite,
+        txn: Txn,
+        urgency: Urgency,
+    ) -> bool {
         let at = self.now + REDO;
-        let known = |l: &Leader| l.duties.contains_key(&duty);
+        let known = |l: &Leader| l.pending_writes.contains_key(&duty);
         if self.leader.as_ref().is_none_or(known)
             || !self.send_txn(txn, Purpose::LeaderWrite(duty.clone()), urgency)
         {
             return false;
         }
         if let Some(leader) = &mut self.leader {
-            leader.duties.insert(duty, at);
+            leader.pending_writes.insert(duty, at);
         }
         true
     }
 
-    pub(crate) fn duty_written(&mut self, duty: Duty, outcome: Outcome) {
+    pub(crate) fn leader_write_done(&mut self, duty: LeaderWrite, outcome: Outcome) {
         let soon = self.now + Duration::from_millis(300);
         if let Some(leader) = &mut self.leader
             && !matches!(outcome, Outcome::Unknown)
         {
             // The view shows what came of it within that time.
-            leader.duties.insert(duty, soon);
+            leader.pending_writes.insert(duty, soon);
         }
     }
 
@@ -336,7 +341,7 @@
                 lease: None,
             }],
         };
-        let sent = self.duty(Duty::Lease(id), txn, Urgency::Safety);
+        let sent = self.submit_leader_write(LeaderWrite::LeaseBlock(id), txn, Urgency::Safety);
         if sent {
             log::info!(
                 "block {id} in {}: leased to {holder}, after version {version}: {reason}",
@@ -394,7 +399,10 @@
                 .get(name)
                 .is_some_and(|(_, at)| self.now > *at + STEADY)
         };
-        let busy = leader.duties.keys().any(|d| matches!(d, Duty::Lease(_)));
+        let busy = leader
+            .pending_writes
+            .keys()
+            .any(|d| matches!(d, LeaderWrite::LeaseBlock(_)));
         // While controllers come back one by one, blocks would move twice.
         let settled = self.view.members.keys().all(|name| steady(name));
         if busy || !settled {
@@ -449,14 +457,14 @@
     }
 
     /// Begins a block in a zone, unless one is being made there.
-    pub(crate) fn new_block(&mut self, zone: String) {
+    pub(crate) fn create_block(&mut self, zone: String) {
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let (duties, blocks) = (&leader.duties, &self.view.blocks);
-        leader
-            .making
-            .retain(|id, _| !blocks.contains_key(id) && duties.contains_key(&Duty::Lease(*id)));
+        let (pending_writes, blocks) = (&leader.pending_writes, &self.view.blocks);
+        leader.making.retain(|id, _| {
+            !blocks.contains_key(id) && pending_writes.contains_key(&LeaderWrite::LeaseBlock(*id))
+        });
         if leader.making.values().any(|z| *z == zone) {
             return;
         }
@@ -476,7 +484,7 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let all = leader.rooms.all();
+        let all = leader.inventory.usable_capacity();
         let fleet = [all.cpus, all.gpus, all.memory_gb];
         let mut seen =
             FleetLoad::from_view(&self.view, &leader.queue_order, fleet, self.tuning.horizon);
@@ -511,7 +519,11 @@
             value: to_map(&next),
             lease: None,
         }];
-        if self.duty(Duty::Admit, Txn { conds, changes }, Urgency::Safety) {
+        if self.submit_leader_write(
+            LeaderWrite::PublishAdmission,
+            Txn { conds, changes },
+            Urgency::Safety,
+        ) {
             log::info!(
                 "let in by each of {} controllers: {:?}",
                 next.nodes.len(),
@@ -526,7 +538,7 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        for id in std::mem::take(&mut leader.complete) {
+        for id in std::mem::take(&mut leader.complete_jobs) {
             let job = self.view.jobs.get(&id);
             if !job.is_some_and(Job::is_complete) {
                 continue;
@@ -536,7 +548,7 @@
             }
             // Until the view shows it.
             if let Some(leader) = &mut self.leader {
-                leader.complete.insert(id);
+                leader.complete_jobs.insert(id);
             }
         }
     }
@@ -588,7 +600,11 @@
     ) {
         if let Some(lead) = self.leader_cond() {
             conds.insert(0, lead);
-            self.duty(Duty::Tidy(ids), Txn { conds, changes }, urgency);
+            self.submit_leader_write(
+                LeaderWrite::CompactJobs(ids),
+                Txn { conds, changes },
+                urgency,
+            );
         }
     }
 
@@ -597,11 +613,13 @@
     fn tidy(&mut self) {
         let Some(leader) = &self.leader else { return };
         let under_way: BTreeSet<&JobId> = leader
-            .duties
+            .pending_writes
             .keys()
             .filter_map(|duty| match duty {
-                Duty::Tidy(ids) => Some(ids),
-                Duty::Lease(_) | Duty::Admit | Duty::Resign => None,
+                LeaderWrite::CompactJobs(ids) => Some(ids),
+                LeaderWrite::LeaseBlock(_)
+                | LeaderWrite::PublishAdmission
+                | LeaderWrite::Resign => None,
             })
             .flatten()
             .collect();
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -12,7 +12,7 @@
 use crate::{
     call::{ConnId, Method, Output, Reply, Target},
     controller::{Controller, Pending, route},
-    leader::{Duty, LeaseReason},
+    leader::{LeaderWrite, LeaseReason},
     reachability::{BlockStatus, StrayAction},
     records::{BlockId, FormatLevel},
     store::Urgency,
@@ -331,7 +331,7 @@
             conds: vec![lead],
             changes: vec![Change::Delete { key }],
         };
-        if self.duty(Duty::Resign, txn, Urgency::Safety) {
+        if self.submit_leader_write(LeaderWrite::Resign, txn, Urgency::Safety) {
             self.reachability.record_resignation(self.now);
             log::info!("resigning from leadership: this controller reaches no workers");
         }
--- a/crates/core/src/machine_lists.rs
+++ b/crates/core/src/machine_lists.rs
@@ -78,14 +78,14 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        if let Some(write) = &leader.lists {
+        if let Some(write) = &leader.list_write {
             match write.step {
-                WriteStep::VisibleAt(shown) if revision >= shown => leader.lists = None,
+                WriteStep::VisibleAt(shown) if revision >= shown => leader.list_write = None,
                 WriteStep::Retry(at) if now >= at => return self.retry_list_write(),
                 _ => return,
             }
         }
-        let since = now.saturating_sub(leader.lists_at);
+        let since = now.saturating_sub(leader.lists_written_at);
         let due = if leader.reports.is_empty() {
             let mut gone = self.fleet.returned_machines.keys();
             since >= MIN_REMOVE_INTERVAL && gone.any(|name| self.view.machines.contains_key(name))
@@ -97,7 +97,7 @@
         }
         let (lists, full_zones) = self.plan_lists();
         for zone in full_zones {
-            self.new_block(zone);
+            self.create_block(zone);
         }
         self.write_lists(lists);
     }
@@ -129,8 +129,8 @@
         if self.send_txn(txn.clone(), Purpose::MachineLists, Urgency::Safety)
             && let Some(leader) = &mut self.leader
         {
-            leader.lists_at = self.now;
-            leader.lists = Some(MachineListWrite {
+            leader.lists_written_at = self.now;
+            leader.list_write = Some(MachineListWrite {
                 txn,
                 step: WriteStep::Sent,
                 in_doubt,
@@ -144,7 +144,7 @@
     /// present content instead: this either makes the conditions of the earlier write
     /// fail from then on, or conflicts because that write has taken effect.
     fn retry_list_write(&mut self) {
-        let write = self.leader.as_ref().and_then(|l| l.lists.as_ref());
+        let write = self.leader.as_ref().and_then(|l| l.list_write.as_ref());
         let Some((txn, impossible)) = write.map(|w| (w.txn.clone(), w.impossible)) else {
             return;
         };
@@ -166,7 +166,7 @@
         {
             // The view shows another version of the list, so the outcome is known.
             if let Some(leader) = &mut self.leader {
-                leader.lists = None;
+                leader.list_write = None;
             }
             return;
         }
@@ -177,7 +177,7 @@
                  rewriting list {list_number} to settle it"
             );
             self.write_lists(lists);
-            if let Some(write) = self.leader.as_mut().and_then(|l| l.lists.as_mut()) {
+            if let Some(write) = self.leader.as_mut().and_then(|l| l.list_write.as_mut()) {
                 write.in_doubt = true;
             }
         }
@@ -343,11 +343,11 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        if let Some(mut write) = leader.lists.take_if(|w| w.txn == *txn) {
+        if let Some(mut write) = leader.list_write.take_if(|w| w.txn == *txn) {
             write.in_doubt |= outcome == Outcome::Unknown;
             write.impossible = outcome == Outcome::Impossible;
             let step = WriteStep::after(outcome, write.in_doubt, now);
-            leader.lists = step.map(|step| MachineListWrite { step, ..write });
+            leader.list_write = step.map(|step| MachineListWrite { step, ..write });
         }
     }
 }
--- a/crates/core/src/machine_status.rs
+++ b/crates/core/src/machine_status.rs
@@ -125,7 +125,7 @@
                     let before = self.own_machines.machines.get(&name).map(|o| &o.1);
                     let changed = before.is_none_or(|b| *b != status);
                     if status.has_gained_capacity(before) {
-                        self.futile.room_gained(machine.block);
+                        self.failed_placements.capacity_gained(machine.block);
                     }
                     if changed {
                         self.own_machines.version += 1;
@@ -138,7 +138,7 @@
                 }
             };
             if changed {
-                self.room_changed(&name);
+                self.mark_machine_stale(&name);
             }
         }
     }
--- a/crates/core/src/floors.rs
+++ b/crates/core/src/minimum_shares.rs
@@ -17,9 +17,9 @@
 use oliveshift_wire::{JobId, job::JobSpec};
 
 /// The part of all machines that goes to the oldest jobs of late flows.
-pub const FLOORS: f64 = 0.15;
+pub const LATE_FLOWS_SHARE: f64 = 0.15;
 /// The part that flows which wait for long are entitled to, all together.
-pub const ENTITLED: f64 = 0.35;
+pub const LONG_WAITING_FLOWS_SHARE: f64 = 0.35;
 /// For so long an entitlement is saved up, and for so long what a flow had
 /// beyond it is held against it.
 const MEMORY: Duration = Duration::from_secs(10);
@@ -45,7 +45,7 @@
 
 /// The oldest job of a flow that is late and has tasks that wait.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Oldest {
+pub struct OldestJob {
     /// Which.
     pub id: JobId,
     /// What is left of it: shares of the machines it fits, times seconds.
@@ -54,7 +54,7 @@
 
 /// Whose turn it is. A leader begins without debts of others.
 #[derive(Debug, Default)]
-pub struct Floors {
+pub struct MinimumShares {
     lanes: BTreeMap<Flow, Lane>,
     at: Duration,
     /// What each flow that waits for long may still have of its part, in
@@ -75,10 +75,10 @@
     turn: Option<JobId>,
 }
 
-impl Floors {
+impl MinimumShares {
     /// The flows that have had less than their part. `waiting` are those that
     /// wait for long, `given` is what each flow was given since the last time.
-    pub fn short(
+    pub fn flows_below_share(
         &mut self,
         now: Duration,
         waiting: &BTreeSet<Flow>,
@@ -90,7 +90,7 @@
         }
         let passed = now.saturating_sub(self.entitled_at).as_secs_f64();
         self.entitled_at = now;
-        let each = ENTITLED / waiting.len().max(1) as f64;
+        let each = LONG_WAITING_FLOWS_SHARE / waiting.len().max(1) as f64;
         let most = each * MEMORY.as_secs_f64();
         self.entitled.retain(|flow, _| waiting.contains(flow));
         for flow in waiting {
@@ -107,7 +107,7 @@
     pub fn turns(
         &mut self,
         now: Duration,
-        late: &BTreeMap<Flow, Oldest>,
+        late: &BTreeMap<Flow, OldestJob>,
         waits: impl Fn(&JobId) -> bool,
     ) -> BTreeSet<JobId> {
         #[cfg(feature = "sabotage")]
@@ -120,7 +120,7 @@
             self.lanes.entry(flow.clone()).or_default();
         }
         // Those in debt are owed nothing while they have nothing to wait for.
-        let each = FLOORS * passed / late.len().max(1) as f64;
+        let each = LATE_FLOWS_SHARE * passed / late.len().max(1) as f64;
         for (flow, lane) in &mut self.lanes {
             lane.credit = (lane.credit + each).min(0.0);
             lane.turn = lane.turn.take().filter(&waits);
--- a/crates/core/src/team_use.rs
+++ b/crates/core/src/near_limit.rs
@@ -21,12 +21,12 @@
 
 /// The teams that were near their limit when the records were last looked at.
 #[derive(Debug, Default)]
-pub(crate) struct TeamUse {
+pub(crate) struct NearLimitTeams {
     looked_at: Option<Duration>,
     near_limit: BTreeSet<String>,
 }
 
-impl TeamUse {
+impl NearLimitTeams {
     /// Looks at the records again if it is time to.
     pub fn refresh(&mut self, now: Duration, view: &View, teams: &[Team]) {
         if self.looked_at.is_some_and(|at| now < at + PERIOD) {
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -186,7 +186,7 @@
         }
         self.answer(conn, 200, Vec::new());
         for name in &changed {
-            self.room_changed(name);
+            self.mark_machine_stale(name);
         }
     }
 
@@ -261,7 +261,7 @@
             link.drain_due = true;
         }
         self.mark_changed(name);
-        self.room_changed(name);
+        self.mark_machine_stale(name);
     }
 
     /// Sends the messages that are due, periodically or because of changes that the leader has to
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -60,12 +60,16 @@
         let (block, job) = (assigned.block, &task.job);
         // One that failed somewhere is not like the others of its job.
         let alike = assigned.failed_on.is_empty();
-        if alike && self.futile.is_known(self.now, block, job) {
+        if alike
+            && self
+                .failed_placements
+                .has_failed_recently(self.now, block, job)
+        {
             return;
         }
         let Some((name, session, term)) = self.choose(assigned) else {
             if alike {
-                self.futile.note(self.now, block, job);
+                self.failed_placements.record(self.now, block, job);
             }
             let patience = self.tuning.placement_timeout;
             if let AssignmentState::Free { since, .. } = assigned.state
@@ -170,7 +174,7 @@
     /// The silence after which a few machines are returned for the sake of their tasks.
     /// Until then a worker that is cut off from its holder alone has come to somebody
     /// else, after its patience with its holder and a pause, and this has been told.
-    pub(crate) fn early_limit(&self) -> Duration {
+    pub(crate) fn early_return_limit(&self) -> Duration {
         let comes_round = self.settings.report_period() * 5 / 4 + REPORT_TIMEOUT + ROUND_PAUSE;
         comes_round.max(self.silence_limit() * 3 / 2)
     }
@@ -204,14 +208,17 @@
             total,
             cached_gb: if cached { spec.image_gb } else { 0.0 },
             spot: machine.record.spot,
-            kept: kept(bound, &total),
+            service_share: service_share(bound, &total),
         })
     }
 }
 
 /// The share of a machine's processors that services take, among the tasks on
 /// it.
-pub(crate) fn kept<'a>(specs: impl Iterator<Item = &'a Rc<JobSpec>>, total: &Amounts) -> f64 {
+pub(crate) fn service_share<'a>(
+    specs: impl Iterator<Item = &'a Rc<JobSpec>>,
+    total: &Amounts,
+) -> f64 {
     let services = specs.filter(|s| s.shape == Shape::Service);
     services.map(|s| s.cpus).sum::<f64>() / total.cpus.max(f64::MIN_POSITIVE)
 }
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -12,7 +12,9 @@
     job::{Amounts, JobSpec, Priority},
 };
 
-use crate::{controller::Controller, handout::Plan, queue_order::QueuedJob, rooms::Room};
+use crate::{
+    controller::Controller, handout::Plan, inventory::MachineView, queue_order::QueuedJob,
+};
 
 /// How often a plan may look through all machines for work to stop.
 const MOST_SEARCHES: u32 = 12;
@@ -21,7 +23,7 @@
     /// Asks tasks to make room for those of a job that have none: tasks of lower
     /// priority, or borrowed ones while the job is guaranteed its share. `zones`
     /// tells how many of the job's may go where.
-    pub(crate) fn make_room(
+    pub(crate) fn preempt_tasks(
         &mut self,
         plan: &mut Plan,
         queued: &QueuedJob,
@@ -38,26 +40,26 @@
         // is stopped at a time as one task needs: room gets free by itself, too.
         let mut left = if production { tasks } else { 1 };
         let need = spec.amounts();
-        let mut rooms = Vec::new();
-        for (at, room) in plan.rooms.list.iter().enumerate() {
+        let mut inventory = Vec::new();
+        for (at, room) in plan.inventory.list.iter().enumerate() {
             if room.tasks.is_empty()
                 || !fits(&need, &room.candidate.total)
-                || !room.takes(spec)
+                || !room.accepts(spec)
                 || !zones.contains_key(&room.zone)
             {
                 continue;
             }
             if let Some((free, victims)) = self.victims(plan, room, queued, &need) {
-                rooms.push((victims.len(), at, how_many(&need, &free), victims));
+                inventory.push((victims.len(), at, how_many(&need, &free), victims));
             }
         }
         // The fewest to be stopped first; those that were asked before are none.
-        rooms.sort_by_key(|(victims, at, ..)| (*victims, *at));
-        for (_, at, fit, victims) in rooms {
+        inventory.sort_by_key(|(victims, at, ..)| (*victims, *at));
+        for (_, at, fit, victims) in inventory {
             if left == 0 {
                 break;
             }
-            let room = &mut plan.rooms.list[at];
+            let room = &mut plan.inventory.list[at];
             let Some(open) = zones.get_mut(&room.zone).filter(|open| **open > 0) else {
                 continue;
             };
@@ -82,7 +84,7 @@
     fn victims(
         &self,
         plan: &Plan,
-        room: &Room,
+        room: &MachineView,
         queued: &QueuedJob,
         need: &Amounts,
     ) -> Option<(Amounts, Vec<TaskId>)> {
--- a/crates/core/src/queue_order.rs
+++ b/crates/core/src/queue_order.rs
@@ -18,8 +18,8 @@
 };
 
 use crate::{
-    floors::{Floors, Flow, Oldest},
-    rooms::Room,
+    inventory::MachineView,
+    minimum_shares::{Flow, MinimumShares, OldestJob},
     starvation::{self, Starvation},
     throughput::{JobProgress, Throughput},
     view::Job,
@@ -110,7 +110,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct QueueOrder {
     throughput: Throughput,
-    floors: Floors,
+    minimum_shares: MinimumShares,
     starvation: Starvation,
 }
 
@@ -128,7 +128,7 @@
     /// Breaks the floors on purpose.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, by: Option<crate::Sabotage>) {
-        self.floors.sabotage = by;
+        self.minimum_shares.sabotage = by;
         self.starvation.sabotage = by;
     }
 
@@ -154,7 +154,7 @@
     pub fn order(
         &mut self,
         now: Duration,
-        rooms: &[Room],
+        rooms: &[MachineView],
         used: &BTreeMap<String, Amounts>,
         mut queue: Vec<QueuedJob>,
     ) -> Vec<QueuedJob> {
@@ -189,12 +189,12 @@
     fn put_ahead(
         &mut self,
         now: Duration,
-        (rooms, used): (&[Room], &BTreeMap<String, Amounts>),
+        (rooms, used): (&[MachineView], &BTreeMap<String, Amounts>),
         queue: &mut [QueuedJob],
         jobs: &mut [triage::Waiting],
         order: &[usize],
     ) -> bool {
-        let mut late: BTreeMap<Flow, (f64, Oldest)> = BTreeMap::new();
+        let mut late: BTreeMap<Flow, (f64, OldestJob)> = BTreeMap::new();
         let mut long: BTreeSet<Flow> = BTreeSet::new();
         for (queued, job) in queue.iter().zip(&*jobs).filter(|(q, _)| q.borrows()) {
             let flow = &queued.flow;
@@ -204,9 +204,9 @@
             if entitled && queued.waited_s > queued.left_s(queued.latest_s.first()) {
                 long.insert(flow.clone());
             }
-            let older = |(waited, _): &(f64, Oldest)| *waited >= queued.waited_s;
+            let older = |(waited, _): &(f64, OldestJob)| *waited >= queued.waited_s;
             if queued.left_s(queued.latest_s.last()) < 0.0 && !late.get(flow).is_some_and(older) {
-                let oldest = Oldest {
+                let oldest = OldestJob {
                     id: queued.id.clone(),
                     work: job.work(),
                 };
@@ -215,8 +215,10 @@
         }
         let late = late.into_iter().map(|(flow, (_, o))| (flow, o)).collect();
         let waits = |id: &JobId| queue.iter().any(|q| q.id == *id);
-        let turns = self.floors.turns(now, &late, waits);
-        let mut short = self.floors.short(now, &long, &self.throughput.assigned);
+        let turns = self.minimum_shares.turns(now, &late, waits);
+        let mut short =
+            self.minimum_shares
+                .flows_below_share(now, &long, &self.throughput.assigned);
         let waiting = held_back(&self.starvation, now, queue, rooms, used);
         let starved = self.starvation.turns(now, waiting);
         let mut ahead = false;
@@ -229,7 +231,7 @@
             if by_floor || queued.starved_turn {
                 jobs[*at].stratum.turn = match queued.starved_turn {
                     true => triage::Turn::Starved,
-                    false => triage::Turn::Floor,
+                    false => triage::Turn::MinimumShare,
                 };
                 ahead = true;
             }
@@ -245,7 +247,7 @@
     starvation: &Starvation,
     now: Duration,
     queue: &[QueuedJob],
-    rooms: &[Room],
+    rooms: &[MachineView],
     used: &BTreeMap<String, Amounts>,
 ) -> Vec<starvation::Candidate> {
     let waiting = queue
@@ -262,8 +264,8 @@
             team_limit: queued.limit_cpus,
         };
         let need = queued.spec.amounts();
-        let has_room = |room: &Room| {
-            room.takes(&queued.spec)
+        let has_room = |room: &MachineView| {
+            room.accepts(&queued.spec)
                 && fits(&need, &room.candidate.free)
                 && !queued.avoid.contains(&room.kind)
         };
@@ -275,7 +277,7 @@
 /// What runs out, and in which of it each job stands: machines by the types
 /// that a job may use, and teams' limits.
 struct Lines<'a> {
-    rooms: &'a [Room],
+    rooms: &'a [MachineView],
     used: &'a BTreeMap<String, Amounts>,
     lines: Vec<triage::Line>,
     /// What machines of some types have in all, services aside.
@@ -284,7 +286,7 @@
 }
 
 impl<'a> Lines<'a> {
-    fn new(rooms: &'a [Room], used: &'a BTreeMap<String, Amounts>) -> Self {
+    fn new(rooms: &'a [MachineView], used: &'a BTreeMap<String, Amounts>) -> Self {
         Self {
             rooms,
             used,
@@ -327,12 +329,12 @@
 
 /// What machines of some types have free and in all, without what services
 /// have there.
-fn machines_of(rooms: &[Room], types: &BTreeSet<String>) -> (Amounts, Amounts) {
+fn machines_of(rooms: &[MachineView], types: &BTreeSet<String>) -> (Amounts, Amounts) {
     let usable = rooms.iter().filter(|r| r.usable && types.contains(&r.kind));
     let mut sums = (Amounts::default(), Amounts::default());
     for room in usable {
         let total = &room.candidate.total;
-        let rest = (1.0 - room.candidate.kept).max(0.0);
+        let rest = (1.0 - room.candidate.service_share).max(0.0);
         let all = Amounts {
             cpus: total.cpus * rest,
             gpus: total.gpus * rest,
--- a/crates/core/src/recorder.rs
+++ b/crates/core/src/recorder.rs
@@ -99,7 +99,7 @@
         }
         let now = self.now;
         let teams = &self.settings.params.teams;
-        self.team_use.refresh(now, &self.view, teams);
+        self.near_limit_teams.refresh(now, &self.view, teams);
         let due: Vec<_> = self
             .dirty_chunks
             .iter()
@@ -153,7 +153,7 @@
     /// recorded keep other tasks of the team from starting.
     fn blocks_its_team(&self, id: &JobId) -> bool {
         let spec = self.view.spec(id);
-        spec.is_some_and(|spec| self.team_use.is_near_limit(&spec.team))
+        spec.is_some_and(|spec| self.near_limit_teams.is_near_limit(&spec.team))
     }
 
     fn recheck_chunk_at(&mut self, id: JobId, part: u32, at: Duration) {
--- a/crates/core/src/starvation.rs
+++ b/crates/core/src/starvation.rs
@@ -17,7 +17,7 @@
 
 use oliveshift_wire::JobId;
 
-use crate::team_use::NEAR_LIMIT;
+use crate::near_limit::NEAR_LIMIT;
 
 /// A job counts as starved once it has been without a task for so long.
 const STARVED_AFTER_S: f64 = 45.0;
--- a/crates/core/src/usage.rs
+++ b/crates/core/src/team_usage.rs
@@ -17,8 +17,8 @@
 use crate::{
     controller::Controller,
     handout::Plan,
+    inventory::Inventory,
     records::{BlockId, TaskStatus},
-    rooms::Rooms,
     view::Job,
 };
 
@@ -58,9 +58,9 @@
 impl Controller {
     /// Counts what teams use, and takes room for tasks that are handed but on no
     /// machine yet.
-    pub(crate) fn count_used(&mut self, plan: &mut Plan) {
+    pub(crate) fn count_team_usage(&mut self, plan: &mut Plan) {
         let unplaced = self.count_tasks(plan);
-        self.take_room(&mut plan.rooms, unplaced);
+        self.take_room(&mut plan.inventory, unplaced);
     }
 
     /// Counts what teams use. Returns the tasks that count and are on no machine.
@@ -78,7 +78,7 @@
             let mut count = 0;
             for (task, block) in handed_tasks(id, job) {
                 count += 1;
-                if plan.rooms.has(&task) {
+                if plan.inventory.has_task(&task) {
                     team.placed += spec.cpus;
                 } else if over.contains(&task) {
                     team.ended += spec.cpus;
@@ -113,35 +113,35 @@
 
     /// Takes the room of tasks that are on no machine yet: where they were planned, or
     /// else anywhere in their block.
-    fn take_room(&mut self, rooms: &mut Rooms, unplaced: Vec<Unplaced>) {
+    fn take_room(&mut self, inventory: &mut Inventory, unplaced: Vec<Unplaced>) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         let mut by_block: HashMap<BlockId, Vec<usize>> = HashMap::new();
         if !unplaced.is_empty() {
-            for (at, room) in rooms.list.iter().enumerate() {
+            for (at, room) in inventory.list.iter().enumerate() {
                 by_block.entry(room.block).or_default().push(at);
             }
         }
         let mut planned = BTreeMap::new();
         for Unplaced { task, block, spec } in unplaced {
-            let name = leader.planned.remove(&task);
-            let at = name.as_ref().and_then(|name| rooms.find(name));
-            let at = at.filter(|at| rooms.list[*at].block == block);
+            let name = leader.planned_machines.remove(&task);
+            let at = name.as_ref().and_then(|name| inventory.index_of(name));
+            let at = at.filter(|at| inventory.list[*at].block == block);
             let need = spec.amounts();
             let at = at.or_else(|| {
                 let all = by_block.get(&block)?;
-                let fitting = |at: &&usize| fits(&need, &rooms.list[**at].candidate.free);
+                let fitting = |at: &&usize| fits(&need, &inventory.list[**at].candidate.free);
                 all.iter().find(fitting).or_else(|| all.first()).copied()
             });
             if let Some(at) = at {
-                rooms.list[at].take(&spec);
+                inventory.list[at].reserve(&spec);
             }
             if let Some(name) = name {
                 planned.insert(task, name);
             }
         }
-        leader.planned = planned;
+        leader.planned_machines = planned;
     }
 
     /// Tasks whose hand-out may have taken effect without the view showing it.
--- a/crates/core/src/throughput.rs
+++ b/crates/core/src/throughput.rs
@@ -5,7 +5,7 @@
 
 use oliveshift_wire::JobId;
 
-use crate::floors::Flow;
+use crate::minimum_shares::Flow;
 
 /// For how long what was seen counts.
 const MEMORY_S: f64 = 45.0;
--- a/crates/core/src/unplaced.rs
+++ b/crates/core/src/unplaced.rs
@@ -8,7 +8,7 @@
 use oliveshift_policy::score::fits;
 use oliveshift_wire::{JobId, job::JobSpec};
 
-use crate::{controller::Controller, records::BlockId, rooms::Room};
+use crate::{controller::Controller, inventory::MachineView, records::BlockId};
 
 /// Where such tasks may run. A holder places a task on the machine of the block that fits
 /// best, which may differ from the machine that the leader planned.
@@ -22,7 +22,7 @@
 
 impl UnplacedTasks {
     /// Whether one of the tasks may run on the machine.
-    pub fn may_be_on(&self, room: &Room) -> bool {
+    pub fn may_be_on(&self, room: &MachineView) -> bool {
         let jobs = self.jobs.get(&room.block).into_iter().flatten();
         let mut specs = jobs.map(|(_, spec)| spec);
         self.machines.contains(&room.name)
@@ -41,13 +41,13 @@
         let Some(leader) = &self.leader else {
             return unplaced;
         };
-        for (task, machine) in &leader.planned {
+        for (task, machine) in &leader.planned_machines {
             unplaced.machines.insert(machine.clone());
             #[cfg(feature = "sabotage")]
             if self.sabotage == Some(crate::Sabotage::IdleAsPlanned) {
                 continue;
             }
-            let room = leader.rooms.get(machine);
+            let room = leader.inventory.get(machine);
             if let (Some(room), Some(spec)) = (room, self.view.spec(&task.job)) {
                 let jobs = unplaced.jobs.entry(room.block).or_default();
                 jobs.insert(task.job.clone(), spec.clone());
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -15,7 +15,7 @@
 use rmpv::Value;
 
 use crate::admission_shares::AdmissionRecord;
-use crate::floors::Flow;
+use crate::minimum_shares::Flow;
 use crate::records::{
     BlockId, BlockRecord, ChunkRecord, FormatLevel, FormatRecord, JobRecord, Key, LevelRecord,
     MachineListEntry, MachineListRecord, MachineRecord, MemberRecord, Phase, SpecOverflowRecord,
--- a/crates/policy/src/score.rs
+++ b/crates/policy/src/score.rs
@@ -58,7 +58,7 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Share of its processors taken by services, which stay.
-    pub kept: f64,
+    pub service_share: f64,
 }
 
 /// What the score needs to know of a task.
@@ -140,7 +140,7 @@
         0.0
     };
     let place = if task.service {
-        weights.pack * on.kept
+        weights.pack * on.service_share
     } else {
         weights.snug * share(need.cpus, on.total.cpus)
     };
@@ -184,7 +184,7 @@
             total,
             cached_gb,
             spot: false,
-            kept: 0.0,
+            service_share: 0.0,
         }
     }
 
@@ -253,11 +253,11 @@
             spot: false,
             ..TASK
         };
-        let kept = Candidate {
-            kept: 0.5,
+        let service_share = Candidate {
+            service_share: 0.5,
             ..machine(16.0, 8.0, 32.0, 0.0)
         };
-        let two = [("empty", &ordinary), ("kept", &kept)];
+        let two = [("empty", &ordinary), ("kept", &service_share)];
         assert_eq!(best(&service, two, &weights).map(|t| t.0), Some("kept"));
     }
 }
--- a/crates/policy/src/triage.rs
+++ b/crates/policy/src/triage.rs
@@ -41,7 +41,7 @@
     /// It is starved and gets a few tasks, which cost the others little.
     Starved,
     /// It has its turn by its flow's floor, with all of its tasks.
-    Floor,
+    MinimumShare,
     /// It does not.
     None,
 }
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -44,7 +44,7 @@
         sum += w.spot;
     }
     if task.service {
-        sum += w.pack * on.kept;
+        sum += w.pack * on.service_share;
     } else {
         sum += w.snug * task.need.cpus / on.total.cpus;
     }
--- a/crates/testkit/tests/admission.rs
+++ b/crates/testkit/tests/admission.rs
@@ -8,7 +8,7 @@
     admission_shares::{
         AdmissionDecision, AdmissionRecord, AdmissionShares, FleetLoad, FlowLoad, SharePlanner,
     },
-    floors::{FLOORS, Floors, Flow, Oldest},
+    minimum_shares::{Flow, LATE_FLOWS_SHARE, MinimumShares, OldestJob},
 };
 use oliveshift_wire::{
     JobId,
@@ -407,7 +407,7 @@
             team: format!("t{}", i % 3).into(),
             class: format!("c{i}").into(),
         };
-        let mut floors = Floors::default();
+        let mut minimum_shares = MinimumShares::default();
         let mut number = 0;
         let mut queues: Vec<Vec<(JobId, f64)>> = (0..count)
             .map(|_| {
@@ -425,7 +425,7 @@
         for queue in &queues {
             let mut older = 0.0;
             for (place, (id, work)) in queue.iter().enumerate() {
-                let s = older / (FLOORS / count as f64) + 0.2 * (place + 1) as f64;
+                let s = older / (LATE_FLOWS_SHARE / count as f64) + 0.2 * (place + 1) as f64;
                 bounds.insert(id.clone(), Duration::from_secs_f64(s));
                 older += work;
             }
@@ -434,11 +434,11 @@
         while !bounds.is_empty() {
             let late = queues.iter().enumerate().filter_map(|(i, queue)| {
                 let (id, work) = queue.first().cloned()?;
-                Some((flow(i), Oldest { id, work }))
+                Some((flow(i), OldestJob { id, work }))
             });
             let late: BTreeMap<_, _> = late.collect();
             let waits = |id: &JobId| queues.iter().flatten().any(|(other, _)| other == id);
-            let turns = floors.turns(now, &late, waits);
+            let turns = minimum_shares.turns(now, &late, waits);
             for id in &turns {
                 let bound = bounds.remove(id).expect("one that waits");
                 assert!(
@@ -452,11 +452,11 @@
             now += Duration::from_millis(100);
             assert!(now < Duration::from_secs(4000));
         }
-        let mut broken = Floors::default();
+        let mut broken = MinimumShares::default();
         broken.sabotage = Some(Sabotage::NoMinimumShares);
         let late = BTreeMap::from([(
             flow(0),
-            Oldest {
+            OldestJob {
                 id: "j-000001".parse().expect("an id"),
                 work: 1.0,
             },
--- a/crates/testkit/tests/policy.rs
+++ b/crates/testkit/tests/policy.rs
@@ -50,7 +50,7 @@
                 free,
                 cached_gb: if rng.bool() { image_gb } else { 0.0 },
                 spot: rng.bool(),
-                kept: rng.f64(),
+                service_share: rng.f64(),
             }
         };
         let all: Vec<_> = (0..12).map(machine).collect();
@@ -97,7 +97,7 @@
                 free: minus(&total, &used),
                 cached_gb: if rng.bool() { 1.5 } else { 0.0 },
                 spot: rng.bool(),
-                kept: rng.f64(),
+                service_share: rng.f64(),
             }
         };
         let mut machines: Vec<_> = (0..1000).map(machine).collect();
@@ -285,7 +285,7 @@
             borrowed: rng.bool(),
             turn: match rng.u32(0..16) {
                 0 => Turn::Starved,
-                1 => Turn::Floor,
+                1 => Turn::MinimumShare,
                 _ => Turn::None,
             },
             priority,
