--- a/crates/core/src/assigned_tasks.rs
+++ b/crates/core/src/assigned_tasks.rs
@@ -25,7 +25,7 @@
     pub state: AssignmentState,
     /// The job is cancelled.
     pub cancelled: bool,
-    /// Machines on which it has failed.
+    /// Machines on which the task has failed; one entry for each failure.
     pub failed_on: Vec<String>,
 }
 
@@ -58,7 +58,7 @@
     /// Proof that the task ran nowhere when it was placed; none if a report showed the
     /// attempt running.
     pub evidence: Option<AbsenceProof>,
-    /// The session in which it was started.
+    /// The worker's session in which the attempt was placed or found.
     pub session: u64,
     /// What carried the start: the answer to the report of this number, or direct orders
     /// (0). None if the start was not sent.
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -106,11 +106,11 @@
 /// Why a worker must not forget an attempt yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ForgetRefusal {
-    /// It has not ended.
+    /// The attempt has not ended.
     Alive,
     /// The task is still bound to it: its end is not processed yet.
     StillBound,
-    /// Its completion is not recorded.
+    /// The task's completion is not recorded.
     NotRecorded,
     /// A start may still arrive and would run the attempt again.
     MayStartLate,
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -38,19 +38,19 @@
         if let Some(block) = self.view.blocks.get(&id) {
             self.reachability.record_lease(self.now, id, block.version);
         }
-        let mine = self.view.blocks.get(&id).filter(|b| {
+        let own = self.view.blocks.get(&id).filter(|b| {
             #[cfg(feature = "sabotage")]
             if self.sabotage == Some(crate::Sabotage::OldLife) {
                 return b.record.holder == self.settings.node;
             }
             b.record.holder == self.settings.node && b.record.incarnation == self.incarnation
         });
-        let term = mine.map(|b| b.version);
-        let had = self.held_blocks.get(&id).map(|h| h.term);
-        if term == had {
+        let term = own.map(|b| b.version);
+        let previous_term = self.held_blocks.get(&id).map(|h| h.term);
+        if term == previous_term {
             return;
         }
-        if let Some(old) = had {
+        if let Some(old) = previous_term {
             log::info!("block {id}: no longer held (was term {old})");
             self.drop_block(id);
             self.invariants.term_lost(id, old);
@@ -186,12 +186,12 @@
         }
         let name = report.machine.clone();
         let (session, seq) = (report.session, report.seq);
-        let newest = self.apply_report(report, Origin::Report);
-        let expired = self
+        let is_newest = self.apply_report(report, Origin::Report);
+        let is_expired = self
             .machines
             .get(&name)
             .is_none_or(|m| m.lease.is_expired());
-        if expired || !newest {
+        if is_expired || !is_newest {
             // A stale report. Answering it would renew a lease that counts as expired
             // or belongs to an earlier session.
             let is_newer = self
@@ -202,7 +202,7 @@
                 return self.refuse(conn, 503, "stale report");
             }
         }
-        let orders = if newest {
+        let orders = if is_newest {
             self.orders_in_answer(&name, seq)
         } else {
             Vec::new()
@@ -237,9 +237,9 @@
             // Sent before the lease expired and delayed: the listed tasks have stopped.
             return false;
         }
-        let new_session = report.session > machine.session;
-        let first = machine.session == 0;
-        if new_session {
+        let is_new_session = report.session > machine.session;
+        let is_first_session = machine.session == 0;
+        if is_new_session {
             // The lease of a new session starts with the session, which may first show
             // in the answer to direct orders. Counted from the last answer to the
             // previous session, the lease would expire while tasks run.
@@ -254,29 +254,30 @@
         machine.reclaimed_at = report
             .notice_s
             .map(|s| now + Duration::from_secs_f64(s.clamp(0.0, 1e6)));
-        let proof = report.token == machine.term;
+        let is_current_term = report.token == machine.term;
         #[cfg(feature = "sabotage")]
-        let proof = proof || self.sabotage == Some(crate::Sabotage::NoTermCheck);
-        if proof && !machine.term_acknowledged {
+        let is_current_term =
+            is_current_term || self.sabotage == Some(crate::Sabotage::NoTermCheck);
+        if is_current_term && !machine.term_acknowledged {
             machine.term_acknowledged = true;
             // From now on answers of earlier holders no longer renew the lease.
             machine.lease.renew(now);
         }
-        let proven = machine.term_acknowledged;
-        let gone: Vec<TaskId> = if new_session && !first {
+        let term_acknowledged = machine.term_acknowledged;
+        let stopped: Vec<TaskId> = if is_new_session && !is_first_session {
             machine.unanswered_starts.clear();
             machine.tasks.clear();
             machine.bound_tasks.iter().cloned().collect()
         } else {
             Vec::new()
         };
-        if !gone.is_empty() {
+        if !stopped.is_empty() {
             log::info!(
                 "{name}: worker began a new session, {} tasks of the previous one have stopped",
-                gone.len()
+                stopped.len()
             );
         }
-        for task in gone {
+        for task in stopped {
             self.release_task(&task, AbsenceProof::SessionEnded, Duration::ZERO);
         }
         for entry in &report.tasks {
@@ -286,7 +287,7 @@
             machine.tasks = report.tasks;
         }
         self.resolve_unlisted(&name, report.seq, origin);
-        if proven {
+        if term_acknowledged {
             let block = self.machines.get(&name).map(|m| m.block);
             if let Some(block) = block {
                 self.release_unlocated(block);
@@ -314,11 +315,11 @@
         let Some(machine) = self.machines.get(name) else {
             return false;
         };
-        let keeps = |entry: &TaskReport| match entry.state {
+        let keeps_busy = |entry: &TaskReport| match entry.state {
             TaskState::Exited => self.is_unrecorded(&entry.task),
             _ => true,
         };
-        !machine.bound_tasks.is_empty() || machine.tasks.iter().any(keeps)
+        !machine.bound_tasks.is_empty() || machine.tasks.iter().any(keeps_busy)
     }
 
     /// Whether a task is done but not recorded as done.
@@ -471,7 +472,7 @@
             let same = |t: &TaskReport| t.task == *task && t.attempt == attempt;
             machine.tasks.iter().any(same)
         };
-        let mut gone = Vec::new();
+        let mut absent = Vec::new();
         let mut resend = false;
         for task in &machine.bound_tasks {
             let Some(bound) = self.assigned_tasks.get(task).and_then(|s| s.bound()) else {
@@ -483,10 +484,10 @@
             match bound.unlisted(seq, origin) {
                 UnlistedAttempt::Unknown => {}
                 UnlistedAttempt::Resend => resend = true,
-                UnlistedAttempt::Absent => gone.push(task.clone()),
+                UnlistedAttempt::Absent => absent.push(task.clone()),
             }
         }
-        for task in gone {
+        for task in absent {
             self.release_task(&task, AbsenceProof::NotListed, Duration::ZERO);
         }
         if resend {
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -45,12 +45,12 @@
     view::View,
 };
 
-/// The time of an input.
+/// Clock readings at the time of an input.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
     /// Monotonic time since the process started.
     pub monotonic: Duration,
-    /// Wall-clock time since the Unix epoch.
+    /// Wall-clock time since the Unix epoch (1970).
     pub wall_clock: Duration,
 }
 
@@ -161,7 +161,7 @@
     /// A machine counts as idle although only it and its holder know of task results
     /// that are not recorded yet.
     IdleWithUnrecordedEnds,
-    /// No report is forwarded to another controller.
+    /// Reports are not forwarded to other controllers.
     NoForwarding,
     /// A report gets the answer to an earlier forwarded report of its worker.
     StaleForwards,
@@ -464,7 +464,8 @@
                 return close.into_iter().map(Output::Close).collect();
             }
             Input::Readable(id, beginning) => {
-                if self.class(RequestClass::of_prefix(&beginning)) != RequestClass::Report {
+                if self.effective_class(RequestClass::of_prefix(&beginning)) != RequestClass::Report
+                {
                     return vec![Output::ReadFrom(id)];
                 }
                 self.request_queue.push_connection(self.now, id);
@@ -481,12 +482,12 @@
             Input::Request(request) => {
                 self.sockets
                     .request_received(self.now, request.socket, request.conn);
-                let class = self.class(RequestClass::of(&request));
+                let class = self.effective_class(RequestClass::of(&request));
                 self.request_queue.push(self.now, class, request);
                 return Vec::new();
             }
             Input::Tick => self.tick(),
-            Input::Reply(call, reply) => self.reply(call, reply),
+            Input::Reply(call, reply) => self.handle_reply(call, reply),
         }
         self.input_pending = true;
         self.take_outputs()
@@ -518,7 +519,7 @@
             self.refuse_with_retry(request.conn, "controller overloaded");
         }
         for request in batch.requests {
-            self.request(request);
+            self.handle_request(request);
             self.input_pending = true;
         }
         // Processing changes costs the same for one input as for many.
@@ -534,7 +535,7 @@
 
     /// The effective class of a request; differs from its own only under fault
     /// injection.
-    fn class(&self, class: RequestClass) -> RequestClass {
+    fn effective_class(&self, class: RequestClass) -> RequestClass {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(Sabotage::NoPriorities) {
             return RequestClass::User;
@@ -601,7 +602,7 @@
         self.send_due_peer_messages();
     }
 
-    fn request(&mut self, request: Request) {
+    fn handle_request(&mut self, request: Request) {
         let Request {
             conn,
             listener,
@@ -664,7 +665,7 @@
         }
     }
 
-    fn reply(&mut self, call: CallId, reply: Reply) {
+    fn handle_reply(&mut self, call: CallId, reply: Reply) {
         let Some((pending, sent)) = self.calls.remove(&call) else {
             return;
         };
