--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -438,11 +438,11 @@
     /// Processes one input and runs all turns that it needs, as a controller without
     /// backlog does.
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
-        let mut out = self.receive(now, input);
+        let mut outputs = self.receive(now, input);
         while self.has_pending_work() {
-            out.extend(self.run_turn(now));
+            outputs.extend(self.run_turn(now));
         }
-        out
+        outputs
     }
 
     /// Applies one input. Its consequences are processed at the next turn, which may
@@ -463,9 +463,8 @@
                 let close = self.sockets.connection_opened(self.now, id, listener);
                 return close.into_iter().map(Output::Close).collect();
             }
-            Input::Readable(id, beginning) => {
-                if self.effective_class(RequestClass::of_prefix(&beginning)) != RequestClass::Report
-                {
+            Input::Readable(id, prefix) => {
+                if self.effective_class(RequestClass::of_prefix(&prefix)) != RequestClass::Report {
                     return vec![Output::ReadFrom(id)];
                 }
                 self.request_queue.push_connection(self.now, id);
@@ -475,8 +474,8 @@
                 self.sockets.connection_closed(id);
                 return Vec::new();
             }
-            Input::IdleConnections(kept) => {
-                self.sockets.set_idle(kept);
+            Input::IdleConnections(idle) => {
+                self.sockets.set_idle(idle);
                 return Vec::new();
             }
             Input::Request(request) => {
@@ -554,15 +553,15 @@
     /// Takes the collected outputs. Answers to relayed requests and forwarded reports
     /// are wrapped first.
     fn take_outputs(&mut self) -> Vec<Output> {
-        let mut out = std::mem::take(&mut self.outputs);
-        for output in &mut out {
+        let mut outputs = std::mem::take(&mut self.outputs);
+        for output in &mut outputs {
             if let Output::Answer(answer) = output {
                 self.relay.wrap_answer(answer);
                 self.forwarding.wrap_answer(answer);
                 self.sockets.request_answered(self.now, answer.conn);
             }
         }
-        out
+        outputs
     }
 
     /// Number of invariant violations since the process started: 0 unless this program
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -72,8 +72,9 @@
                 if !include_sent || !machine.may_start_late(task, attempt) {
                     continue;
                 }
-                // A start that may still arrive can't be withdrawn. A worker does not
-                // start an attempt that it knows again, so the start precedes the stop.
+                // A start that may still arrive can't be withdrawn. Sent along with the
+                // stop, it makes the attempt known to the worker, which does not start a
+                // known attempt again.
                 orders.push(Order::Start {
                     task: task.clone(),
                     attempt,
