--- a/crates/core/src/forwarding/origin.rs
+++ b/crates/core/src/forwarding/origin.rs
@@ -16,7 +16,7 @@
 /// Upper bound for the forwarded reports without an answer.
 const MAX_OUTSTANDING: usize = 64;
 /// How long the first report of an unregistered machine is remembered. A machine that reports
-/// again within this time, but later than its report timeout, can't reach the leader.
+/// again within this time, but later than its report timeout, presumably can't reach the leader.
 const REPEAT_WINDOW: Duration = Duration::from_secs(16);
 
 /// What to do with a report if its addressee does not answer.
--- a/crates/core/src/reachability/tests.rs
+++ b/crates/core/src/reachability/tests.rs
@@ -193,8 +193,8 @@
     reach.record_resignation(now);
     assert!(!reach.should_resign(now + ms(29_000), true));
     assert!(reach.should_resign(now + ms(31_000), true));
-    let asked = reach.machines_to_probe(now, |_| names.into_iter(), |_| 0);
-    assert_eq!(asked.len(), MAX_PROBES);
+    let probes = reach.machines_to_probe(now, |_| names.into_iter(), |_| 0);
+    assert_eq!(probes.len(), MAX_PROBES);
     assert_eq!(
         reach
             .machines_to_probe(now, |_| names.into_iter(), |_| 0)
@@ -217,10 +217,10 @@
 fn a_controller_that_hears_no_worker_serves_no_zone_until_machines_there_answer() {
     let mut reach = Reachability::new(PERIOD);
     let held = || BTreeMap::from([(1, ("a".to_owned(), 26))]);
-    let everywhere = ["a".to_owned(), "b".to_owned()];
+    let all_zones = ["a".to_owned(), "b".to_owned()];
     let mut now = ms(0);
     while now < ms(20_000) {
-        reach.evaluate(now, &everywhere, held, |_| 26);
+        reach.evaluate(now, &all_zones, held, |_| 26);
         now += ms(250);
     }
     assert!(!reach.can_serve_zone(now, "n-0", "n-0", "b"));
@@ -235,7 +235,7 @@
     reach.record_probe_answer(now, "b", "vm-1");
     reach.record_probe_answer(now, "b", "vm-2");
     reach.record_report(now, 1, "vm-1");
-    reach.evaluate(now + ms(250), &everywhere, held, |_| 26);
+    reach.evaluate(now + ms(250), &all_zones, held, |_| 26);
     assert!(reach.can_serve_zone(now, "n-0", "n-0", "b"));
 }
 
@@ -244,26 +244,26 @@
 #[test]
 fn unreached_zones_outlive_the_message_of_a_peer() {
     let mut reach = Reachability::new(PERIOD);
-    let everywhere = ["a".to_owned(), "b".to_owned()];
+    let all_zones = ["a".to_owned(), "b".to_owned()];
     let message_of = |zones: &[String]| ReachWord {
         zones: zones.to_vec(),
         ..message(vec![])
     };
     let status_at = |reach: &mut Reachability, at| {
-        reach.evaluate(ms(at), &everywhere, BTreeMap::new, |_| 26);
+        reach.evaluate(ms(at), &all_zones, BTreeMap::new, |_| 26);
         (
             reach.can_serve_zone(ms(at), "n-0", "n-1", "a"),
             reach.is_suspect("n-0", "n-1"),
         )
     };
-    reach.receive_message(ms(1000), message_of(&everywhere[..1]));
+    reach.receive_message(ms(1000), message_of(&all_zones[..1]));
     assert_eq!(status_at(&mut reach, 40_000), (false, true));
     // They expire too, as the empty message that revokes them may have been lost.
     assert_eq!(status_at(&mut reach, 62_000), (true, false));
-    reach.receive_message(ms(70_000), message_of(&everywhere));
+    reach.receive_message(ms(70_000), message_of(&all_zones));
     reach.receive_message(ms(71_000), message_of(&[]));
     assert_eq!(status_at(&mut reach, 72_000), (true, false));
-    reach.receive_message(ms(73_000), message_of(&everywhere));
+    reach.receive_message(ms(73_000), message_of(&all_zones));
     reach.forget_previous_incarnations(|_| Some(1 + message(vec![]).incarnation));
     assert_eq!(status_at(&mut reach, 74_000), (true, false));
 }
@@ -296,11 +296,11 @@
         for _ in 0..3 {
             reach.record_stray(now, &report(rng.usize(0..9), term), (1, term), "n-1");
         }
-        let looked = [BlockStatus {
+        let statuses = [BlockStatus {
             term,
             ..block(9)[0].clone()
         }];
-        for found in reach.blocks_to_move(now, "n-0", &looked) {
+        for found in reach.blocks_to_move(now, "n-0", &statuses) {
             reach.record_move(now, "n-1", "a", found.unheard);
             moved.push(now);
             term += 1;
--- a/crates/core/src/sockets.rs
+++ b/crates/core/src/sockets.rs
@@ -349,7 +349,7 @@
         self.unresponsive = self.unresponsive.saturating_sub(usize::from(unresponsive));
     }
 
-    /// Whether a direct order may be sent now; otherwise it is tried again when calls have finished.
+    /// Whether a direct order may be sent now; if not, it is tried again when calls have finished.
     pub fn may_send_order(&self, unresponsive: bool) -> bool {
         let calls = self.outbound[OutboundKind::Orders as usize].calls;
         let most = (self.shares.orders / UNRESPONSIVE_DIVISOR).max(1);
@@ -363,7 +363,8 @@
         }
     }
 
-    /// Returns the connections that have been inactive for too long, and logs a shortage of sockets.
+    /// Closes the connections that have been inactive for too long and returns them; logs a
+    /// shortage of sockets.
     pub fn tick(&mut self, now: Duration) -> Vec<Close> {
         let mut close = Vec::new();
         for group in [Group::Users, Group::Workers, Group::Peers] {
@@ -374,13 +375,14 @@
                 close.push(Close::Inbound(id));
             }
         }
-        let has_pressure = self.evicted + self.rejected > 0;
-        if has_pressure && self.logged_at.is_none_or(|at| now >= at + LOG_INTERVAL) {
+        let has_shortage = self.evicted + self.rejected > 0;
+        if has_shortage && self.logged_at.is_none_or(|at| now >= at + LOG_INTERVAL) {
             self.logged_at = Some(now);
             let [users, workers, peers, outside] = GROUPS.map(|g| self.used(g));
             log::info!(
-                "socket shortage: {users} for users and unidentified, {workers} for workers, {peers} for \
-                 controllers, {outside} for state service and cloud, of {}; {} closed, {} rejected",
+                "socket shortage: {users} for users and unidentified, {workers} for workers, \
+                 {peers} for controllers, {outside} for state service and cloud, of {}; \
+                 {} closed, {} rejected",
                 self.shares.total,
                 self.evicted,
                 self.rejected
@@ -390,7 +392,7 @@
         close
     }
 
-    /// The inbound connections of a group; `Outside` has none.
+    /// The inbound connections of a group; `Outside` has none of its own and uses the users'.
     fn activity_queue(&self, group: Group) -> &ActivityQueue {
         match group {
             Group::Users | Group::Outside => &self.users,
