--- a/crates/core/src/admission_shares.rs
+++ b/crates/core/src/admission_shares.rs
@@ -1,20 +1,20 @@
-//! Admission that the controllers agree on.
+//! Admission control by shares that the leader grants to the controllers.
 //!
-//! A job is refused for one reason only: so much is open already that it could
-//! not be worked off within the horizon. What is accepted has to run and to be
-//! kept, and a queue without an end is a promise that nobody keeps. How much
-//! more may be let in is the leader's to say, in one record: for each flow (a
-//! team's jobs of a class) a share for each controller, so divided that no
-//! flow takes the room of the others. Each spends its own without asking.
+//! A job is refused here for one reason only: the open work already fills the
+//! admission horizon. Accepted jobs have to be stored and run, so the queue must
+//! stay bounded. The leader writes one admission record that gives each controller
+//! a share of the remaining work for each flow (a team's jobs of a class), divided
+//! so that no flow takes the capacity of the others. A controller spends its shares
+//! without further coordination.
 //!
-//! A share is spent by a write that has the record's version as a condition. So
-//! the next record ends all shares of the one before in the same instant for
-//! everybody, whoever has seen it, and the leader that writes it counts as let
-//! in all that might have been until then. No share is ever handed out twice,
-//! by two leaders in a row neither.
+//! A share is spent by a write that has the record's version as a condition. The
+//! next record therefore ends all earlier shares at the same instant for all
+//! controllers, whether or not they have seen it, and the leader that writes it
+//! counts everything that may have been admitted until then as admitted. No share
+//! is granted twice, not even across a change of leader.
 //!
-//! Amounts are seconds of the whole fleet: the share of it that a job's tasks
-//! would take at once, times how long they run.
+//! Amounts are seconds of the whole fleet: the fraction of the fleet that a job's
+//! tasks use when all run at once, times their run time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -35,51 +35,52 @@
     view::View,
 };
 
-/// How much of the horizon has to be full until shares are handed out: before
-/// that nobody is refused, and nobody asks.
-const ACTIVE: f64 = 0.75;
-/// The same for giving that up again.
-const CALM: f64 = 0.4;
-/// How many times what is free a flow may have open.
-const THRESHOLD: f64 = 2.0;
-/// A share that is a smaller part of the horizon is none: on an untouched one a
-/// job may come in that is larger.
-const LEAST: f64 = 0.0005;
-/// The part of the horizon that is kept for when the shares are out and the
-/// leader is gone.
-const RESERVE: f64 = 0.05;
-/// The least time between two records, and the age from which one is not taken
-/// to be renewed any more.
-const RENEW: Duration = Duration::from_millis(1000);
-const STALE: Duration = Duration::from_secs(6);
-/// Jobs that may be open at a time: they are kept in memory by every
-/// controller. Each takes at least so much of the horizon.
-const MOST_JOBS: f64 = 12_000.0;
-/// Within these bounds users are told to come back.
-const SOON: Duration = Duration::from_secs(1);
-const LATEST: Duration = Duration::from_secs(30);
-/// For how long a place is kept for somebody beyond the time he was told.
-const GRACE: Duration = Duration::from_secs(4);
-/// Most places kept.
-const MOST_PLACES: usize = 1000;
-
-/// `admission`: what may be let in.
+/// Fraction of the horizon that open work must fill before admission is limited.
+/// Below it no job is refused and no share is needed.
+const LIMITING_START_FRACTION: f64 = 0.75;
+/// Fraction of the horizon below which limiting ends again.
+const LIMITING_END_FRACTION: f64 = 0.4;
+/// A flow may have at most this many times the free work open.
+const FLOW_THRESHOLD_FACTOR: f64 = 2.0;
+/// A share below this fraction of the horizon is set to zero, because an unspent
+/// share above zero admits one job that is larger than the share.
+const MIN_SHARE_FRACTION: f64 = 0.0005;
+/// Fraction of the horizon that is reserved for the case that the shares are spent
+/// and no leader renews the record.
+const RESERVE_FRACTION: f64 = 0.05;
+/// Minimum time between two admission records.
+const MIN_RENEWAL_INTERVAL: Duration = Duration::from_millis(1000);
+/// Age above which the record counts as no longer renewed, so that the reserve may
+/// be spent.
+const RECORD_STALE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Limit of open jobs, because every controller keeps all of them in memory. Each
+/// job counts for at least this part of the horizon.
+const MAX_OPEN_JOBS: f64 = 12_000.0;
+/// Bounds of the retry time given to a refused submission.
+const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
+/// How long a retry slot is kept after its time.
+const RETRY_SLOT_GRACE_PERIOD: Duration = Duration::from_secs(4);
+/// Maximum number of retry slots kept.
+const MAX_RETRY_SLOTS: usize = 1000;
+
+/// The record under the key `admission`: the shares of all controllers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionRecord {
-    /// The controllers that have shares, each with its incarnation: one that
-    /// begins anew does not know what it has spent.
+    /// The controllers that have shares, each with its incarnation: a restarted
+    /// controller does not know what it has spent.
     pub nodes: Vec<(String, u64)>,
-    /// What the fleet has, by which jobs are measured: processors,
-    /// accelerators, GB of memory.
+    /// Capacity of the fleet by which jobs are measured: processors, accelerators,
+    /// GB of memory.
     pub fleet: [f64; 3],
     /// The horizon in seconds.
     pub horizon_s: f64,
-    /// What is let in by each of the controllers, by flow.
+    /// Each controller's share, by flow.
     pub flows: Vec<FlowShare>,
-    /// What each may let in of flows that are not named.
+    /// Each controller's share for all flows that are not listed together.
     pub other_s: f64,
-    /// What each may let in besides, of any flow, once its shares are out and
-    /// the record is not renewed.
+    /// What each controller may admit in addition, of any flow, once a share is
+    /// spent and the record is no longer renewed.
     pub reserve_s: f64,
 }
 
@@ -92,7 +93,7 @@
     pub class: String,
     /// The share, in seconds of the whole fleet.
     pub share_s: f64,
-    /// How fast the flow drains: seconds of the whole fleet in a second.
+    /// Rate at which the flow completes work: seconds of the whole fleet per second.
     pub drain: f64,
 }
 
@@ -106,12 +107,12 @@
 }
 
 impl AdmissionRecord {
-    /// Whether anybody may be refused under it.
+    /// Whether admission is limited under this record.
     pub fn is_limiting(&self) -> bool {
         !self.nodes.is_empty()
     }
 
-    /// What a job takes, in seconds of the whole fleet.
+    /// Work of a job, in seconds of the whole fleet.
     pub fn work_s(&self, spec: &JobSpec) -> f64 {
         work_s(spec, spec.tasks, self.fleet, self.horizon_s)
     }
@@ -121,15 +122,15 @@
         flows.find(|f| *f.team == *flow.team && *f.class == *flow.class)
     }
 
-    /// All that can be let in under it, by all controllers, without what goes
-    /// beyond a share by one job.
+    /// Sum of all shares and reserves of all controllers. One job may exceed each
+    /// share; that excess is not included.
     pub fn total_s(&self) -> f64 {
         let flows: f64 = self.flows.iter().map(|f| f.share_s).sum();
         (flows + self.other_s + self.reserve_s) * self.nodes.len() as f64
     }
 }
 
-/// What so many tasks of a job take, in seconds of a whole fleet.
+/// Work of this many tasks of a job, in seconds of the given fleet.
 pub(crate) fn work_s(spec: &JobSpec, tasks: u32, fleet: [f64; 3], horizon_s: f64) -> f64 {
     let [cpus, gpus, memory_gb] = fleet;
     let fleet = Amounts {
@@ -138,27 +139,27 @@
         memory_gb,
     };
     let run_s = dominant_share(&spec.amounts(), &fleet) * f64::from(tasks) * spec.estimate_s;
-    run_s.max(horizon_s / MOST_JOBS)
+    run_s.max(horizon_s / MAX_OPEN_JOBS)
 }
 
-/// Whether a job is subject to shares: services are people's, few, and stop
-/// others; they are refused only by their team's limit.
+/// Whether a job needs an admission share. Services do not: they are few, serve
+/// people directly and preempt other work, so only their team's limit applies.
 pub(crate) fn needs_share(spec: &JobSpec) -> bool {
     spec.shape != Shape::Service
 }
 
-/// What a submission is told.
+/// The decision on a submission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// It may come in, whatever the record is by then.
+    /// Admitted, whatever the admission record is by the time of the write.
     Unrestricted,
-    /// It may come in as long as the record has this version.
+    /// Admitted on condition that the admission record still has this version.
     IfVersion(u64),
-    /// It is refused and should come again after this time.
+    /// Refused; to be submitted again after this time.
     RetryAfter(Duration),
 }
 
-/// A place kept for somebody who was refused.
+/// Work held back for a refused submission that is expected to be retried.
 #[derive(Debug)]
 struct RetrySlot {
     flow: Flow,
@@ -166,7 +167,7 @@
     at: Duration,
 }
 
-/// A controller's own shares, and what it has spent of them.
+/// What a controller has spent of its shares, and the retry slots that it has assigned.
 #[derive(Debug, Default)]
 pub struct AdmissionShares {
     version: u64,
@@ -175,16 +176,17 @@
     other_spent: f64,
     reserve_spent: f64,
     retry_slots: BTreeMap<JobId, RetrySlot>,
-    /// When the last place of each flow is.
+    /// Time of the last retry slot of each flow.
     last_retry_at: BTreeMap<Flow, Duration>,
-    /// What is broken on purpose.
+    /// Fault injected by tests.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<crate::Sabotage>,
 }
 
 impl AdmissionShares {
-    /// Whether a job may come in now. `record` is the newest one that this
-    /// controller, `node` by its name and incarnation, has seen.
+    /// Decides whether a job is admitted now, and spends its share. `record` is the
+    /// newest record that this controller has seen; `node` is its name and
+    /// incarnation.
     pub fn admit(
         &mut self,
         now: Duration,
@@ -199,17 +201,17 @@
         if !needs_share(spec) {
             return AdmissionDecision::Unrestricted;
         }
-        self.follow(now, version);
+        self.reset_on_new_version(now, version);
         if !record
             .nodes
             .iter()
             .any(|(name, life)| (name.as_str(), *life) == node)
         {
-            // Just up: the next record has a share for it.
-            return AdmissionDecision::RetryAfter(SOON);
+            // This incarnation has just started: the next record has a share for it.
+            return AdmissionDecision::RetryAfter(MIN_RETRY_DELAY);
         }
         let work = record.work_s(spec);
-        let flow = self.named(record, Flow::of(spec));
+        let flow = self.share_flow(record, Flow::of(spec));
         let mine = self.retry_slots.get(&spec.id).is_some_and(|k| now >= k.at);
         let held = if mine {
             0.0
@@ -220,7 +222,7 @@
             Some(f) => (f.share_s, self.spent.get(&flow).copied().unwrap_or(0.0)),
             None => (record.other_s, self.other_spent),
         };
-        // A job that is larger than any share comes in on an untouched one.
+        // A job that is larger than its share is admitted while the share is unspent.
         let fits = spent + work + held <= share + 1e-9;
         let large = spent <= 0.0 && held <= 0.0 && share > 0.0;
         if fits || large {
@@ -228,7 +230,7 @@
             self.retry_slots.remove(&spec.id);
             return AdmissionDecision::IfVersion(version);
         }
-        let stale = now > self.since + STALE;
+        let stale = now > self.since + RECORD_STALE_TIMEOUT;
         if stale && self.reserve_spent + work <= record.reserve_s + 1e-9 {
             self.reserve_spent += work;
             self.retry_slots.remove(&spec.id);
@@ -237,13 +239,13 @@
         AdmissionDecision::RetryAfter(self.assign_retry(now, record, flow, work, &spec.id))
     }
 
-    /// A job that was let in under a version did not come in.
+    /// Returns the share of a job that was admitted under this version but not written.
     pub fn refund(&mut self, version: u64, record: Option<&AdmissionRecord>, spec: &JobSpec) {
         let Some(record) = record.filter(|_| version == self.version) else {
             return;
         };
         let work = record.work_s(spec);
-        let flow = self.named(record, Flow::of(spec));
+        let flow = self.share_flow(record, Flow::of(spec));
         self.spend(record, &flow, -work);
     }
 
@@ -255,7 +257,7 @@
         *spent = (*spent + work).max(0.0);
     }
 
-    fn follow(&mut self, now: Duration, version: u64) {
+    fn reset_on_new_version(&mut self, now: Duration, version: u64) {
         if self.version != version {
             self.version = version;
             self.since = now;
@@ -263,12 +265,12 @@
             self.other_spent = 0.0;
             self.reserve_spent = 0.0;
         }
-        self.retry_slots.retain(|_, slot| now <= slot.at + GRACE);
+        self.retry_slots
+            .retain(|_, slot| now <= slot.at + RETRY_SLOT_GRACE_PERIOD);
     }
 
-    /// The flow whose share counts, which is another one only if it is broken
-    /// on purpose.
-    fn named(&self, record: &AdmissionRecord, flow: Flow) -> Flow {
+    /// The flow whose share is spent: the job's own, except under fault injection.
+    fn share_flow(&self, record: &AdmissionRecord, flow: Flow) -> Flow {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoFlows)
             && let Some(first) = record.flows.first()
@@ -279,16 +281,18 @@
         flow
     }
 
-    /// What is kept of a flow for those who were told to come by now.
+    /// Work of the retry slots of a flow that are due by now or within the minimum
+    /// retry delay.
     fn held_work_s(&self, flow: &Flow, now: Duration) -> f64 {
         let due = self.retry_slots.values();
-        let due = due.filter(|k| k.flow == *flow && k.at <= now + SOON);
+        let due = due.filter(|k| k.flow == *flow && k.at <= now + MIN_RETRY_DELAY);
         due.map(|k| k.work_s).sum()
     }
 
-    /// Keeps a place for somebody who is refused: one after the other, as fast
-    /// as the flow drains, so that they don't all come at once. Who comes too
-    /// early keeps his.
+    /// Assigns a retry slot to a refused submission and returns the time until it.
+    /// Slots follow one another at the rate at which the flow drains, so that
+    /// refused submissions don't all return at once. A submission that returns
+    /// early keeps its slot.
     fn assign_retry(
         &mut self,
         now: Duration,
@@ -298,17 +302,18 @@
         id: &JobId,
     ) -> Duration {
         if let Some(slot) = self.retry_slots.get(id).filter(|k| k.at > now) {
-            return (slot.at - now).clamp(SOON, LATEST);
+            return (slot.at - now).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         }
         let named = record.flow(&flow);
         let drain = named.map_or(0.0, |f| f.drain) / record.nodes.len().max(1) as f64;
-        let takes = Duration::try_from_secs_f64(work_s / drain.max(1e-6)).unwrap_or(LATEST);
+        let takes =
+            Duration::try_from_secs_f64(work_s / drain.max(1e-6)).unwrap_or(MAX_RETRY_DELAY);
         let last = self.last_retry_at.get(&flow).copied().unwrap_or_default();
-        // Behind the last one, and soonest in a second.
-        let at = last.max(now) + takes.clamp(Duration::from_millis(20), LATEST);
-        let at = at.clamp(now + SOON, now + LATEST);
+        // After the flow's last slot, and not before the minimum delay of 1 s.
+        let at = last.max(now) + takes.clamp(Duration::from_millis(20), MAX_RETRY_DELAY);
+        let at = at.clamp(now + MIN_RETRY_DELAY, now + MAX_RETRY_DELAY);
         self.last_retry_at.insert(flow.clone(), at);
-        if self.retry_slots.len() < MOST_PLACES {
+        if self.retry_slots.len() < MAX_RETRY_SLOTS {
             self.retry_slots
                 .insert(id.clone(), RetrySlot { flow, work_s, at });
         }
@@ -316,34 +321,34 @@
     }
 }
 
-/// What the leader sees of a flow.
+/// Open work of a flow, as the leader sees it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FlowLoad {
-    /// What is open, in seconds of the whole fleet.
+    /// Open work, in seconds of the whole fleet.
     pub open_s: f64,
-    /// How fast it drains: seconds of the whole fleet in a second.
+    /// Rate at which it completes: seconds of the whole fleet per second.
     pub drain: f64,
 }
 
-/// All that the leader sees.
+/// Open work of the whole fleet: what the leader plans shares from.
 #[derive(Clone, Debug, Default)]
 pub struct FleetLoad {
-    /// The fleet: processors, accelerators, GB of memory.
+    /// Capacity of the fleet: processors, accelerators, GB of memory.
     pub fleet: [f64; 3],
     /// The horizon in seconds.
     pub horizon_s: f64,
-    /// By flow.
+    /// Load by flow.
     pub flows: BTreeMap<Flow, FlowLoad>,
-    /// The jobs that are open and subject to shares, with their flow and work.
+    /// The open jobs that need a share, with their flow and work.
     pub open: BTreeMap<JobId, (Flow, f64)>,
     /// The controllers that are up, with their incarnations.
     pub nodes: Vec<(String, u64)>,
-    /// Machines are on their way: the fleet is not yet what it can be.
+    /// Many machines are still booting, so the fleet is smaller than it will be.
     pub is_growing: bool,
 }
 
 impl FleetLoad {
-    /// Looks at all open jobs. `fleet` is what all machines have.
+    /// Sums up all open jobs. `fleet` is the capacity of all machines.
     pub(crate) fn from_view(
         view: &View,
         queue_order: &QueueOrder,
@@ -381,20 +386,20 @@
     }
 }
 
-/// The leader's side: what the next record says, and when it is due.
+/// Plans the admission record on the leader: its shares and when it is due.
 #[derive(Debug, Default)]
 pub struct SharePlanner {
     at: Duration,
-    /// The record of which we know what came in since it was written, and the
-    /// jobs that had come in when we saw it first.
+    /// The version of the record whose admissions are counted, and the jobs that
+    /// were open when this leader first saw it.
     since: Option<(u64, BTreeSet<JobId>)>,
-    /// What is broken on purpose.
+    /// Fault injected by tests.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<crate::Sabotage>,
 }
 
 impl SharePlanner {
-    /// The record to be written in place of the present one, if any is due.
+    /// The record to be written in place of the present one, if one is due.
     pub fn next_record(
         &mut self,
         now: Duration,
@@ -404,33 +409,38 @@
         let version = present.map_or(0, |(v, _)| v);
         let limits = present.filter(|(_, r)| r.is_limiting()).map(|(_, r)| r);
         if self.since.as_ref().is_none_or(|(v, _)| *v != version) {
-            // What had come in by now may have been under this record or not:
-            // none of it counts as spent, and all shares as still to be spent.
+            // The jobs open by now may or may not have been admitted under this
+            // record: none of them counts as spent, and all shares count as unspent.
             self.since = Some((version, seen.open.keys().cloned().collect()));
         }
-        if now < self.at + RENEW {
+        if now < self.at + MIN_RENEWAL_INTERVAL {
             return None;
         }
         let open: f64 = seen.flows.values().map(|d| d.open_s).sum();
-        let full = seen.horizon_s * if limits.is_some() { CALM } else { ACTIVE };
+        let full = seen.horizon_s
+            * if limits.is_some() {
+                LIMITING_END_FRACTION
+            } else {
+                LIMITING_START_FRACTION
+            };
         let grows = seen.is_growing && limits.is_none();
         if open < full || grows || seen.nodes.is_empty() {
             self.at = now;
             return limits.map(|_| AdmissionRecord::default());
         }
         let unspent = self.unspent(limits, seen);
-        let next = divide(seen, &unspent, self.part_given());
-        let due = limits.is_none_or(|r| is_worth(r, &next));
+        let next = divide(seen, &unspent, self.granted_fraction());
+        let due = limits.is_none_or(|r| differs_enough(r, &next));
         due.then(|| {
             self.at = now;
             next
         })
     }
 
-    /// The part of what is left that is given. Half is kept back: what is not
-    /// spent counts as open for the next record, which would have nothing to
-    /// give then.
-    fn part_given(&self) -> f64 {
+    /// Fraction of the free work that is granted as shares. Half is held back:
+    /// unspent shares count as open for the next record, which would otherwise have
+    /// nothing left to grant.
+    fn granted_fraction(&self) -> f64 {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::SharesReissued) {
             return 1.0;
@@ -438,8 +448,8 @@
         0.5
     }
 
-    /// What may still be let in, by flow, under the present record by the time
-    /// the next one is written, beyond what we see.
+    /// What may still be admitted under the present record before the next one is
+    /// written, by flow, beyond the open work that this leader sees.
     fn unspent(&self, present: Option<&AdmissionRecord>, seen: &FleetLoad) -> Unspent {
         let Some(record) = present else {
             return Unspent::default();
@@ -453,8 +463,8 @@
         let mut came: BTreeMap<&Flow, f64> = BTreeMap::new();
         let open = seen.open.iter().filter(|(id, _)| new(id));
         for (flow, work) in open.map(|(_, open)| open) {
-            // One that is larger than a share has used up one share: the others
-            // still have theirs.
+            // A job that is larger than a share has used up one controller's share:
+            // the other controllers still have theirs.
             let share = record.flow(flow).map_or(record.other_s, |f| f.share_s);
             *came.entry(flow).or_default() += work.min(share);
         }
@@ -476,6 +486,7 @@
     }
 }
 
+/// Shares of a record that may not have been spent yet, summed over all controllers.
 #[derive(Debug, Default)]
 struct Unspent {
     flows: BTreeMap<Flow, f64>,
@@ -483,11 +494,12 @@
     reserve_s: f64,
 }
 
-/// Divides what of the horizon is left. No flow may have more open than
-/// [`THRESHOLD`] times what is free, as in Choudhury's and Hahne's dynamic queue
-/// length thresholds (1998): however many flood, something stays free for those
-/// who do not, and a single flow may have most. Within that, max-min fair. What
-/// may have been spent meanwhile counts as open.
+/// Divides the rest of the horizon among the flows. No flow may have more open than
+/// [`FLOW_THRESHOLD_FACTOR`] times the free work, as in Choudhury's and Hahne's
+/// dynamic queue length thresholds (1998): however many flows are overloaded, some
+/// work stays free for the others, and a single flow may use most of the horizon.
+/// Within that limit, the division is max-min fair. Shares that may have been spent
+/// meanwhile count as open.
 fn divide(seen: &FleetLoad, unspent: &Unspent, part: f64) -> AdmissionRecord {
     let names: BTreeSet<&Flow> = seen.flows.keys().chain(unspent.flows.keys()).collect();
     let nodes = seen.nodes.len() as f64;
@@ -495,18 +507,21 @@
         let open = seen.flows.get(*flow).map_or(0.0, |d| d.open_s);
         open + unspent.flows.get(*flow).copied().unwrap_or(0.0)
     });
-    // Those not named count as one more.
+    // All flows that are not listed count as one more.
     let have: Vec<f64> = have.chain([unspent.other_s]).collect();
     let taken = have.iter().sum::<f64>() + unspent.reserve_s;
     let left = (seen.horizon_s - taken).max(0.0);
-    let reserve = left.min(seen.horizon_s * RESERVE);
+    let reserve = left.min(seen.horizon_s * RESERVE_FRACTION);
     let free = left - reserve;
-    let asked: Vec<f64> = have.iter().map(|h| free * THRESHOLD - h).collect();
+    let asked: Vec<f64> = have
+        .iter()
+        .map(|h| free * FLOW_THRESHOLD_FACTOR - h)
+        .collect();
     let shares: Vec<f64> = max_min(&asked, free * part)
         .into_iter()
         .map(|share| share / nodes)
         .map(|share| {
-            if share < seen.horizon_s * LEAST {
+            if share < seen.horizon_s * MIN_SHARE_FRACTION {
                 0.0
             } else {
                 share
@@ -529,8 +544,9 @@
     }
 }
 
-/// Whether the next record would let in more than scatter, or other people.
-fn is_worth(present: &AdmissionRecord, next: &AdmissionRecord) -> bool {
+/// Whether the next record differs enough from the present one to be written: in its
+/// controllers, in its flows, or in a share by more than 0.02 % of the horizon.
+fn differs_enough(present: &AdmissionRecord, next: &AdmissionRecord) -> bool {
     if present.nodes != next.nodes || present.flows.len() != next.flows.len() {
         return true;
     }
