--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -1,10 +1,11 @@
-//! The users' API: submitting, asking, cancelling.
+//! The users' API: submit, poll and cancel jobs.
 //!
-//! Users hear only what the store has confirmed: acceptance and cancellation
-//! after the write that makes them so, anything that may still change after a
-//! read begun when they asked; that a job was never accepted is no exception,
-//! whether it is asked for or named by a submission. Final phases come from
-//! memory. What can't be found out now is sent back at once with 503.
+//! Answers state only what the state service has confirmed. Acceptance and
+//! cancellation are answered after their write; a state that may still change is
+//! answered after a read that began after the request came in. This includes the
+//! answer that a job was never accepted, both for a polled job and for one that a
+//! submission awaits. Final phases are answered from memory. A request that can't
+//! be answered now gets status 503 at once.
 
 use std::{rc::Rc, time::Duration};
 
@@ -25,60 +26,60 @@
     view::Job,
 };
 
-/// The time after which a user stops waiting for an answer to a question is
-/// 2 s; we give up before.
+/// Time limit for a read or a cancellation of a user's request. Clients stop waiting
+/// for the answer to a poll after 2 s, so the controller gives up before that.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Most requests kept waiting for a read or a write.
+/// Maximum number of requests that wait for a read, and of those that wait for a write.
 const MAX_WAITING: usize = 2000;
 
-/// What a user wants to know or have.
+/// What a user requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestKind {
-    /// To submit a job that seems to be known already.
+    /// Submit a job.
     Submit,
-    /// To know its state.
+    /// Read a job's state.
     Poll,
-    /// To cancel it.
+    /// Cancel a job.
     Abort,
 }
 
-/// A user who waits for an answer.
+/// A user's request that waits for a read or a write of the state service.
 #[derive(Clone, Debug)]
 pub(crate) struct UserRequest {
     pub conn: ConnId,
     pub job: JobId,
     pub kind: RequestKind,
     pub since: Duration,
-    /// What is submitted.
+    /// The submitted job, if it can be accepted after the read or is being written.
     pub spec: Option<Rc<JobSpec>>,
-    /// The time of acceptance in the record that was written for it.
+    /// Time of acceptance in the job record that was written for this request.
     pub at_ms: Option<u64>,
 }
 
-/// How the jobs that a submission names are known.
+/// State of the jobs that a submission awaits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AwaitedJobs {
     /// All are accepted.
     Accepted,
-    /// Some are not, as far as we know.
+    /// At least one is not in the view.
     Unknown,
-    /// One is a service.
+    /// One is a service, which can't be awaited.
     Service,
 }
 
-/// Users who wait.
+/// Users' requests that wait.
 #[derive(Debug, Default)]
 pub(crate) struct UserRequests {
-    /// For a read of the records.
+    /// Requests that wait for a read of the records.
     pub awaiting_read: Vec<UserRequest>,
-    /// For the view to reach a revision, to cancel then.
+    /// Cancellations that wait until the view reaches a revision.
     awaiting_revision: Vec<(UserRequest, u64)>,
-    /// For a write to be confirmed.
+    /// Requests whose write is not confirmed yet.
     pub awaiting_write: UserWrites,
 }
 
 impl Controller {
-    /// A user's request below `/work`, whichever way it came in.
+    /// Handles a user's request below `/work`, received directly or relayed by a peer.
     pub(crate) fn handle_user_request(
         &mut self,
         conn: ConnId,
@@ -115,33 +116,36 @@
             return;
         }
         if !self.in_contact() {
-            return self.relay_to_peer(conn, "the state service can not be reached");
+            return self.relay_to_peer(conn, "the state service cannot be reached");
         }
         if self.machine_types.is_empty() {
             return self.refuse_with_retry(conn, "the machine types are not known yet");
         }
         if let Err(why) = self.check_feasible(&spec) {
-            // It may have been accepted under other circumstances by another
-            // controller; an accepted job is never refused.
-            log::debug!("{id}: refused: {why}");
+            // Only reached for a job that is not in the view: an accepted job is never
+            // refused, even if another controller accepted it under other conditions.
+            log::debug!("{id}: submission refused: {why}");
             return self.refuse(conn, 422, why);
         }
         if !spec.awaits.is_empty() && self.level() < FormatLevel::PIPELINES {
-            // An old program would start it at once.
-            return self
-                .refuse_with_retry(conn, "not all controllers can keep jobs that await others");
+            // A controller of an older version would ignore the dependencies and start
+            // the job at once.
+            return self.refuse_with_retry(
+                conn,
+                "not all controllers support jobs that await others yet",
+            );
         }
         match self.classify_awaited(&spec) {
             AwaitedJobs::Accepted => self.accept(conn, Rc::new(spec)),
-            AwaitedJobs::Service => self.refuse(conn, 422, "a service can not be awaited"),
+            AwaitedJobs::Service => self.refuse(conn, 422, "a service cannot be awaited"),
             AwaitedJobs::Unknown => {
                 self.read_first(conn, id, RequestKind::Submit, Some(Rc::new(spec)))
             }
         }
     }
 
-    /// How the jobs that a submission names are known. It can't name itself:
-    /// it is not accepted before.
+    /// Looks up the jobs that a submission awaits. A job can't await itself, as it
+    /// is not accepted yet.
     fn classify_awaited(&self, spec: &JobSpec) -> AwaitedJobs {
         let mut known = AwaitedJobs::Accepted;
         for awaited in &spec.awaits {
@@ -154,7 +158,7 @@
         known
     }
 
-    /// Records a job that may be accepted.
+    /// Writes the record of a job that passed all checks, if it is admitted.
     fn accept(&mut self, conn: ConnId, spec: Rc<JobSpec>) {
         let id = spec.id.clone();
         log::debug!(
@@ -183,8 +187,11 @@
         };
         let records = match record.split(&id, self.level(), limits) {
             Ok(records) if records.len() > 1 && self.level() < FormatLevel::PIPELINES => {
-                // An old program could not make it whole again.
-                return self.refuse_with_retry(conn, "not all controllers can keep so long a job");
+                // A controller of an older version can't reassemble a split record.
+                return self.refuse_with_retry(
+                    conn,
+                    "not all controllers support job records of this size yet",
+                );
             }
             Ok(records) => records,
             Err(why) => return self.refuse(conn, 422, &why.to_string()),
@@ -217,15 +224,17 @@
             AdmissionDecision::Unrestricted => None,
             AdmissionDecision::IfVersion(version) => Some(version),
             AdmissionDecision::RetryAfter(after) => {
-                log::debug!("{id}: refused for now, to come again in {after:?}");
+                log::debug!(
+                    "{id}: submission refused: no admission share left, retry after {after:?}"
+                );
                 return self.refuse_with_retry_after(
                     conn,
-                    "more is open than can be done soon",
+                    "the open work already fills the admission horizon",
                     after,
                 );
             }
         };
-        // The share is spent only if the record is still the same.
+        // The share is valid only while the admission record has this version.
         txn.conds.extend(version.map(|version| Cond {
             key: Key::Admission.path(),
             version,
@@ -244,7 +253,7 @@
         }
     }
 
-    /// A job that had a share of ours under this version did not come in.
+    /// Returns the admission share of a job whose write was not sent.
     fn refund_share(&mut self, version: Option<u64>, spec: Option<&JobSpec>) {
         let record = self.view.admission.as_ref().map(|r| &r.record);
         if let (Some(version), Some(spec)) = (version, spec) {
@@ -252,7 +261,7 @@
         }
     }
 
-    /// Why a job could never run, if so.
+    /// Returns an error if the job can never run.
     fn check_feasible(&self, spec: &JobSpec) -> Result<(), &'static str> {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoAdmissionChecks) {
@@ -287,12 +296,12 @@
             memory_gb: 0.0,
         };
         if !team.allows(&all) {
-            return Err("the job needs more than the team's limit");
+            return Err("the job needs more than the limit of its team");
         }
         Ok(())
     }
 
-    /// A team's guarantee and limit.
+    /// Guarantee and limit of a team.
     pub(crate) fn team_share(&self, team: &str) -> Option<Share> {
         let teams = &self.settings.params.teams;
         teams.iter().find(|t| t.name == team).map(|t| Share {
@@ -301,7 +310,8 @@
         })
     }
 
-    /// Sends a write that a user waits for; false if there is no budget for it.
+    /// Sends a write that a user waits for. Returns false if too many writes are
+    /// pending or the request budget does not allow it.
     fn write_for_user(&mut self, request: UserRequest, txn: Txn) -> bool {
         let id = (request.job.clone(), request.conn);
         if self.user_requests.awaiting_write.len() >= MAX_WAITING
@@ -315,8 +325,8 @@
         true
     }
 
-    /// Repeats the writes of users that got no answer for a while, as far as writes
-    /// are not short.
+    /// Repeats users' writes that have not been answered in time, as far as the
+    /// request budget allows.
     fn repeat_user_writes(&mut self) {
         if !self.in_contact() {
             return;
@@ -331,13 +341,13 @@
         }
     }
 
-    /// A request for a user's write has come to an outcome.
+    /// Handles the outcome of one request of a user's write.
     pub(crate) fn user_write_answered(&mut self, id: &WriteId, outcome: Outcome) {
         match self.user_requests.awaiting_write.answered(id, outcome) {
             WriteResolution::Nothing => {}
             WriteResolution::Confirmed(request) => self.answer_written(&request),
-            // Known already: by a retry that came in elsewhere, or by this write's
-            // own first request.
+            // The record exists already, written through another controller by a retry
+            // of the user or by an earlier request of this write.
             WriteResolution::Conflict(request, _) if request.kind == RequestKind::Submit => {
                 let since = self.now;
                 self.user_requests
@@ -351,7 +361,7 @@
             }
             WriteResolution::Failed(mut write) => {
                 if !write.is_in_doubt() {
-                    // Surely not executed.
+                    // The write was certainly not executed.
                     write.request.at_ms = None;
                 }
                 self.abandon(&write.request, "the state service did not answer");
@@ -361,9 +371,10 @@
         self.refresh_view();
     }
 
-    /// Lets somebody else answer a user who can't be answered here. A submission whose
-    /// write may have been executed is not carried on: a peer would call the job known
-    /// already at the user's first attempt, which then takes it for somebody else's.
+    /// Relays a request that can't be answered here to a peer. A submission whose
+    /// write may have been executed is not relayed but refused with a retry time: the
+    /// peer would answer that the job exists already, and the user would take it for
+    /// the job of another user.
     fn abandon(&mut self, request: &UserRequest, why: &str) {
         match request.at_ms {
             Some(_) => self.refuse_with_retry(request.conn, why),
@@ -371,7 +382,7 @@
         }
     }
 
-    /// A job's record has changed, which may confirm what users wait for.
+    /// Answers the pending writes that a changed job record confirms.
     pub(crate) fn confirm_writes_by_record(&mut self, id: &JobId) {
         let Some(job) = self.view.jobs.get(id) else {
             return;
@@ -387,7 +398,7 @@
         }
     }
 
-    /// Tells a user that the store has what was asked for.
+    /// Answers a request whose write is confirmed.
     fn answer_written(&mut self, request: &UserRequest) {
         match request.kind {
             RequestKind::Abort => self.answer_cancelled(request),
@@ -398,7 +409,7 @@
     fn answer_accepted(&mut self, request: &UserRequest) {
         let id = &request.job;
         log::debug!("{id}: accepted");
-        // It may be over by now, if the answer to the write took long.
+        // The job may have ended already if the answer to the write took long.
         let over = self.view.jobs.get(id).filter(|j| j.phase != Phase::Open);
         let is_cancelled = |awaited: &JobId| {
             let job = self.view.jobs.get(awaited);
@@ -476,7 +487,7 @@
         }
     }
 
-    /// Puts a user among those who wait for a read.
+    /// Queues a request until a read that begins after it has ended.
     fn read_first(
         &mut self,
         conn: ConnId,
@@ -485,7 +496,10 @@
         spec: Option<Rc<JobSpec>>,
     ) {
         if !self.in_contact() || self.user_requests.awaiting_read.len() >= MAX_WAITING {
-            return self.relay_to_peer(conn, "the state service can not be reached");
+            return self.relay_to_peer(
+                conn,
+                "the state service cannot be reached or too many requests wait",
+            );
         }
         self.user_requests.awaiting_read.push(UserRequest {
             conn,
@@ -498,7 +512,8 @@
         self.refresh_view();
     }
 
-    /// A read begun after they asked has ended.
+    /// Answers requests after a read that began after they came in. `fresh` is false
+    /// if the read failed.
     pub(crate) fn complete_user_requests(&mut self, requests: Vec<UserRequest>, fresh: bool) {
         for request in requests {
             let open = self
@@ -512,11 +527,11 @@
             }
             match (open, request.kind) {
                 (None, RequestKind::Submit) => match request.spec {
-                    // What it names was not known before the read.
+                    // Jobs that it awaits were not in the view before the read.
                     Some(spec) => match self.classify_awaited(&spec) {
                         AwaitedJobs::Accepted => self.accept(request.conn, spec),
                         AwaitedJobs::Service => {
-                            self.refuse(request.conn, 422, "a service can not be awaited");
+                            self.refuse(request.conn, 422, "a service cannot be awaited");
                         }
                         AwaitedJobs::Unknown => {
                             self.refuse(
@@ -526,7 +541,8 @@
                             );
                         }
                     },
-                    None => self.refuse_with_retry(request.conn, "come again"),
+                    None => self
+                        .refuse_with_retry(request.conn, "the state of the job is not known yet"),
                 },
                 (None, _) => self.refuse(request.conn, 404, "no such job"),
                 (Some(true), RequestKind::Abort) => self.cancel(request),
@@ -584,7 +600,8 @@
         self.write_for_user(request, txn);
     }
 
-    /// Cancellations that met a newer record go on once the view has it.
+    /// Resumes cancellations that conflicted with a newer record, once the view has
+    /// reached that record's revision.
     pub(crate) fn resume_cancellations(&mut self) {
         if self.user_requests.awaiting_revision.is_empty() {
             return;
@@ -602,27 +619,29 @@
     pub(crate) fn user_requests_tick(&mut self) {
         let now = self.now;
         self.repeat_user_writes();
-        let late = |request: &UserRequest| now.saturating_sub(request.since) > REQUEST_TIMEOUT;
-        let mut given_up = Vec::new();
+        let is_expired =
+            |request: &UserRequest| now.saturating_sub(request.since) > REQUEST_TIMEOUT;
+        let mut expired = Vec::new();
         self.user_requests.awaiting_read.retain(|request| {
-            if late(request) {
-                given_up.push(request.clone());
+            if is_expired(request) {
+                expired.push(request.clone());
             }
-            !late(request)
+            !is_expired(request)
         });
         self.user_requests.awaiting_revision.retain(|(request, _)| {
-            if late(request) {
-                given_up.push(request.clone());
+            if is_expired(request) {
+                expired.push(request.clone());
             }
-            !late(request)
+            !is_expired(request)
         });
-        for request in given_up {
+        for request in expired {
             self.abandon(&request, "the state service did not answer in time");
         }
         self.refresh_view();
     }
 }
 
+/// The status of a job as users see it.
 fn status_of(id: &JobId, job: &Job) -> JobStatus {
     let running = job.assigned_total();
     let phase = match job.phase {
