--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -1,30 +1,30 @@
-//! What goes in and out of the state machine.
+//! Requests, replies and answers that go in and out of the state machine.
 
 use std::time::Duration;
 
 use crate::sockets::{Close, SocketId};
 
-/// Names a request that the controller made.
+/// Identifies a request that the controller sent.
 pub type CallId = u64;
-/// Names a request that the controller has to answer.
+/// Identifies a request that the controller has to answer.
 pub type ConnId = u64;
 
-/// The methods in use.
+/// HTTP methods in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
     /// Reads.
     Get,
-    /// Writes and orders.
+    /// Writes, and orders to workers.
     Post,
     /// Ends a lease.
     Delete,
     /// Changes a setting.
     Put,
-    /// Anything else; refused.
+    /// Any other method; refused.
     Other,
 }
 
-/// Whom a request goes to.
+/// Destination of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// The state service.
@@ -37,36 +37,36 @@
     Peer(String),
 }
 
-/// A request to make.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its name; the reply carries it.
+    /// Identifies the call; the reply carries it.
     pub id: CallId,
-    /// Whom it goes to.
+    /// The destination.
     pub to: Target,
     /// The method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// The body; empty: none.
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
-    /// When to give up.
+    /// Time after which the call fails.
     pub timeout: Duration,
 }
 
-/// What came of a request.
+/// Result of a request that the controller sent.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// An answer.
+    /// The answer.
     Answer {
         /// The status.
         status: u16,
         /// The body.
         body: Vec<u8>,
     },
-    /// It surely never left: no connection could be made.
+    /// The request was certainly not sent: no connection could be made.
     NotSent,
-    /// None came in time: it may have been executed, or may be yet.
+    /// No answer came in time: the request may have been executed, or may be later.
     Lost,
 }
 
@@ -82,11 +82,11 @@
 /// A request that came in.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Names it; the answer carries it.
+    /// Identifies the request; the answer carries it.
     pub conn: ConnId,
-    /// The connection that it came in on, if that was told of.
+    /// The connection that it came in on, if that is known.
     pub socket: SocketId,
-    /// Where it came in.
+    /// The address at which it came in.
     pub listener: Listener,
     /// The method.
     pub method: Method,
@@ -99,27 +99,27 @@
 /// An answer to a request that came in.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The request.
+    /// The request that is answered.
     pub conn: ConnId,
     /// The status.
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
-    /// When the sender should come back.
+    /// Time after which the sender should retry.
     pub retry_after: Option<Duration>,
 }
 
-/// What the surroundings have to do.
+/// What the runtime has to do for the controller.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Make a request.
+    /// Send a request.
     Call(Call),
-    /// Answer one.
+    /// Answer a request.
     Answer(Answer),
-    /// Read from a connection that has something to say.
+    /// Read a request from a connection that is readable.
     ReadFrom(SocketId),
     /// Close connections.
     Close(Close),
-    /// End the program with this line.
+    /// Log this line and exit.
     Exit(String),
 }
--- a/crates/core/src/request_queue.rs
+++ b/crates/core/src/request_queue.rs
@@ -1,20 +1,19 @@
-//! Requests that came in and wait for their turn: which go first, and which are
-//! answered no more.
+//! Queue of incoming requests: the order in which they are answered, and which of
+//! them are dropped.
 //!
-//! On time there is one at a turn, and it is taken at once. Whoever is behind
-//! has many:
+//! Without backlog, each request is taken at once. With a backlog, a batch consists of
 //!
-//! 1. probes, controllers and operators go first, and all of them;
-//! 2. users are taken as they came, so many at a turn, and
-//! 3. besides them so many reports of workers, the newest first: whoever has
-//!    waited for long gives up soon, and comes again elsewhere;
-//! 4. workers that come over a new connection are not even read as long as
-//!    those that have one are that many.
+//! 1. all requests of health probes, controllers and operators;
+//! 2. a limited number of users' requests, the oldest first;
+//! 3. a limited number of workers' reports, the newest first, because a worker whose
+//!    report has waited for long gives up soon and reports to another controller;
+//! 4. new connections of workers, which are read only as far as reports on open
+//!    connections leave room within the limit.
 //!
-//! What nobody waits for any more is dropped. All once went as they came: a
-//! controller that was behind by the four seconds after which workers give up
-//! then did nothing but answer those who had given up, who came again
-//! elsewhere until all were behind for good, users with them.
+//! Requests whose senders have given up are dropped. When all requests were answered
+//! in order of arrival, a controller that was behind by the workers' timeout of 4 s
+//! answered only requests that had been given up. Their senders then reported to
+//! other controllers, until all controllers were permanently behind, for users too.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -23,28 +22,28 @@
     sockets::SocketId,
 };
 
-/// So many users, and so many reports, are taken at a turn.
+/// Limit of users' requests in a batch, and of workers' reports and new connections.
 const MAX_PER_BATCH: usize = 8;
-/// A worker gives a report up after this.
+/// Time after which a worker gives up on a report.
 pub(crate) const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
-/// A user gives up asking how a job is after this, and
+/// Time after which a user gives up on polling a job.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// anything else after this.
+/// Time after which a user gives up on any other request.
 const USER_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Who asks.
+/// Kind of sender, which decides the priority of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestClass {
     /// The load balancer, other controllers, operators.
     Priority,
-    /// Users, and whoever else it may be.
+    /// Users, and senders of all other requests.
     User,
-    /// Workers that report, by way of a peer or not.
+    /// Workers that report, directly or forwarded by a peer.
     Report,
 }
 
 impl RequestClass {
-    /// Who sent a request that begins like this.
+    /// Class of a request that starts with these bytes.
     pub fn of_prefix(bytes: &[u8]) -> Self {
         match is_report(bytes) {
             true => Self::Report,
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Who sent this request.
+    /// Class of a complete request.
     pub fn of(request: &Request) -> Self {
         let path = request.path.trim_start_matches('/');
         match (request.listener, path) {
@@ -64,12 +63,12 @@
     }
 }
 
-/// Whether a request that begins like this is a worker's report.
-pub fn is_report(beginning: &[u8]) -> bool {
-    beginning.starts_with(b"POST /checkin")
+/// Whether a request that starts with these bytes is a worker's report.
+pub fn is_report(prefix: &[u8]) -> bool {
+    prefix.starts_with(b"POST /checkin")
 }
 
-/// A request, and when it came.
+/// A request and its arrival time.
 #[derive(Debug)]
 struct QueuedRequest {
     since: Duration,
@@ -77,49 +76,49 @@
 }
 
 impl QueuedRequest {
-    fn is_late(&self, now: Duration, class: RequestClass) -> bool {
-        let patience = match (class, self.request.method) {
+    fn is_expired(&self, now: Duration, class: RequestClass) -> bool {
+        let timeout = match (class, self.request.method) {
             (RequestClass::Priority, _) => return false,
             (RequestClass::Report, _) => REPORT_TIMEOUT,
             (RequestClass::User, Method::Get) => POLL_TIMEOUT,
             (RequestClass::User, _) => USER_REQUEST_TIMEOUT,
         };
-        now >= self.since + patience
+        now >= self.since + timeout
     }
 }
 
-/// What is to be done at a turn.
+/// The requests and connections to handle in one turn.
 #[derive(Debug, Default)]
 pub(crate) struct Batch {
-    /// To be answered, in this order.
+    /// Requests to answer, in this order.
     pub requests: Vec<Request>,
-    /// Users to be told to come back.
+    /// Users' requests that have timed out, to be refused with a retry time.
     pub expired_users: Vec<Request>,
-    /// Reports that nobody waits for any more.
+    /// Workers' reports that have timed out.
     pub expired_reports: Vec<Request>,
-    /// New connections of workers to be read.
+    /// New connections of workers to read from.
     pub read_from: Vec<SocketId>,
-    /// Those that nobody waits at any more.
+    /// New connections of workers that have timed out.
     pub expired_sockets: Vec<SocketId>,
 }
 
-/// All requests that wait.
+/// The incoming requests that wait, by class.
 #[derive(Debug, Default)]
 pub(crate) struct RequestQueue {
     priority: VecDeque<QueuedRequest>,
     users: VecDeque<QueuedRequest>,
     reports: VecDeque<QueuedRequest>,
-    /// New connections over which reports come, not read yet.
-    arrived: VecDeque<(Duration, SocketId)>,
+    /// New connections that carry a report and have not been read yet.
+    connections: VecDeque<(Duration, SocketId)>,
 }
 
 impl RequestQueue {
-    /// A report comes over a new connection.
+    /// Adds a new connection that carries a worker's report.
     pub fn push_connection(&mut self, now: Duration, id: SocketId) {
-        self.arrived.push_back((now, id));
+        self.connections.push_back((now, id));
     }
 
-    /// A request came in.
+    /// Adds a request.
     pub fn push(&mut self, now: Duration, class: RequestClass, request: Request) {
         let since = now;
         let queue = match class {
@@ -130,20 +129,20 @@
         queue.push_back(QueuedRequest { since, request });
     }
 
-    /// Whether nothing waits.
+    /// Whether no request and no connection waits.
     pub fn is_empty(&self) -> bool {
         self.priority.is_empty()
             && self.users.is_empty()
             && self.reports.is_empty()
-            && self.arrived.is_empty()
+            && self.connections.is_empty()
     }
 
-    /// Whether somebody waits who goes before workers.
+    /// Whether a request waits that goes before workers' reports.
     pub fn is_urgent(&self) -> bool {
         !self.priority.is_empty() || !self.users.is_empty()
     }
 
-    /// Takes out what is to be done now.
+    /// Removes and returns the next batch.
     pub fn next_batch(&mut self, now: Duration) -> Batch {
         let mut batch = Batch::default();
         let priority = self.priority.drain(..).map(|w| w.request);
@@ -152,7 +151,7 @@
         while left > 0
             && let Some(waiting) = self.users.pop_front()
         {
-            if waiting.is_late(now, RequestClass::User) {
+            if waiting.is_expired(now, RequestClass::User) {
                 batch.expired_users.push(waiting.request);
             } else {
                 batch.requests.push(waiting.request);
@@ -160,7 +159,7 @@
             }
         }
         while let Some(oldest) = self.reports.front()
-            && oldest.is_late(now, RequestClass::Report)
+            && oldest.is_expired(now, RequestClass::Report)
             && let Some(oldest) = self.reports.pop_front()
         {
             batch.expired_reports.push(oldest.request);
@@ -169,15 +168,15 @@
         let newest = self.reports.drain(newest..).rev().map(|w| w.request);
         let before = batch.requests.len();
         batch.requests.extend(newest);
-        while let Some((since, id)) = self.arrived.front().copied()
+        while let Some((since, id)) = self.connections.front().copied()
             && now >= since + REPORT_TIMEOUT
         {
-            self.arrived.pop_front();
+            self.connections.pop_front();
             batch.expired_sockets.push(id);
         }
         let left = MAX_PER_BATCH - (batch.requests.len() - before);
-        let newest = self.arrived.len().saturating_sub(left);
-        let newest = self.arrived.drain(newest..).rev().map(|(_, id)| id);
+        let newest = self.connections.len().saturating_sub(left);
+        let newest = self.connections.drain(newest..).rev().map(|(_, id)| id);
         batch.read_from.extend(newest);
         batch
     }
@@ -198,7 +197,7 @@
         }
     }
 
-    /// A slow model: one list, looked through for each kind at each turn.
+    /// A slow reference model: one list that is searched for each class at each batch.
     #[derive(Default)]
     struct ReferenceModel(Vec<(u64, Duration, RequestClass, Method)>);
 
@@ -238,7 +237,7 @@
     }
 
     #[test]
-    fn those_who_have_a_connection_go_first() {
+    fn open_connections_go_before_new_ones() {
         let (mut queue, s) = (RequestQueue::default(), Duration::from_secs);
         for n in 0..20 {
             queue.push_connection(s(1), SocketId(n));
@@ -264,7 +263,7 @@
     }
 
     #[test]
-    fn turns_are_those_of_the_model() {
+    fn batches_match_the_reference_model() {
         let mut rng = fastrand::Rng::with_seed(14);
         let (mut late, mut many) = (0, 0);
         for _ in 0..50 {
