--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,5 +1,6 @@
-//! Request budgets: the state service and the cloud refuse what comes too
-//! fast, and refusals at the wrong moment cost more than waiting.
+//! Request budgets as token buckets. The state service and the cloud refuse requests
+//! above their rate limits, and a refusal of an urgent request costs more than a delay
+//! of a less urgent one.
 
 use std::time::Duration;
 
@@ -10,11 +11,11 @@
     burst: f64,
     tokens: f64,
     at: Duration,
-    /// The most urgent of those that had to wait lately.
+    /// The most urgent request that was blocked recently.
     blocked: Option<BlockedRequest>,
 }
 
-/// Somebody waits for so much to be in the bucket.
+/// A request that waits until the bucket holds its cost.
 #[derive(Clone, Copy, Debug)]
 struct BlockedRequest {
     cost: f64,
@@ -22,11 +23,11 @@
     until: Duration,
 }
 
-/// For how long a claim that is not renewed counts.
+/// How long a blocked request counts if it is not recorded again.
 const BLOCKED_REQUEST_TTL: Duration = Duration::from_millis(300);
 
 impl Budget {
-    /// A full bucket that holds `burst_s` seconds' worth.
+    /// A full bucket that holds the tokens of `burst_s` seconds, at least one.
     pub fn new(rate: f64, burst_s: f64) -> Self {
         let burst = (rate * burst_s).max(1.0);
         Self {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Changes the rate, keeping what is in the bucket.
+    /// Changes the rate and keeps the tokens, up to the new size of the bucket.
     pub fn set_rate(&mut self, now: Duration, rate: f64, burst_s: f64) {
         self.refill(now);
         self.rate = rate;
@@ -52,10 +53,10 @@
         self.at = now;
     }
 
-    /// Whether `cost` can be had so that the share `reserve` of a full bucket
-    /// is left for what matters more. What is larger than that ever allows
-    /// goes when the bucket is full: a job whose last write was too large for
-    /// a small share was never recorded as done.
+    /// Whether `cost` can be taken so that the fraction `reserve` of a full bucket is
+    /// left for more urgent requests. A request that is too large for that even with a
+    /// full bucket passes when the bucket is full: without this, a job whose last
+    /// write was too large for its part of the bucket was never recorded as done.
     pub fn can_take(&mut self, now: Duration, cost: f64, reserve: f64) -> bool {
         self.refill(now);
         self.blocked = self.blocked.filter(|c| now < c.until);
@@ -65,9 +66,9 @@
         self.tokens - cost >= floor || large
     }
 
-    /// Has those wait that matter less, until there is enough for this. What
-    /// is large would otherwise never be there: whatever drips in went to small
-    /// requests, and for minutes no machine was taken into a block.
+    /// Makes less urgent requests wait until there are enough tokens for this one.
+    /// Without this, small requests used up the tokens as they came in, large ones
+    /// never got enough, and for minutes no machine was added to a block.
     pub fn record_blocked(&mut self, now: Duration, cost: f64, reserve: f64) {
         if self
             .blocked
@@ -82,13 +83,14 @@
         }
     }
 
-    /// Whether there is so much left that nothing needs to be spared.
+    /// Whether at least three quarters of the bucket are left, so that writes that
+    /// could be postponed need not wait.
     pub fn is_mostly_full(&mut self, now: Duration) -> bool {
         self.refill(now);
         self.tokens >= 0.75 * self.burst
     }
 
-    /// Takes `cost` if it can be had.
+    /// Takes `cost` if [`Self::can_take`] allows it.
     pub fn take(&mut self, now: Duration, cost: f64, reserve: f64) -> bool {
         let has = self.can_take(now, cost, reserve);
         if has {
@@ -98,13 +100,14 @@
         has
     }
 
-    /// Takes `cost` in any case; what follows waits the longer.
+    /// Takes `cost` in any case, going into debt by at most one full bucket; later
+    /// requests wait longer.
     pub fn charge(&mut self, now: Duration, cost: f64) {
         self.refill(now);
         self.tokens = (self.tokens - cost).max(-self.burst);
     }
 
-    /// Empties the bucket: the other side says that it is too much.
+    /// Empties the bucket, after the other side has refused a request as too many.
     pub fn empty(&mut self, now: Duration) {
         self.refill(now);
         self.tokens = self.tokens.min(0.0);
@@ -116,17 +119,17 @@
     use super::*;
 
     #[test]
-    fn what_is_larger_than_the_bucket_goes_when_it_is_full() {
+    fn request_larger_than_the_bucket_passes_when_it_is_full() {
         let s = Duration::from_secs;
         let mut budget = Budget::new(2.9, 1.0);
         assert!(budget.take(s(0), 3.0, 0.05));
-        assert!(!budget.take(s(0), 1.0, 0.05), "it is paid for afterwards");
+        assert!(!budget.take(s(0), 1.0, 0.05), "the debt is paid first");
         assert!(!budget.can_take(s(1), 3.0, 0.05));
         assert!(budget.take(s(3), 3.0, 0.4));
     }
 
     #[test]
-    fn what_is_large_is_saved_for() {
+    fn less_urgent_requests_wait_for_a_blocked_one() {
         let ms = Duration::from_millis;
         let mut budget = Budget::new(6.0, 1.0);
         budget.charge(ms(0), 6.0);
@@ -141,11 +144,14 @@
             got
         });
         assert!(got.is_some_and(|i| i < 25) && small <= 1, "{got:?} {small}");
-        assert!(budget.take(ms(4000), 1.0, 0.15), "the claim is met");
+        assert!(
+            budget.take(ms(4000), 1.0, 0.15),
+            "the blocked request has passed"
+        );
     }
 
     #[test]
-    fn a_reserve_is_left_to_what_matters_more() {
+    fn reserve_is_left_for_urgent_requests() {
         let now = Duration::ZERO;
         let mut budget = Budget::new(10.0, 1.0);
         assert!(budget.take(now, 5.0, 0.5));
--- a/crates/core/src/queue_order.rs
+++ b/crates/core/src/queue_order.rs
@@ -1,5 +1,5 @@
-//! In which order the leader serves what waits: what it has seen of the pace of
-//! work and of who had how much, and the order that follows.
+//! The order in which the leader serves waiting jobs, and the measurements that it
+//! depends on: execution speed, throughput of each flow, minimum shares, starvation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,7 +25,7 @@
     view::Job,
 };
 
-/// When a job of a class without aims counts as late, in seconds.
+/// Wait after which a job of a class without aims counts as late, in seconds.
 const DEFAULT_MAX_WAIT_S: f64 = 60.0;
 
 /// A job in the queue.
@@ -34,52 +34,53 @@
     pub id: JobId,
     pub spec: Rc<JobSpec>,
     pub flow: Flow,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub tasks: u32,
     /// The machine types that it may use now.
     pub types: Rc<BTreeSet<String>>,
-    /// Those that it leaves to others now.
+    /// Scarce machine types that it must leave to other jobs now.
     pub avoid: Rc<BTreeSet<String>>,
-    /// What its team may use; 0: no limit.
+    /// Processor limit of its team; 0 means no limit.
     pub limit_cpus: f64,
+    /// Whether its team's guarantee covers it.
     pub guaranteed: bool,
-    /// Its own, or that of a job that needs it.
+    /// Its own priority, or that of a job that depends on it.
     pub priority: Priority,
-    /// Its place by arrival or by the latest start.
+    /// Its place by time of arrival, or by the latest start that a deadline allows.
     pub order_ms: u64,
-    /// For how long it could have been started.
+    /// How long it has been ready to start, in seconds.
     pub waited_s: f64,
     /// The latest starts that its aims allow, in seconds from now, ascending.
     pub latest_s: Vec<f64>,
-    /// Some of its tasks are handed out.
+    /// Whether some of its tasks are assigned.
     pub started: bool,
-    /// How long a task will take, in seconds.
+    /// Expected run time of a task, in seconds.
     pub length_s: f64,
-    /// It goes ahead of others because it is starved, with one of its tasks.
+    /// Whether one of its tasks goes ahead of other jobs because the job is starved.
     pub starved_turn: bool,
 }
 
 impl QueuedJob {
-    /// Whether it goes by floors: production and guarantees go before them.
+    /// Whether minimum shares apply: production and guaranteed work goes before them.
     fn borrows(&self) -> bool {
         !self.guaranteed && self.priority != Priority::Production
     }
 
-    /// Seconds until an aim is missed; below 0: since then.
-    fn left_s(&self, aim: Option<&f64>) -> f64 {
+    /// Seconds until an aim is missed; negative once it is missed.
+    fn time_left_s(&self, aim: Option<&f64>) -> f64 {
         aim.copied().unwrap_or(DEFAULT_MAX_WAIT_S - self.waited_s)
     }
 }
 
-/// For how long a job could have been started, by the time of day.
+/// How long a job has been ready to start, in seconds, by the wall clock.
 pub(crate) fn waited_s(day: Duration, since_ms: u64) -> f64 {
     let day_ms = day.as_millis() as u64;
     day_ms.saturating_sub(since_ms) as f64 / 1e3
 }
 
-/// Until when the tasks of a job, which take so many seconds, have to start for
-/// each of its aims, in seconds from now. A deadline counts from its submission,
-/// all else from when it may start.
+/// The latest starts of a job's tasks, which take `takes_s` seconds each, that keep
+/// each of its aims, in seconds from now, ascending. A deadline counts from the job's
+/// submission, other aims from when the job is ready to start.
 pub(crate) fn latest_starts<'a>(
     aims: impl Iterator<Item = &'a Objective>,
     job: &Job,
@@ -91,13 +92,13 @@
         return Vec::new();
     }
     let waited = waited_s(day, job.ready_ms);
-    let held_up = job.ready_ms.saturating_sub(job.accepted_ms) as f64 / 1e3;
+    let dependency_wait_s = job.ready_ms.saturating_sub(job.accepted_ms) as f64 / 1e3;
     let latest = aims.filter_map(|aim| match aim.kind.as_str() {
         "wait" => aim.within_s,
         "finished" => Some(aim.within_s? - takes_s),
         "deadline" => {
             let due = spec.deadline_s? * aim.times.unwrap_or(1.0);
-            Some(due - held_up - takes_s)
+            Some(due - dependency_wait_s - takes_s)
         }
         _ => None,
     });
@@ -106,7 +107,7 @@
     latest
 }
 
-/// What the order depends on besides the jobs.
+/// The measurements that the order of the queue depends on, besides the jobs.
 #[derive(Debug, Default)]
 pub(crate) struct QueueOrder {
     throughput: Throughput,
@@ -115,24 +116,24 @@
 }
 
 impl QueueOrder {
-    /// Seconds of work, by its owners' word, that a task gets done in a second.
+    /// Seconds of estimated run time that a task completes per second.
     pub fn execution_speed(&self) -> f64 {
         self.throughput.execution_speed()
     }
 
-    /// How fast a flow drains: seconds of the whole fleet in a second.
+    /// Rate at which a flow's work completes: seconds of the whole fleet per second.
     pub fn drain_rate(&self, flow: &Flow) -> f64 {
         self.throughput.drain_rate(flow)
     }
 
-    /// Breaks the floors on purpose.
+    /// Injects a fault into minimum shares and starvation turns.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, by: Option<crate::Sabotage>) {
         self.minimum_shares.sabotage = by;
         self.starvation.sabotage = by;
     }
 
-    /// Looks at all open jobs again; see [`Drain::look`] and [`Starvation::look`].
+    /// Updates all measurements from the open jobs; see [`Throughput::update`].
     pub fn update(
         &mut self,
         now: Duration,
@@ -150,7 +151,8 @@
         self.throughput.update(now, open, ended);
     }
 
-    /// Puts waiting jobs in the order of serving. `used` is what each team uses.
+    /// Sorts waiting jobs into the order in which they are served. `used` is the usage
+    /// of each team.
     pub fn order(
         &mut self,
         now: Duration,
@@ -174,7 +176,7 @@
         });
         let mut jobs: Vec<_> = waiting.collect();
         let order = triage::order(&jobs, &lines.lines);
-        let order = if self.put_ahead(now, (rooms, used), &mut queue, &mut jobs, &order) {
+        let order = if self.mark_turns(now, (rooms, used), &mut queue, &mut jobs, &order) {
             triage::order(&jobs, &lines.lines)
         } else {
             order
@@ -184,9 +186,10 @@
         order.into_iter().filter_map(take).collect()
     }
 
-    /// Marks the jobs that go ahead of other borrowers by a floor; whether there
-    /// are any. `order` is the one without floors.
-    fn put_ahead(
+    /// Marks the jobs that go ahead of other borrowers, by a minimum share or because
+    /// they are starved, and returns whether there are any. `order` is the order
+    /// without them.
+    fn mark_turns(
         &mut self,
         now: Duration,
         (rooms, used): (&[MachineView], &BTreeMap<String, Amounts>),
@@ -198,14 +201,16 @@
         let mut long: BTreeSet<Flow> = BTreeSet::new();
         for (queued, job) in queue.iter().zip(&*jobs).filter(|(q, _)| q.borrows()) {
             let flow = &queued.flow;
-            // Work for otherwise unused room is entitled to none: a batch of
-            // thousands of tasks made urgent work wait for 3 s on average.
+            // Low priority only uses otherwise idle capacity and has no minimum share: a
+            // batch of thousands of tasks made urgent work wait for 3 s on average.
             let entitled = queued.priority != Priority::Low;
-            if entitled && queued.waited_s > queued.left_s(queued.latest_s.first()) {
+            if entitled && queued.waited_s > queued.time_left_s(queued.latest_s.first()) {
                 long.insert(flow.clone());
             }
             let older = |(waited, _): &(f64, OldestJob)| *waited >= queued.waited_s;
-            if queued.left_s(queued.latest_s.last()) < 0.0 && !late.get(flow).is_some_and(older) {
+            if queued.time_left_s(queued.latest_s.last()) < 0.0
+                && !late.get(flow).is_some_and(older)
+            {
                 let oldest = OldestJob {
                     id: queued.id.clone(),
                     work: job.work(),
@@ -216,15 +221,13 @@
         let late = late.into_iter().map(|(flow, (_, o))| (flow, o)).collect();
         let waits = |id: &JobId| queue.iter().any(|q| q.id == *id);
         let turns = self.minimum_shares.turns(now, &late, waits);
-        let mut short =
-            self.minimum_shares
-                .flows_below_share(now, &long, &self.throughput.assigned);
-        let waiting = held_back(&self.starvation, now, queue, rooms, used);
+        let mut short = self.minimum_shares.flows_below_share(now, &long, &self.throughput.assigned);
+        let waiting = limit_blocked_jobs(&self.starvation, now, queue, rooms, used);
         let starved = self.starvation.turns(now, waiting);
         let mut ahead = false;
         for at in order {
             let queued = &mut queue[*at];
-            // Of a flow that had less than its part, the first that borrows.
+            // The first borrowing job of each flow that is below its minimum share.
             let first = queued.borrows() && short.remove(&queued.flow);
             let by_floor = first || turns.contains(&queued.id);
             queued.starved_turn = starved.contains(&queued.id);
@@ -240,10 +243,11 @@
     }
 }
 
-/// The jobs that borrow, have no task out, and could have one on a machine with room
-/// were it not for their team's limit. Where machines are what is short, whoever goes
-/// ahead takes the place of another: with turns for all, fewer jobs got done.
-fn held_back(
+/// Starved jobs that borrow, have no assigned task, and fit on a machine with enough
+/// free capacity, so that only their team's limit holds them back. Where machines are
+/// short, each turn takes the place of another job: with turns for all starved jobs,
+/// fewer jobs completed.
+fn limit_blocked_jobs(
     starvation: &Starvation,
     now: Duration,
     queue: &[QueuedJob],
@@ -274,13 +278,13 @@
     candidates.collect()
 }
 
-/// What runs out, and in which of it each job stands: machines by the types
-/// that a job may use, and teams' limits.
+/// The resources that jobs compete for, and the ones that each job needs: machines by
+/// the types that a job may use, and the limits of teams.
 struct Lines<'a> {
     rooms: &'a [MachineView],
     used: &'a BTreeMap<String, Amounts>,
     lines: Vec<triage::Line>,
-    /// What machines of some types have in all, services aside.
+    /// Total capacity of the machines of a set of types, without services.
     machines: BTreeMap<Rc<BTreeSet<String>>, (usize, Amounts)>,
     teams: BTreeMap<String, usize>,
 }
@@ -296,8 +300,8 @@
         }
     }
 
-    /// The lines that a job stands in, with the share of each that it asks
-    /// for.
+    /// The resources that a job needs, with the fraction of each that its waiting tasks
+    /// would use.
     fn places(&mut self, queued: &QueuedJob) -> Vec<(usize, f64)> {
         let need = queued.spec.amounts();
         let tasks = f64::from(queued.tasks);
@@ -327,8 +331,8 @@
     }
 }
 
-/// What machines of some types have free and in all, without what services
-/// have there.
+/// Free and total capacity of the usable machines of some types, without the part that
+/// services use.
 fn machines_of(rooms: &[MachineView], types: &BTreeSet<String>) -> (Amounts, Amounts) {
     let usable = rooms.iter().filter(|r| r.usable && types.contains(&r.kind));
     let mut sums = (Amounts::default(), Amounts::default());
@@ -345,8 +349,8 @@
     sums
 }
 
-/// The shares that some amounts are of others, where those have any.
-fn shares(part: &Amounts, all: &Amounts) -> impl Iterator<Item = f64> {
+/// Each amount of `part` as a fraction of `all`, where `all` has any.
+fn fractions(part: &Amounts, all: &Amounts) -> impl Iterator<Item = f64> {
     let pairs = [
         (part.cpus, all.cpus),
         (part.gpus, all.gpus),
@@ -356,11 +360,12 @@
     some.map(|(part, all)| part / all)
 }
 
-/// The largest share that some amounts are of others.
+/// The largest fraction that any amount of `part` is of `all` (the dominant share).
 pub(crate) fn dominant_share(part: &Amounts, all: &Amounts) -> f64 {
-    shares(part, all).fold(0.0, f64::max)
+    fractions(part, all).fold(0.0, f64::max)
 }
 
+/// The smallest fraction that any amount of `part` is of `all`, between 0 and 1.
 fn smallest_share(part: &Amounts, all: &Amounts) -> f64 {
-    shares(part, all).fold(1.0, f64::min).max(0.0)
+    fractions(part, all).fold(1.0, f64::min).max(0.0)
 }
--- a/crates/core/src/throughput.rs
+++ b/crates/core/src/throughput.rs
@@ -1,5 +1,5 @@
-//! How fast work really goes: tasks take longer than their owners say, as they
-//! fetch images, wait for their turn on the way and are estimated wrongly.
+//! Measured throughput: tasks take longer than their estimates, because they fetch
+//! images, wait before they start, and are estimated wrongly.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,48 +7,48 @@
 
 use crate::minimum_shares::Flow;
 
-/// For how long what was seen counts.
-const MEMORY_S: f64 = 45.0;
-/// How much has to be seen until it counts half: seconds of one task's run.
-const ENOUGH_S: f64 = 300.0;
-/// However it looks, work is not taken to go more than this much slower or
-/// faster than its owners say.
-const LEAST: f64 = 0.4;
-const MOST: f64 = 1.25;
+/// Time constant of the exponential decay of past measurements.
+const DECAY_TIME_S: f64 = 45.0;
+/// Task run time assumed to have gone as estimated; the measured speed counts half
+/// once this much run time has been measured.
+const PRIOR_RUN_TIME_S: f64 = 300.0;
+/// Bounds of the execution speed, as a factor of the estimated one.
+const MIN_SPEED: f64 = 0.4;
+const MAX_SPEED: f64 = 1.25;
 
-/// What there is to see of a job.
+/// Progress of an open job.
 #[derive(Clone, Debug)]
 pub(crate) struct JobProgress {
     pub flow: Flow,
-    /// What a task takes, in seconds of the whole fleet.
+    /// Work of one task, in seconds of the whole fleet.
     pub task_work_s: f64,
-    /// How many of its tasks are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// How many are handed out.
+    /// Number of tasks that are assigned to a block.
     pub assigned_count: u32,
-    /// What its owner says of a task.
+    /// Run time of a task as estimated by the job's owner, in seconds.
     pub estimate_s: f64,
 }
 
-/// The pace of all work that ends.
+/// Measured speed of all work, and completion rate by flow.
 #[derive(Debug, Default)]
 pub(crate) struct Throughput {
     jobs: BTreeMap<JobId, JobProgress>,
     at: Duration,
-    /// Seconds of work by the owners' word that got done, and seconds that
-    /// tasks were out, of late.
+    /// Estimated run time of the tasks that completed recently, and the time that
+    /// tasks were assigned recently, both decayed.
     expected_s: f64,
-    out_s: f64,
-    /// What got done of each flow of late, in seconds of the whole fleet.
+    assigned_s: f64,
+    /// Recently completed work of each flow, decayed, in seconds of the whole fleet.
     done: BTreeMap<Flow, f64>,
-    /// What was handed out of each flow since the look before, in the same
+    /// Work of each flow that was assigned between the last two updates, in the same
     /// unit.
     pub assigned: BTreeMap<Flow, f64>,
 }
 
 impl Throughput {
-    /// Looks at all open jobs again. `ended` tells how many tasks a job has
-    /// done that is not open any more.
+    /// Updates the measurements from all open jobs. `ended` returns the number of
+    /// completed tasks of a job that is no longer open.
     pub fn update(
         &mut self,
         now: Duration,
@@ -57,9 +57,9 @@
     ) {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
-        let fade = (-passed / MEMORY_S).exp();
+        let decay = (-passed / DECAY_TIME_S).exp();
         self.done.retain(|_, done| {
-            *done *= fade;
+            *done *= decay;
             *done > 1e-9
         });
         self.assigned.clear();
@@ -72,32 +72,31 @@
             }
         }
         let mut done_s = 0.0;
-        let mut out = 0.0;
+        let mut assigned_tasks = 0.0;
         for (id, before) in &self.jobs {
             let done = open.get(id).map(|p| p.done).or_else(|| ended(id));
             let more = done.unwrap_or(before.done).saturating_sub(before.done);
             done_s += f64::from(more) * before.estimate_s;
-            out += f64::from(before.assigned_count);
+            assigned_tasks += f64::from(before.assigned_count);
             if more > 0 {
                 let done = self.done.entry(before.flow.clone()).or_default();
                 *done += f64::from(more) * before.task_work_s;
             }
         }
-        self.expected_s = self.expected_s * fade + done_s;
-        self.out_s = self.out_s * fade + out * passed;
+        self.expected_s = self.expected_s * decay + done_s;
+        self.assigned_s = self.assigned_s * decay + assigned_tasks * passed;
         self.jobs = open;
     }
 
-    /// How fast a flow drains: seconds of the whole fleet in a second.
+    /// Rate at which a flow's work completes: seconds of the whole fleet per second.
     pub fn drain_rate(&self, flow: &Flow) -> f64 {
-        self.done.get(flow).map_or(0.0, |done| done / MEMORY_S)
+        self.done.get(flow).map_or(0.0, |done| done / DECAY_TIME_S)
     }
 
-    /// Seconds of work, by its owners' word, that a task gets done in a
-    /// second.
+    /// Execution speed: seconds of estimated run time that a task completes per second.
     pub fn execution_speed(&self) -> f64 {
-        let pace = (self.expected_s + ENOUGH_S) / (self.out_s + ENOUGH_S);
-        pace.clamp(LEAST, MOST)
+        let speed = (self.expected_s + PRIOR_RUN_TIME_S) / (self.assigned_s + PRIOR_RUN_TIME_S);
+        speed.clamp(MIN_SPEED, MAX_SPEED)
     }
 }
 
@@ -105,10 +104,10 @@
 mod tests {
     use super::*;
 
-    /// Tasks of 10 s that take 20 s: the pace comes to a half, and what ended
-    /// between two looks counts.
+    /// Tasks estimated at 10 s that take 20 s give a speed of one half. Jobs that ended
+    /// between two updates count.
     #[test]
-    fn the_pace_is_what_is_seen() {
+    fn execution_speed_follows_measurements() {
         let mut throughput = Throughput::default();
         assert!((throughput.execution_speed() - 1.0).abs() < 1e-9);
         for round in 0..200u32 {
@@ -129,7 +128,7 @@
             throughput.update(now, open, |_| Some(50));
         }
         let flow = throughput.done.keys().next().cloned().expect("a flow");
-        // 50 tasks of 0.1 in 20 s.
+        // 50 tasks of 0.1 s of the fleet each in 20 s.
         assert!(
             (throughput.drain_rate(&flow) - 0.25).abs() < 0.1,
             "{}",
--- a/crates/core/src/tuning.rs
+++ b/crates/core/src/tuning.rs
@@ -1,45 +1,46 @@
-//! The numbers that operators may change while the service runs.
+//! Tunable parameters of the controller.
 
 use std::time::Duration;
 
 use oliveshift_policy::Weights;
 use oliveshift_wire::settings::Settings;
 
-/// Tunable numbers; none of them matters for safety.
+/// Tunable parameters; none of them affects safety.
 #[derive(Clone, Debug)]
 pub struct Tuning {
     /// Weights and thresholds of the score.
     pub weights: Weights,
-    /// How many blocks a controller should have, and how many machines a
-    /// block has at least and at most for that.
+    /// Target number of blocks for each controller.
     pub blocks_per_controller: usize,
+    /// Minimum and maximum number of machines in a block.
     pub min_block_machines: usize,
     pub max_block_machines: usize,
-    /// Life of a controller's lease at the state service: how soon a dead
+    /// Duration of a controller's lease at the state service, after which a dead
     /// controller is noticed.
     pub member_lease: Duration,
-    /// How long an ordinary machine stays without work before it is returned.
+    /// How long an on-demand machine may be idle before it is returned.
     pub on_demand_idle_timeout: Duration,
-    /// The same for a spot machine.
+    /// How long a spot machine may be idle before it is returned.
     pub spot_idle_timeout: Duration,
-    /// Work that is expected to find room within this share of the usual boot
-    /// time is not rented for.
+    /// No machine is rented for work that is expected to find capacity within this
+    /// many usual boot times.
     pub rent_horizon_boots: f64,
-    /// Work that may use spot machines waits this many usual boot times before
-    /// ordinary ones are rented for it.
+    /// Work that may use spot machines waits at most this many usual boot times
+    /// before on-demand machines are rented for it.
     pub max_spot_wait_boots: f64,
-    /// How long a handed task may wait for room in its block.
+    /// How long an assigned task may wait for capacity in its block.
     pub placement_timeout: Duration,
-    /// After this wait, a job that fits few machine types has them to itself.
+    /// Wait after which the few machine types that a job fits are reserved for it.
     pub scarce_type_wait: Duration,
-    /// What would take the whole fleet longer than this is not let in.
+    /// Admission horizon: jobs are refused when the open work would take the whole
+    /// fleet longer than this.
     pub horizon: Duration,
-    /// Machines rented at most in one go.
+    /// Maximum number of machines rented at once.
     pub max_rent_batch: usize,
 }
 
 impl Tuning {
-    /// The defaults for a deployment.
+    /// The default parameters of a deployment.
     pub fn new(_settings: &Settings) -> Self {
         Self {
             weights: Weights::default(),
