--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -12,31 +12,32 @@
     controller::{Controller, Pending},
 };
 
-/// When to give a call up.
-const TIMEOUT: Duration = Duration::from_secs(3);
-/// How often the leader asks for types and prices.
-const TYPES_PERIOD: Duration = Duration::from_secs(30);
+/// Timeout of a call to the cloud.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval at which the leader reads machine types and prices.
+const TYPES_INTERVAL: Duration = Duration::from_secs(30);
 
-/// What a call is for.
+/// Purpose of a call to the cloud.
 #[derive(Debug)]
 pub(crate) enum CloudCall {
-    /// The machine types.
+    /// Read the machine types.
     Types,
-    /// A page of the list.
+    /// Read a page of the machine list.
     List,
-    /// Renting.
+    /// Rent machines.
     Rent(Rent),
-    /// Returning.
+    /// Return machines, by name.
     Return(Vec<String>),
 }
 
 impl Controller {
-    /// Everybody needs the machine types; only the leader needs prices.
+    /// Reads the machine types when due: every controller needs the types once, only
+    /// the leader needs current prices.
     pub(crate) fn cloud_tick(&mut self) {
         let now = self.now;
         let wanted = self.machine_types.is_empty() || self.leader.is_some();
         if wanted && now >= self.fleet.types_at && self.fleet.budget.take(now, 1.0, 0.0) {
-            self.fleet.types_at = now + TIMEOUT;
+            self.fleet.types_at = now + CALL_TIMEOUT;
             self.cloud_call(Method::Get, "/machine_types", Vec::new(), CloudCall::Types);
         }
     }
@@ -46,15 +47,15 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-        what: CloudCall,
+        purpose: CloudCall,
     ) {
-        let pending = Pending::Cloud(what);
+        let pending = Pending::Cloud(purpose);
         self.call(
             Target::Cloud,
             method,
             path.to_owned(),
             body,
-            TIMEOUT,
+            CALL_TIMEOUT,
             pending,
         );
     }
@@ -68,24 +69,24 @@
         let body = encode(&Machines {
             names: names.clone(),
         });
-        let what = CloudCall::Return(names);
-        self.cloud_call(Method::Post, "/hosts/return", body, what);
+        let purpose = CloudCall::Return(names);
+        self.cloud_call(Method::Post, "/hosts/return", body, purpose);
     }
 
-    pub(crate) fn cloud_reply(&mut self, what: CloudCall, sent: Duration, reply: &Reply) {
+    pub(crate) fn cloud_reply(&mut self, purpose: CloudCall, sent: Duration, reply: &Reply) {
         if matches!(reply, Reply::Answer { status: 429, .. }) {
             self.fleet.budget.empty(self.now);
         }
-        match what {
+        match purpose {
             CloudCall::Types => {
                 let retry = Duration::from_millis(self.rng.u64(500..1000));
                 self.fleet.types_at = self.now + retry;
                 if let Reply::Answer { status: 200, body } = reply
                     && let Ok(types) = decode::<MachineTypes>(body)
                 {
-                    self.fleet.types_at = self.now + TYPES_PERIOD;
+                    self.fleet.types_at = self.now + TYPES_INTERVAL;
                     if self.machine_types.is_empty() {
-                        log::info!("{} machine types known", types.types.len());
+                        log::info!("read {} machine types from the cloud", types.types.len());
                     }
                     let types = types.types.into_iter();
                     self.machine_types = types.map(|t| (t.name.clone(), t)).collect();
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet follows the queue: the leader rents what waiting work needs and
-//! returns what stands idle, fails, never boots or is gone.
+//! Fleet scaling: the leader rents machines for waiting work and returns those that
+//! are idle, have failed, never boot or are gone.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -18,34 +18,34 @@
     budget::Budget, call::Method, cloud::CloudCall, controller::Controller, inventory::MachineView,
 };
 
-/// How often the leader reads the cloud's list.
-const LIST_PERIOD: Duration = Duration::from_secs(2);
-/// How long an offer that was refused is left alone.
-const CLOSED: Duration = Duration::from_secs(15);
-/// Most machines that one list call returns.
-const PAGE: usize = 500;
-/// A machine that takes this many times the usual boot time is given up.
-const BOOT_PATIENCE: f64 = 3.5;
-/// For how long a job's size says something about the next ones.
-const RECENT: Duration = Duration::from_secs(300);
-/// Within this time, at most one in so many machines is returned before its
-/// lease is over.
-const EARLY_SPAN: Duration = Duration::from_secs(60);
-const EARLY_SHARE: usize = 8;
-/// What the slower ones of the usual boots take, in usual boot times.
-const SLOW_BOOT: f64 = 1.5;
-/// It grows as long as one in so many machines is on its way.
-const GROWS: usize = 50;
-/// How often the fleet is summed up in the log.
-const SAY_PERIOD: Duration = Duration::from_secs(5);
-/// How often the leader looks for machines to return.
-const RETURNS_PERIOD: Duration = Duration::from_millis(250);
-/// Of the idle machines, one in so many is returned at a time.
-const IDLE_SHARE: usize = 8;
-/// Most machines in one call to return.
-const RETURN_MOST: usize = 50;
-
-/// The leader's dealings with the cloud.
+/// Interval at which the leader reads the cloud's machine list.
+const LIST_INTERVAL: Duration = Duration::from_secs(2);
+/// How long an offer is not rented again after the cloud has refused it.
+const REFUSED_OFFER_BACKOFF: Duration = Duration::from_secs(15);
+/// Maximum number of machines in one page of the list.
+const LIST_PAGE_SIZE: usize = 500;
+/// A machine that takes longer than this many usual boot times to boot is returned.
+const BOOT_TIMEOUT_FACTOR: f64 = 3.5;
+/// How long a job's size is used to predict the size of the next jobs of its class.
+const RECENT_JOB_TTL: Duration = Duration::from_secs(300);
+/// Within this interval, at most two machines, or one in this many if that is more, are
+/// returned before their lease has expired.
+const EARLY_RETURN_INTERVAL: Duration = Duration::from_secs(60);
+const MACHINES_PER_EARLY_RETURN: usize = 8;
+/// Boot time of slow but normal boots, in usual boot times.
+const SLOW_BOOT_FACTOR: f64 = 1.5;
+/// The fleet counts as growing while more than one machine in this many is booting.
+const MACHINES_PER_BOOTING: usize = 50;
+/// Interval at which a summary of the fleet is logged.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which the leader looks for machines to return.
+const RETURNS_INTERVAL: Duration = Duration::from_millis(250);
+/// One in this many idle machines is returned at a time, at least one.
+const IDLE_MACHINES_PER_RETURN: usize = 8;
+/// Maximum number of machines in one return call.
+const MAX_RETURNS_PER_CALL: usize = 50;
+
+/// State of the calls to the cloud, and the machines as the cloud lists them.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     pub budget: Budget,
@@ -53,37 +53,37 @@
     list_at: Duration,
     listing: bool,
     page: Vec<Listed>,
-    /// The list as last read whole, and when its reading began.
+    /// The last complete machine list, and when the last of its pages was requested.
     list: BTreeMap<String, Listed>,
-    list_age: Option<Duration>,
-    /// Rented by us and not seen in the list yet.
-    fresh: BTreeMap<String, (Offer, Duration)>,
-    /// Rentals under way or without answer.
-    asked: BTreeMap<String, (Offer, u32, Duration)>,
-    /// Offers that were refused, and when to ask again.
-    closed: BTreeMap<Offer, Duration>,
-    claims: u64,
+    list_requested_at: Option<Duration>,
+    /// Machines rented by this controller that are not in the list yet.
+    unlisted: BTreeMap<String, (Offer, Duration)>,
+    /// Rent requests that are in flight or got no answer.
+    pending_rentals: BTreeMap<String, (Offer, u32, Duration)>,
+    /// Offers that the cloud has refused, and when to try them again.
+    refused_offers: BTreeMap<Offer, Duration>,
+    rent_requests: u64,
     wants: Vec<Want>,
-    /// Jobs of late.
-    noted: BTreeMap<JobId, (Duration, Rc<JobSpec>)>,
+    /// Recent jobs and when they were first seen.
+    recent_jobs: BTreeMap<JobId, (Duration, Rc<JobSpec>)>,
     wanting_since: Option<Duration>,
-    /// Machines to be returned, and whether a call is under way.
-    leaving: BTreeMap<String, bool>,
-    /// When machines were returned before their lease was over.
-    early: Vec<Duration>,
-    /// Returned for sure, and when: their records go next. The lagging list
-    /// shows them for a while longer.
+    /// Machines to be returned, and whether the call has been sent.
+    pending_returns: BTreeMap<String, bool>,
+    /// Times at which machines were returned before their lease had expired.
+    early_returns: Vec<Duration>,
+    /// Machines whose return the cloud has confirmed, and when; their records are
+    /// deleted next. The list, which lags, shows them for a while longer.
     pub returned_machines: BTreeMap<String, Duration>,
     lag: Duration,
     rent_at: Duration,
     returns_at: Duration,
-    said_at: Duration,
+    logged_at: Duration,
 }
 
 impl Fleet {
     pub fn new(settings: &Settings) -> Self {
         let nodes = settings.peers_and_me() as f64;
-        // Followers call once in a while, so the leader may have most of it.
+        // Followers call the cloud rarely, so the leader may use most of the limit.
         let share = if nodes > 1.0 { 0.7 } else { 0.95 };
         let limits = &settings.params.cloud;
         Self {
@@ -93,39 +93,40 @@
             listing: false,
             page: Vec::new(),
             list: BTreeMap::new(),
-            list_age: None,
-            fresh: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            closed: BTreeMap::new(),
-            claims: 0,
+            list_requested_at: None,
+            unlisted: BTreeMap::new(),
+            pending_rentals: BTreeMap::new(),
+            refused_offers: BTreeMap::new(),
+            rent_requests: 0,
             wants: Vec::new(),
             returns_at: Duration::ZERO,
-            said_at: Duration::ZERO,
-            noted: BTreeMap::new(),
+            logged_at: Duration::ZERO,
+            recent_jobs: BTreeMap::new(),
             wanting_since: None,
-            leaving: BTreeMap::new(),
-            early: Vec::new(),
+            pending_returns: BTreeMap::new(),
+            early_returns: Vec::new(),
             returned_machines: BTreeMap::new(),
             lag: Duration::from_secs_f64(limits.list_lag_s),
             rent_at: Duration::ZERO,
         }
     }
 
-    /// Remembers what size the jobs of each class have.
+    /// Records a job, to predict the size of the next jobs of its class.
     pub fn record_job(&mut self, now: Duration, id: &JobId, spec: &Rc<JobSpec>) {
-        if self.noted.contains_key(id) {
+        if self.recent_jobs.contains_key(id) {
             return;
         }
-        self.noted.retain(|_, (at, _)| now < *at + RECENT);
-        self.noted.insert(id.clone(), (now, spec.clone()));
+        self.recent_jobs
+            .retain(|_, (at, _)| now < *at + RECENT_JOB_TTL);
+        self.recent_jobs.insert(id.clone(), (now, spec.clone()));
     }
 
-    /// Whether a machine is on its way back to the cloud.
+    /// Whether a machine is being returned or has been returned.
     pub fn is_returning(&self, name: &str) -> bool {
-        self.leaving.contains_key(name) || self.returned_machines.contains_key(name)
+        self.pending_returns.contains_key(name) || self.returned_machines.contains_key(name)
     }
 
-    /// Takes the plan's wants.
+    /// Takes the capacity requests of the last plan.
     pub fn set_capacity_requests(&mut self, now: Duration, wants: Vec<Want>) {
         if wants.is_empty() {
             self.wanting_since = None;
@@ -142,19 +143,19 @@
         self.rent();
         self.choose_returns();
         self.send_returns();
-        if self.now >= self.fleet.said_at + SAY_PERIOD {
-            self.fleet.said_at = self.now;
-            self.say_fleet();
+        if self.now >= self.fleet.logged_at + SUMMARY_INTERVAL {
+            self.fleet.logged_at = self.now;
+            self.log_fleet();
         }
         let (now, machines) = (self.now, &self.view.machines);
-        let shown = self.fleet.lag * 4 + LIST_PERIOD * 3;
+        let shown = self.fleet.lag * 4 + LIST_INTERVAL * 3;
         self.fleet
             .returned_machines
             .retain(|name, at| machines.contains_key(name) || now < *at + shown);
     }
 
-    /// Sums up the fleet for the log.
-    fn say_fleet(&self) {
+    /// Logs a summary of the fleet.
+    fn log_fleet(&self) {
         let mut kinds: BTreeMap<(&str, bool), [f64; 6]> = BTreeMap::new();
         for room in self.leader.iter().flat_map(|l| &l.inventory.list) {
             let sums = kinds.entry((&room.kind, room.spot)).or_default();
@@ -173,7 +174,7 @@
                  {services} by services; {idle} idle, {unusable} not usable"
             );
         }
-        let coming = self.coming().len();
+        let coming = self.rented_offers().len();
         let wants: u32 = self.fleet.wants.iter().map(|w| w.tasks).sum();
         log::debug!("fleet: {coming} coming, {wants} tasks without room");
     }
@@ -187,16 +188,16 @@
             return;
         }
         self.fleet.listing = true;
-        self.fleet.list_at = now + LIST_PERIOD;
+        self.fleet.list_at = now + LIST_INTERVAL;
         self.fleet.page.clear();
         self.list_from("");
     }
 
     fn list_from(&mut self, after: &str) {
         let path = if after.is_empty() {
-            format!("/hosts?most={PAGE}")
+            format!("/hosts?most={LIST_PAGE_SIZE}")
         } else {
-            format!("/hosts?after={after}&most={PAGE}")
+            format!("/hosts?after={after}&most={LIST_PAGE_SIZE}")
         };
         self.cloud_call(Method::Get, &path, Vec::new(), CloudCall::List);
     }
@@ -214,18 +215,18 @@
         }
         let machines = std::mem::take(&mut self.fleet.page).into_iter();
         self.fleet.list = machines.map(|m| (m.name.clone(), m)).collect();
-        self.fleet.list_age = Some(sent);
+        self.fleet.list_requested_at = Some(sent);
         let (now, lag) = (self.now, self.fleet.lag);
         let list = &self.fleet.list;
-        // Machines that we rented are listed sooner or later, unless they are
-        // gone already.
+        // Rented machines appear in the list after its lag, unless they are gone
+        // already.
         self.fleet
-            .fresh
+            .unlisted
             .retain(|name, (_, at)| !list.contains_key(name) && now < *at + lag * 3);
     }
 
-    /// What is rented and not up yet.
-    fn coming(&self) -> Vec<Offer> {
+    /// Offers that are rented or requested and whose machines are not up yet.
+    fn rented_offers(&self) -> Vec<Offer> {
         let mut coming = Vec::new();
         let mut add = |offer: Offer, count: u32| {
             if self.machine_types.contains_key(&offer.kind) {
@@ -240,7 +241,7 @@
                 add(offer_of(machine), 1);
             }
         }
-        for (name, (offer, _)) in &self.fleet.fresh {
+        for (name, (offer, _)) in &self.fleet.unlisted {
             let known = self.fleet.list.contains_key(name)
                 || self.view.machines.contains_key(name)
                 || self.fleet.is_returning(name);
@@ -248,32 +249,31 @@
                 add(offer.clone(), 1);
             }
         }
-        for (offer, count, _) in self.fleet.asked.values() {
+        for (offer, count, _) in self.fleet.pending_rentals.values() {
             add(offer.clone(), *count);
         }
         coming
     }
 
-    /// Whether a good part of the fleet is on its way: it is not yet what it
-    /// can be.
+    /// Whether enough machines are still booting that the fleet counts as growing.
     pub(crate) fn is_fleet_growing(&self) -> bool {
-        self.coming().len() > self.view.machines.len() / GROWS
+        self.rented_offers().len() > self.view.machines.len() / MACHINES_PER_BOOTING
     }
 
-    /// How long a task takes to start on a machine rented for it, if nothing
-    /// goes wrong: it boots and fetches the image.
+    /// Time until a task starts on a machine that is rented for it, if nothing fails:
+    /// a slow boot and the fetch of the image.
     fn fresh_start_s(&self, spec: &JobSpec) -> f64 {
-        self.shortest_boot_s() * SLOW_BOOT + self.image_fetch_s(spec)
+        self.shortest_boot_s() * SLOW_BOOT_FACTOR + self.image_fetch_s(spec)
     }
 
-    /// How long the fetch of a job's image takes where that is fastest.
+    /// Fetch time of a job's image on the machine type that fetches fastest.
     pub(crate) fn image_fetch_s(&self, spec: &JobSpec) -> f64 {
         let rate = self.machine_types.values().map(|t| t.fetch_gb_per_s);
         spec.image_gb / rate.fold(f64::MIN_POSITIVE, f64::max)
     }
 
-    /// How long work that may use spot machines waits for them before it gets
-    /// ordinary ones: less where an aim says how soon it has to start.
+    /// How long work that may use spot machines waits for them before on-demand machines
+    /// are rented for it: less if an aim limits the wait.
     pub(crate) fn max_spot_wait_s(&self, spec: &JobSpec) -> f64 {
         let aims = self.settings.params.aims_of(&spec.class);
         let waits = aims.filter(|a| a.kind == "wait");
@@ -285,10 +285,11 @@
         }
     }
 
-    /// Room to be kept free: for classes that have to start sooner than any
-    /// machine rented for them could serve them, a job of the size that covers
-    /// the aim's share of them. Only spot room is kept so: ordinary room is made by preemption, and a
-    /// reserve of it would be paid for at all hours.
+    /// Capacity to be kept free. A class whose wait limit is shorter than the start on a
+    /// newly rented machine gets a reserve for one job, of the size that covers the
+    /// fraction of its jobs that the aim names. Only spot capacity is reserved:
+    /// on-demand capacity is freed by preemption, and a reserve of it would cost money
+    /// all the time.
     fn reserve(&self) -> Vec<Want> {
         let zones = &self.settings.params.zones;
         let mut wants = Vec::new();
@@ -297,8 +298,8 @@
             let (Some(class), Some(within)) = (&aim.class, within) else {
                 continue;
             };
-            let noted = self.fleet.noted.values().map(|(_, spec)| spec);
-            let mut jobs: Vec<_> = noted.filter(|s| s.class == *class).collect();
+            let recent_jobs = self.fleet.recent_jobs.values().map(|(_, spec)| spec);
+            let mut jobs: Vec<_> = recent_jobs.filter(|s| s.class == *class).collect();
             jobs.sort_by_key(|s| s.tasks);
             let share = aim.share.unwrap_or(1.0).clamp(0.0, 1.0);
             let at = (share * jobs.len() as f64).ceil() as usize;
@@ -320,7 +321,7 @@
         wants
     }
 
-    /// Whether some work without room could use the machine if it were empty.
+    /// Whether waiting work without capacity could use the machine if it were empty.
     fn is_wanted(&self, room: &MachineView) -> bool {
         let offer = room.offer();
         let total = &room.candidate.total;
@@ -333,8 +334,8 @@
         rooms.filter(|r| r.usable && !r.closed)
     }
 
-    /// Whether the reserve has room without one machine.
-    fn spares(&self, without: &[String], reserve: &[Want]) -> bool {
+    /// Whether the reserve still fits without these machines.
+    fn reserve_fits_without(&self, without: &[String], reserve: &[Want]) -> bool {
         if reserve.is_empty() {
             return true;
         }
@@ -345,7 +346,7 @@
         reserve.iter().all(|want| stock.count_on(want) == 0)
     }
 
-    /// How long a machine may stand idle: an ordinary one costs more.
+    /// How long a machine may be idle. On-demand machines cost more than spot machines.
     fn idle_limit(&self, spot: bool) -> Duration {
         if spot {
             self.tuning.spot_idle_timeout
@@ -354,7 +355,7 @@
         }
     }
 
-    /// The usual boot time of the type that is up soonest.
+    /// The shortest usual boot time of all machine types.
     pub(crate) fn shortest_boot_s(&self) -> f64 {
         let boot = self.machine_types.values().map(|t| t.boot_s);
         boot.fold(f64::INFINITY, f64::min)
@@ -364,7 +365,7 @@
         self.machine_types.get(kind).map_or(60.0, |k| k.boot_s)
     }
 
-    /// All room that work may be counted on.
+    /// Free capacity of the usable machines and the machines that are rented.
     fn stock(&self, rented: &[Offer], with_freed_soon: bool) -> Stock {
         let mut stock = Stock::default();
         for room in self.usable_rooms() {
@@ -376,37 +377,44 @@
         stock
     }
 
-    /// A machine that is not up yet.
+    /// Adds the whole capacity of a machine that is not up yet.
     fn add_whole(&self, stock: &mut Stock, offer: &Offer) {
         if let Some(kind) = self.machine_types.get(&offer.kind) {
             stock.add(&offer.kind, &offer.zone, offer.spot, kind.amounts());
         }
     }
 
-    /// Rents what the waiting work needs beyond what is coming.
+    /// Rents what the waiting work and the reserve need beyond the machines that are
+    /// rented already.
     fn rent(&mut self) {
         let now = self.now;
-        self.fleet.closed.retain(|_, at| *at > now);
-        let patience = Duration::from_secs(20);
-        self.fleet.asked.retain(|_, (.., at)| now < *at + patience);
-        // Without a list, machines that are coming would be rented twice.
+        self.fleet.refused_offers.retain(|_, at| *at > now);
+        let rent_timeout = Duration::from_secs(20);
+        self.fleet
+            .pending_rentals
+            .retain(|_, (.., at)| now < *at + rent_timeout);
+        // Without a recent list, machines that are booting would be rented twice.
         let fresh_list = self
             .fleet
-            .list_age
-            .is_some_and(|at| now < at + LIST_PERIOD * 4);
+            .list_requested_at
+            .is_some_and(|at| now < at + LIST_INTERVAL * 4);
         let waiting = self
             .fleet
             .wanting_since
             .is_some_and(|at| now > at + Duration::from_millis(600));
         let waiting = waiting || self.fleet.wanting_since.is_none();
-        if !fresh_list || !waiting || now < self.fleet.rent_at || !self.fleet.asked.is_empty() {
+        if !fresh_list
+            || !waiting
+            || now < self.fleet.rent_at
+            || !self.fleet.pending_rentals.is_empty()
+        {
             return;
         }
         self.fleet.rent_at = now + Duration::from_millis(500);
-        let rented = self.coming();
+        let rented = self.rented_offers();
         let mut stock = self.stock(&rented, true);
         let types: Vec<_> = self.machine_types.values().cloned().collect();
-        let closed = |offer: &Offer| self.fleet.closed.contains_key(offer);
+        let closed = |offer: &Offer| self.fleet.refused_offers.contains_key(offer);
         let mut loads: BTreeMap<&str, u32> = BTreeMap::new();
         for machine in self.view.machines.values() {
             *loads.entry(&machine.zone).or_default() += 1;
@@ -436,17 +444,17 @@
             if !self.fleet.budget.take(now, 1.0, 0.0) {
                 return;
             }
-            self.fleet.claims += 1;
-            // The incarnation makes the name one that nobody ever used.
+            self.fleet.rent_requests += 1;
+            // The incarnation makes the request id unique across restarts.
             let request = format!(
                 "{}-{}-{}",
-                self.settings.node, self.incarnation, self.fleet.claims
+                self.settings.node, self.incarnation, self.fleet.rent_requests
             );
             log::info!(
                 "renting {count} {} in {} ({})",
                 offer.kind,
                 offer.zone,
-                if offer.spot { "spot" } else { "ordinary" }
+                if offer.spot { "spot" } else { "on-demand" }
             );
             let rent = Rent {
                 request: request.clone(),
@@ -455,31 +463,37 @@
                 spot: offer.spot,
                 count: count.min(50),
             };
-            self.fleet.asked.insert(request, (offer, count, now));
+            self.fleet
+                .pending_rentals
+                .insert(request, (offer, count, now));
             self.cloud_rent(rent);
         }
     }
 
     pub(crate) fn rent_answered(&mut self, rent: Rent, names: Option<Vec<String>>, refused: bool) {
         let now = self.now;
-        let Some((offer, ..)) = self.fleet.asked.get(&rent.request).cloned() else {
+        let Some((offer, ..)) = self.fleet.pending_rentals.get(&rent.request).cloned() else {
             return;
         };
         match names {
             Some(names) => {
-                self.fleet.asked.remove(&rent.request);
+                self.fleet.pending_rentals.remove(&rent.request);
                 if (names.len() as u32) < rent.count {
-                    self.fleet.closed.insert(offer.clone(), now + CLOSED);
+                    self.fleet
+                        .refused_offers
+                        .insert(offer.clone(), now + REFUSED_OFFER_BACKOFF);
                 }
                 for name in names {
-                    self.fleet.fresh.insert(name, (offer.clone(), now));
+                    self.fleet.unlisted.insert(name, (offer.clone(), now));
                 }
             }
             None if refused => {
-                self.fleet.asked.remove(&rent.request);
-                self.fleet.closed.insert(offer, now + CLOSED);
+                self.fleet.pending_rentals.remove(&rent.request);
+                self.fleet
+                    .refused_offers
+                    .insert(offer, now + REFUSED_OFFER_BACKOFF);
             }
-            // No answer: the same request again gets the same machines.
+            // No answer: repeating the request with the same id gets the same machines.
             None => {
                 if self.fleet.budget.take(now, 1.0, 0.0) {
                     self.cloud_rent(rent);
@@ -493,30 +507,36 @@
             return;
         }
         log::info!("{name}: returned: {why}");
-        self.fleet.leaving.insert(name.to_owned(), false);
+        self.fleet.pending_returns.insert(name.to_owned(), false);
         self.draining.insert(name.to_owned());
         self.drain_changed(name);
     }
 
-    /// Decides which machines go back.
+    /// Chooses the machines to return.
     fn choose_returns(&mut self) {
         let now = self.now;
-        let Some(list_age) = self.fleet.list_age.filter(|_| now >= self.fleet.returns_at) else {
+        let Some(list_requested_at) = self
+            .fleet
+            .list_requested_at
+            .filter(|_| now >= self.fleet.returns_at)
+        else {
             return;
         };
-        self.fleet.returns_at = now + RETURNS_PERIOD;
+        self.fleet.returns_at = now + RETURNS_INTERVAL;
         let mut returns: Vec<(String, &str)> = Vec::new();
         for (name, machine) in &self.fleet.list {
             let registered = self.view.machines.contains_key(name);
             let boot = self.boot_s(&machine.kind);
             match machine.phase {
-                MachinePhase::Failed => returns.push((name.clone(), "it has failed")),
+                MachinePhase::Failed => {
+                    returns.push((name.clone(), "the cloud lists it as failed"))
+                }
                 _ if registered => {}
-                MachinePhase::Booting if machine.age_s > boot * BOOT_PATIENCE => {
-                    returns.push((name.clone(), "it does not come up"));
+                MachinePhase::Booting if machine.age_s > boot * BOOT_TIMEOUT_FACTOR => {
+                    returns.push((name.clone(), "it did not boot in time"));
                 }
-                _ if machine.age_s > boot * BOOT_PATIENCE + 60.0 => {
-                    returns.push((name.clone(), "it never reports"));
+                _ if machine.age_s > boot * BOOT_TIMEOUT_FACTOR + 60.0 => {
+                    returns.push((name.clone(), "its worker has not reported in time"));
                 }
                 _ => {}
             }
@@ -532,29 +552,32 @@
                 .silent_since
                 .map_or(Duration::ZERO, |at| now.saturating_sub(at));
             let lost = self.settings.lease_limit() + Duration::from_secs(2);
-            // A list begun after the machine fell silent, lag included, that
-            // does not have it: it is gone, and returning it proves that.
+            // A machine that is silent and missing from a list that was read later than
+            // the silence began, by more than the lag, is gone. Returning it proves that.
             let unlisted = !self.fleet.list.contains_key(name)
-                && !self.fleet.fresh.contains_key(name)
+                && !self.fleet.unlisted.contains_key(name)
                 && silent > self.silence_limit()
-                && now.saturating_sub(silent) + self.fleet.lag * 2 < list_age;
+                && now.saturating_sub(silent) + self.fleet.lag * 2 < list_requested_at;
             if self.fleet.is_returning(name) {
                 continue;
             }
             if silent > lost {
-                returns.push((name.clone(), "it is silent"));
+                returns.push((name.clone(), "it has been silent longer than its lease"));
             } else if silent > self.early_return_limit()
                 && !room.tasks.is_empty()
-                // A cut, which may end.
+                // A controller hears none of the block's workers: a network cut, which may end.
                 && !self.reachability.is_reported_unheard(room.block)
-                // It came to somebody else: the tasks on it live.
+                // The machine reported to other controllers, so its tasks are alive.
                 && !self.reported_to_non_holder(name)
             {
                 early.push(name.clone());
             } else if unlisted {
-                returns.push((name.clone(), "it is gone"));
+                returns.push((
+                    name.clone(),
+                    "it is silent and no longer in the cloud's list",
+                ));
             } else if room.faulty {
-                returns.push((name.clone(), "its tasks fail"));
+                returns.push((name.clone(), "its tasks fail repeatedly"));
             } else if let Some(since) = room.idle_since
                 && now.saturating_sub(since) > self.idle_limit(room.spot)
                 && room.usable
@@ -563,26 +586,33 @@
                 idle.push((now.saturating_sub(since), name.clone()));
             }
         }
-        // Once a machine is back with the cloud, its tasks can start elsewhere
-        // without waiting for its lease to run out. Only for a few at a time:
-        // when many fall silent, it is a cut that may end, and a zone must not
-        // be given away for it.
-        self.fleet.early.retain(|at| now < *at + EARLY_SPAN);
-        let quota = (self.view.machines.len() / EARLY_SHARE).max(2);
-        if early.len() + self.fleet.early.len() <= quota {
-            self.fleet.early.extend(early.iter().map(|_| now));
+        // Once a machine is returned, its tasks can start elsewhere without waiting for
+        // its lease to expire. Only a few machines are returned early: when many fall
+        // silent, the network is probably cut, which may end, and a whole zone must not
+        // be returned for it.
+        self.fleet
+            .early_returns
+            .retain(|at| now < *at + EARLY_RETURN_INTERVAL);
+        let quota = (self.view.machines.len() / MACHINES_PER_EARLY_RETURN).max(2);
+        if early.len() + self.fleet.early_returns.len() <= quota {
+            self.fleet.early_returns.extend(early.iter().map(|_| now));
             let early = early.into_iter();
-            returns.extend(early.map(|name| (name, "it is silent, and its tasks wait")));
+            returns.extend(early.map(|name| {
+                (
+                    name,
+                    "it is silent and its tasks wait for its lease to expire",
+                )
+            }));
         }
         for (name, why) in returns {
             self.return_machine(&name, why);
         }
-        // The longest idle first, and few at a time, as the others may be
-        // needed the more for it.
+        // The longest idle machines first, and only a few at a time, because the others
+        // may be needed once these are returned.
         idle.sort();
         let reserve = self.reserve();
         let unplaced = self.unplaced_tasks();
-        let most = idle.len() / IDLE_SHARE + 1;
+        let most = idle.len() / IDLE_MACHINES_PER_RETURN + 1;
         let mut spare: Vec<String> = Vec::new();
         for (_, name) in idle.into_iter().rev() {
             if spare.len() >= most {
@@ -593,7 +623,7 @@
                 continue;
             }
             spare.push(name);
-            if !self.spares(&spare, &reserve) {
+            if !self.reserve_fits_without(&spare, &reserve) {
                 spare.pop();
                 break;
             }
@@ -607,17 +637,17 @@
         let now = self.now;
         let names: Vec<_> = self
             .fleet
-            .leaving
+            .pending_returns
             .iter()
             .filter(|(_, sent)| !**sent)
             .map(|(name, _)| name.clone())
-            .take(RETURN_MOST)
+            .take(MAX_RETURNS_PER_CALL)
             .collect();
         if names.is_empty() || !self.fleet.budget.take(now, 1.0, 0.0) {
             return;
         }
         for name in &names {
-            self.fleet.leaving.insert(name.clone(), true);
+            self.fleet.pending_returns.insert(name.clone(), true);
         }
         self.cloud_return(names);
     }
@@ -626,13 +656,13 @@
         let now = self.now;
         for name in names {
             if gone {
-                self.fleet.leaving.remove(&name);
+                self.fleet.pending_returns.remove(&name);
                 self.fleet.list.remove(&name);
-                self.fleet.fresh.remove(&name);
+                self.fleet.unlisted.remove(&name);
                 self.draining.remove(&name);
                 self.drain_changed(&name);
                 self.fleet.returned_machines.insert(name, now);
-            } else if let Some(sent) = self.fleet.leaving.get_mut(&name) {
+            } else if let Some(sent) = self.fleet.pending_returns.get_mut(&name) {
                 *sent = false;
             }
         }
