--- a/crates/core/src/fixtures.rs
+++ b/crates/core/src/fixtures.rs
@@ -1,4 +1,4 @@
-//! What several unit tests begin with.
+//! Fixtures shared by several unit tests.
 
 use oliveshift_wire::{
     job::{JobSpec, Priority, Shape},
@@ -12,8 +12,8 @@
     records::{BlockRecord, FormatLevel, Key, MachineListEntry, MachineListRecord},
 };
 
-/// Controller n-0 of one zone, before it has read any record. `members` are the others,
-/// in the form of the settings.
+/// Controller n-0 of one zone, before it has read any record. `members` lists the other
+/// controllers in the format of the settings.
 pub(crate) fn controller(members: &str) -> Controller {
     let settings = format!(
         r#"{{"member":"n-0","site":"a","bind":"10.0.0.1:80",
@@ -27,7 +27,7 @@
     Controller::new(Settings::parse(&settings).expect("settings"), 1)
 }
 
-/// The record of a block that a controller holds.
+/// The record of a block that this controller holds.
 pub(crate) fn block_record(controller: &Controller) -> BlockRecord {
     BlockRecord {
         zone: "a".into(),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The record of a block's machines: vm-1 alone.
+/// The record of a block with the single machine vm-1.
 pub(crate) fn machine_list() -> MachineListRecord {
     let machine = MachineListEntry {
         name: "vm-1".into(),
@@ -47,7 +47,7 @@
     MachineListRecord::new(FormatLevel::FIRST, "a".into(), vec![machine])
 }
 
-/// Shows records to a controller, each with its version.
+/// Applies records, each with its version, to the view of a controller.
 pub(crate) fn apply_records<const N: usize>(
     controller: &mut Controller,
     records: [(Key, Value, u64); N],
@@ -59,12 +59,12 @@
             value,
             version,
         };
-        let key = controller.view.apply(put).expect("news");
+        let key = controller.view.apply(put).expect("a change of the view");
         controller.record_changed(&key);
     }
 }
 
-/// A job of one small task that may run anywhere.
+/// A job with one small task that may run anywhere.
 pub(crate) fn job_spec() -> JobSpec {
     JobSpec {
         id: "j-1".parse().expect("an id"),
--- a/crates/core/src/upgrade.rs
+++ b/crates/core/src/upgrade.rs
@@ -1,9 +1,9 @@
-//! Replacing one version of the program by the next while both serve.
+//! Rolling upgrade from one program version to the next while both run.
 //!
-//! Old programs can't read new forms, and one that is dead comes back old. So
-//! every controller records what it is able to read and write under a key of
-//! its own, and a single record says from when on all of them write the new
-//! forms. That record never changes back.
+//! Old versions can't read the new record formats, and a controller that is down may
+//! be restarted with its old version. Every controller therefore records the format
+//! level that it can read and write under its own key. A single record, the format
+//! record, switches all controllers to the new formats and is never switched back.
 
 use std::time::Duration;
 
@@ -24,40 +24,39 @@
     store::{Outcome, Purpose, Urgency},
 };
 
-/// How long to wait after a write that did not succeed, and between two
-/// questions to a peer.
+/// Delay before a write is repeated, and between two level queries to a peer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1000);
-/// When to give a question to a peer up.
+/// Timeout of a level query to a peer.
 const LEVEL_QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a write of this part is for.
+/// Purpose of a write for the upgrade.
 #[derive(Debug)]
 pub(crate) enum UpgradeWrite {
-    /// A controller's level; with the operator who waits for it.
+    /// A controller's level, with the operator's request that waits for the write.
     FormatLevel(String, Option<ConnId>),
-    /// The switch to our level.
+    /// The format record, which switches to the level of this program.
     Format,
-    /// The lower limits hold.
+    /// The record that the lower limits of the state service are in force.
     LoweredLimits,
 }
 
-/// Where the upgrade stands.
+/// Progress of the upgrade.
 #[derive(Debug, Default)]
 pub(crate) struct Upgrade {
-    /// When to write our level, the switch and that limits are lower, unless
-    /// the view shows it by then.
+    /// When to write this controller's level, the format record and the lowered limits
+    /// record, unless the view shows it by then.
     level_at: Duration,
     format_at: Duration,
     lowered_at: Duration,
-    /// When to ask those whose level is not known.
+    /// When to query the controllers whose level is not known.
     ask_at: Duration,
-    /// The first write to an empty store is under way.
+    /// Whether the first write to an empty store is in flight.
     initializing: bool,
-    ended: bool,
+    exit_requested: bool,
 }
 
 impl Controller {
-    /// The form in which we write.
+    /// The format level in which this controller writes records.
     pub fn level(&self) -> FormatLevel {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::EarlyFormatSwitch) {
@@ -66,8 +65,8 @@
         self.view.level().min(self.supported_level)
     }
 
-    /// The sizes that we keep to: from the switch on those to come, as they
-    /// may hold at any moment.
+    /// The limits of the state service that this controller keeps to. From the format
+    /// switch on, these are the lowered limits, which may come into force at any moment.
     pub(crate) fn limits(&self) -> &StateLimits {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoLoweredLimits) {
@@ -86,11 +85,11 @@
         }
         let format = self.view.level();
         if format > self.supported_level {
-            if !self.upgrade.ended {
-                self.upgrade.ended = true;
+            if !self.upgrade.exit_requested {
+                self.upgrade.exit_requested = true;
                 self.outputs.push(Output::Exit(format!(
-                    "the records are of level {}, this program reads up to level {}: \
-                     a newer one has to run here",
+                    "the records have format level {}, but this program supports only up to \
+                     level {}: a newer version has to run here",
                     format.0, self.supported_level.0
                 )));
             }
@@ -109,14 +108,15 @@
         }
     }
 
-    /// Whether the first write to an empty store is awaited: nothing else is
-    /// written before.
+    /// Whether the first write to an empty store is in flight: nothing else is written
+    /// before it.
     pub(crate) fn is_initializing(&self) -> bool {
         self.upgrade.initializing && self.view.is_empty()
     }
 
-    /// An empty store begins at our level. An old program that is up has its
-    /// `member` record there.
+    /// Starts an empty store at the level of this program. The conditions exclude that
+    /// a controller of an older version is up, because it would have its `member`
+    /// record in the store.
     fn initialize(&mut self) {
         if self.now < self.upgrade.format_at {
             return;
@@ -148,8 +148,8 @@
         peers.chain([self.settings.node.clone()]).collect()
     }
 
-    /// Whether a controller is proven to be of our level: by its record, and
-    /// if it is up, by one of the process that is.
+    /// Whether a controller is known to support the level of this program: by its level
+    /// record, which must be of the running incarnation if the controller is up.
     fn is_proven(&self, node: &str) -> bool {
         let Some(proof) = self.view.levels.get(node).map(|l| l.record) else {
             return false;
@@ -161,15 +161,15 @@
 
     fn record_own_level(&mut self) {
         let node = self.settings.node.clone();
-        let ours = self.view.levels.get(&node).map(|l| l.record.incarnation);
-        if ours == Some(self.incarnation) || self.now < self.upgrade.level_at {
+        let recorded = self.view.levels.get(&node).map(|l| l.record.incarnation);
+        if recorded == Some(self.incarnation) || self.now < self.upgrade.level_at {
             return;
         }
         self.upgrade.level_at = self.now + RETRY_INTERVAL;
         self.write_level(node, self.incarnation, None);
     }
 
-    fn write_level(&mut self, node: String, incarnation: u64, asker: Option<ConnId>) -> bool {
+    fn write_level(&mut self, node: String, incarnation: u64, operator: Option<ConnId>) -> bool {
         let key = Key::FormatLevel(node.clone());
         let conds = vec![Cond {
             key: key.path(),
@@ -179,12 +179,12 @@
             level: self.supported_level,
             incarnation,
         };
-        let step = UpgradeWrite::FormatLevel(node, asker);
+        let step = UpgradeWrite::FormatLevel(node, operator);
         let txn = put(conds, key, &record);
         self.send_txn(txn, Purpose::Upgrade(step), Urgency::Session)
     }
 
-    /// Writes the switch once all controllers are proven to be of our level.
+    /// Writes the format record once all controllers are known to support its level.
     fn switch_format(&mut self) {
         let nodes = self.all_nodes();
         if self.now < self.upgrade.format_at || !nodes.iter().all(|n| self.is_proven(n)) {
@@ -203,12 +203,15 @@
         });
         let conds = [lead, format].into_iter().chain(proofs);
         let conds = conds.take(self.limits().txn_conds()).collect();
-        log::info!("all controllers are of level {}", self.supported_level.0);
+        log::info!(
+            "all controllers support format level {}: writing the format record",
+            self.supported_level.0
+        );
         self.write_format(conds);
     }
 
-    /// Asks the controllers that have not shown their level: one that can't
-    /// reach the state service may still be reached by us.
+    /// Queries the controllers whose level is not known: one that can't reach the state
+    /// service may still answer a peer.
     fn ask_levels(&mut self) {
         if self.now < self.upgrade.ask_at {
             return;
@@ -230,19 +233,19 @@
         }
     }
 
-    /// A peer asks for our level.
+    /// Answers a peer's level query.
     pub(crate) fn send_level(&mut self, conn: ConnId) {
         let word = LevelWord {
             node: self.settings.node.clone(),
             incarnation: self.incarnation,
             level: self.supported_level.0,
         };
-        // Writing into memory can't fail.
+        // Serializing into memory can't fail.
         let body = borsh::to_vec(&word).unwrap_or_default();
         self.answer(conn, 200, body);
     }
 
-    /// What a peer answered when asked for its level.
+    /// Handles a peer's answer to a level query.
     pub(crate) fn level_answered(&mut self, node: &str, reply: &Reply) {
         let Reply::Answer { status: 200, body } = reply else {
             return;
@@ -252,7 +255,7 @@
         };
         let enough = word.node == *node && word.level >= self.supported_level.0;
         if enough && self.leader.is_some() && !self.is_proven(node) {
-            log::info!("{node} says that it is of level {}", word.level);
+            log::info!("{node} reports format level {}: recording it", word.level);
             self.write_level(word.node, word.incarnation, None);
         }
     }
@@ -263,7 +266,7 @@
                 self.upgrade.initializing &= matches!(outcome, Outcome::Done(_));
                 if let Outcome::Done(_) = outcome {
                     log::info!(
-                        "all write in the form of level {} from now on",
+                        "format record written: all controllers write records of level {} from now on",
                         self.supported_level.0
                     );
                 }
@@ -271,29 +274,36 @@
             UpgradeWrite::LoweredLimits | UpgradeWrite::FormatLevel(_, None) => {}
             UpgradeWrite::FormatLevel(node, Some(conn)) => match outcome {
                 Outcome::Done(_) => {
-                    log::info!("{node} never comes back, by an operator's word");
+                    log::info!("{node} written off: an operator states that it never comes back");
                     self.answer(conn, 200, json(&WriteOff { without: node }));
                 }
                 Outcome::Conflict(_) => {
-                    self.refuse_json(conn, 409, "it has just shown its level itself");
+                    self.refuse_json(
+                        conn,
+                        409,
+                        "the controller has recorded its level itself meanwhile",
+                    );
                 }
                 _ => self.refuse_json(conn, 503, "the state service did not answer"),
             },
         }
     }
 
-    /// The state service has refused a write as one too many: if lower limits
-    /// are to come, they have come.
+    /// Handles a write that the state service has refused as too many. If a lower write
+    /// rate is announced, it counts as in force from now on.
     pub(crate) fn write_rate_refused(&mut self) {
         let lower = self.lowered_limits.write_rps < self.settings.params.state.write_rps;
         if lower && !self.store.lowered_limits_active && self.level() >= FormatLevel::PIPELINES {
-            log::info!("the state service takes fewer writes now");
+            log::info!(
+                "the state service refused a write as too many: the lowered limits are in force"
+            );
             self.store.lowered_limits_active = true;
             self.update_request_budgets();
         }
     }
 
-    /// Lets everybody know of lower limits at once, later starts included.
+    /// Records that the lowered limits are in force, so that all controllers keep to them
+    /// at once, including those that start later.
     fn record_lowered_limits(&mut self) {
         if self.view.lowered_limits_version > 0 && !self.store.lowered_limits_active {
             self.store.lowered_limits_active = true;
@@ -319,7 +329,7 @@
         );
     }
 
-    /// An operator asks how far the upgrade is.
+    /// Answers an operator's request for the state of the upgrade.
     pub(crate) fn upgrade_status(&mut self, conn: ConnId) {
         let controllers = self.all_nodes().into_iter().map(|node| {
             let proof = self.view.levels.get(&node).map(|l| l.record);
@@ -344,23 +354,24 @@
         if self.in_contact() {
             self.answer(conn, 200, json(&status));
         } else {
-            self.refuse_json(conn, 503, "the state service can not be reached");
+            self.refuse_json(conn, 503, "the state service cannot be reached");
         }
     }
 
-    /// An operator says that a controller never comes back.
+    /// Handles an operator's statement that a controller never comes back with an old
+    /// version.
     pub(crate) fn write_off(&mut self, conn: ConnId, body: &[u8]) {
-        let wish: WriteOff = match serde_json::from_slice(body) {
-            Ok(wish) => wish,
+        let request: WriteOff = match serde_json::from_slice(body) {
+            Ok(request) => request,
             Err(e) => return self.refuse_json(conn, 400, &e.to_string()),
         };
-        let node = wish.without;
+        let node = request.without;
         if !self.in_contact() {
-            self.refuse_json(conn, 503, "the state service can not be reached");
+            self.refuse_json(conn, 503, "the state service cannot be reached");
         } else if !self.all_nodes().contains(&node) {
             self.refuse_json(conn, 404, "no such controller in the settings");
         } else if self.view.members.contains_key(&node) {
-            self.refuse_json(conn, 409, "that controller is up");
+            self.refuse_json(conn, 409, "the controller is up");
         } else if self.is_proven(&node) || self.view.level() >= self.supported_level {
             self.answer(conn, 200, json(&WriteOff { without: node }));
         } else if !self.write_level(node, 0, Some(conn)) {
@@ -375,9 +386,9 @@
     }
 }
 
-/// Whether a program of a level can read a change: one of the first level
-/// knows neither the newer keys nor the newer forms. This program is always of the
-/// newest level but where tests stand in for an older one.
+/// Whether a program of this level can read a change: the first level knows neither the
+/// newer keys nor the newer formats. This program has the newest level, except in tests
+/// that simulate an older version.
 pub(crate) fn can_read(program: FormatLevel, event: &Event) -> bool {
     if program >= FormatLevel::PIPELINES {
         return true;
@@ -419,7 +430,7 @@
     }
 }
 
-/// The types told here have no state that could make this fail.
+/// Serializes an answer as JSON. The types used here can't fail to serialize.
 fn json<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
