--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -34,8 +34,8 @@
 const MACHINES_PER_EARLY_RETURN: usize = 8;
 /// Boot time of slow but normal boots, in usual boot times.
 const SLOW_BOOT_FACTOR: f64 = 1.5;
-/// The fleet counts as growing while more than one machine in this many is booting.
-const MACHINES_PER_BOOTING: usize = 50;
+/// The fleet counts as growing while more than its size divided by this is booting.
+const GROWING_FLEET_DIVISOR: usize = 50;
 /// Interval at which a summary of the fleet is logged.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(5);
 /// Interval at which the leader looks for machines to return.
@@ -257,7 +257,7 @@
 
     /// Whether enough machines are still booting that the fleet counts as growing.
     pub(crate) fn is_fleet_growing(&self) -> bool {
-        self.rented_offers().len() > self.view.machines.len() / MACHINES_PER_BOOTING
+        self.rented_offers().len() > self.view.machines.len() / GROWING_FLEET_DIVISOR
     }
 
     /// Time until a task starts on a machine that is rented for it, if nothing fails:
--- a/crates/core/src/queue_order.rs
+++ b/crates/core/src/queue_order.rs
@@ -221,7 +221,9 @@
         let late = late.into_iter().map(|(flow, (_, o))| (flow, o)).collect();
         let waits = |id: &JobId| queue.iter().any(|q| q.id == *id);
         let turns = self.minimum_shares.turns(now, &late, waits);
-        let mut short = self.minimum_shares.flows_below_share(now, &long, &self.throughput.assigned);
+        let mut short =
+            self.minimum_shares
+                .flows_below_share(now, &long, &self.throughput.assigned);
         let waiting = limit_blocked_jobs(&self.starvation, now, queue, rooms, used);
         let starved = self.starvation.turns(now, waiting);
         let mut ahead = false;
