--- a/crates/core/src/invariants.rs
+++ b/crates/core/src/invariants.rs
@@ -1,8 +1,8 @@
-//! What must never be seen at run time, whatever fails outside.
+//! Invariants checked at run time, which hold whatever fails outside this program.
 //!
-//! A violation means that this program is at fault, or that the state service has
-//! lost data. It is logged as an error, counted, and answered on the safe side:
-//! nothing is started on the strength of it.
+//! A violation means that this program has a fault or that the state service has lost
+//! data. It is logged as an error, counted and handled on the safe side: no task is
+//! started because of it.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -14,26 +14,26 @@
     records::{BlockId, Term},
 };
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
-    /// The state service has answered with a revision from before the one asked for.
+    /// The state service answered with a revision older than one it returned before.
     RevisionWentBack {
-        /// What was known already.
+        /// The revision that was known.
         known: u64,
-        /// What it says now.
+        /// The revision in the answer.
         seen: u64,
     },
-    /// A block has come back under a term that this process has held and lost: its
-    /// token no longer tells our earlier orders from new ones.
+    /// A block was leased to this process under a term that it has held and lost. As
+    /// fencing token, the term can't tell earlier orders from new ones.
     TermRegained {
         /// The block.
         block: BlockId,
         /// The term.
         term: Term,
     },
-    /// The records no longer hand us a task that we started, and that was neither
-    /// recorded as done nor given back.
+    /// A task that was started here is no longer assigned here in the records, although it
+    /// was neither recorded as done nor returned.
     StartedTaskDropped {
         /// The task.
         task: TaskId,
@@ -42,18 +42,18 @@
         /// The attempt.
         attempt: u64,
     },
-    /// A task that silence alone proves to be nowhere was about to be started, though
-    /// the block may have been somebody else's by then.
+    /// A task was about to be started on a proof of absence that rests on a worker's
+    /// silence, although the block may have been held by another controller by then.
     StartWithoutTenure {
         /// The task.
         task: TaskId,
         /// The attempt.
         attempt: u64,
-        /// What it was to be started on.
+        /// The proof of absence.
         evidence: AbsenceProof,
     },
-    /// A task was handed to us again under the term under which we started it, with
-    /// no proof in between that it has ended.
+    /// A task was assigned here again under the term under which it was started here,
+    /// without proof that the earlier attempt has ended.
     AssignedAgain {
         /// The task.
         task: TaskId,
@@ -68,10 +68,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::RevisionWentBack { known, seen } => {
-                write!(f, "revision {seen} after revision {known}")
+                write!(
+                    f,
+                    "the state service answered with revision {seen} after revision {known}"
+                )
             }
             Self::TermRegained { block, term } => {
-                write!(f, "block {block} is ours again under term {term}")
+                write!(
+                    f,
+                    "block {block} is leased to this controller again under its lost term {term}"
+                )
             }
             Self::StartedTaskDropped {
                 task,
@@ -79,7 +85,7 @@
                 attempt,
             } => write!(
                 f,
-                "{task} is no longer ours, though attempt {attempt} may be on {machine}"
+                "{task} is no longer assigned to this controller, though attempt {attempt} may be on {machine}"
             ),
             Self::StartWithoutTenure {
                 task,
@@ -87,7 +93,7 @@
                 evidence,
             } => write!(
                 f,
-                "attempt {attempt} of {task} was about to start, as {evidence}, for which the block is not proven to be ours"
+                "attempt {attempt} of {task} was about to start on the proof \"{evidence}\", but the block is not proven to have been held long enough"
             ),
             Self::AssignedAgain {
                 task,
@@ -95,43 +101,45 @@
                 attempt,
             } => write!(
                 f,
-                "{task} is handed to us again, though attempt {attempt} may be on {machine}"
+                "{task} is assigned to this controller again, though attempt {attempt} may be on {machine}"
             ),
         }
     }
 }
 
-/// What is remembered to notice violations.
+/// The state needed to detect violations.
 #[derive(Debug, Default)]
 pub(crate) struct Invariants {
     violations: u64,
-    /// The last term of each block that we held and lost.
+    /// The last term of each block that was held and lost.
     lost_terms: BTreeMap<BlockId, Term>,
-    /// Tasks that were started by us and dropped without proof that they have ended.
+    /// Tasks that were started here and dropped without proof that they have ended, with
+    /// their blocks.
     dropped: BTreeMap<TaskId, (BlockId, Bound)>,
 }
 
 impl Invariants {
-    /// Notes a violation.
+    /// Logs and counts a violation.
     pub fn report(&mut self, violation: &Violation) {
         self.violations += 1;
         log::error!("invariant violated: {violation}");
     }
 
-    /// How many violations there were since the process began.
+    /// The number of violations since the process started.
     pub fn violations(&self) -> u64 {
         self.violations
     }
 
-    /// A block is no longer held under a term.
+    /// Records that a block is no longer held under a term.
     pub fn term_lost(&mut self, block: BlockId, term: Term) {
         let last = self.lost_terms.entry(block).or_default();
         *last = term.max(*last);
-        // The next term is another token, under which machines are proven anew.
+        // The next term is another fencing token, which machines acknowledge anew.
         self.dropped.retain(|_, (of, _)| *of != block);
     }
 
-    /// Whether a block may be held under a term: each is held once.
+    /// Whether a block may be held under a term: each term is held at most once. Reports a
+    /// violation if not.
     pub fn may_hold(&mut self, block: BlockId, term: Term) -> bool {
         let is_new = self.lost_terms.get(&block).is_none_or(|lost| term > *lost);
         if !is_new {
@@ -140,7 +148,8 @@
         is_new
     }
 
-    /// A task that we started is no longer among ours, and nothing proves its end.
+    /// Reports and remembers a task that was started here and is no longer assigned here,
+    /// without proof that it has ended.
     pub fn started_task_dropped(&mut self, task: &TaskId, block: BlockId, bound: Bound) {
         self.report(&Violation::StartedTaskDropped {
             task: task.clone(),
@@ -150,7 +159,8 @@
         self.dropped.insert(task.clone(), (block, bound));
     }
 
-    /// Where a task that is handed to us may be already, if we started it before.
+    /// The earlier attempt of a task that is assigned here again, if it was dropped
+    /// without proof that it has ended. Reports a violation if so.
     pub fn take_dropped(&mut self, task: &TaskId) -> Option<Bound> {
         let (_, bound) = self.dropped.remove(task)?;
         self.report(&Violation::AssignedAgain {
--- a/crates/core/src/invariants/tests.rs
+++ b/crates/core/src/invariants/tests.rs
@@ -36,7 +36,7 @@
     assert_eq!(again, Some(7));
     assert!(
         invariants.take_dropped(&one).is_none(),
-        "it is a slot again"
+        "it is an assigned task again"
     );
     invariants.term_lost(2, 5);
     assert!(invariants.take_dropped(&other).is_none());
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -1,41 +1,41 @@
-//! Reading all records: page by page, and then what has changed since the first page.
+//! Reads of all records: page by page, and then the changes since the first page.
 //!
-//! The pages are answered at different moments. Together they may show what was
-//! never true at once: a chunk of tasks as it was before its hand-out beside a block
-//! as it is now. Nothing may be decided on that, so the records are gathered beside
-//! the view in use and take its place only when they are consistent.
+//! The pages are answered at different revisions. Together they may show a state that
+//! never existed, such as a chunk from before its tasks were assigned and a block from
+//! after that. No decision may rest on such a state, so the records are collected apart
+//! from the view in use and replace it only once they are consistent.
 
 use oliveshift_wire::state::{Event, Events, Page};
 
 use crate::{records::KEY_PREFIX, view::View};
 
-/// Most records on one page.
-const PAGE: usize = 1000;
+/// The most records on one page.
+const MAX_PAGE_RECORDS: usize = 1000;
 
-/// A reading of all records that is under way. It has one request out at a time.
+/// A read of all records in progress. It has one request in flight at a time.
 #[derive(Debug)]
 pub(crate) struct SnapshotRead {
     view: View,
     stage: Stage,
-    /// The newest revision that any page has shown: the records are consistent once
-    /// all changes up to there are in.
+    /// The newest revision of any page. The records are consistent once all changes up to
+    /// it are applied.
     consistent_at: u64,
     pages: u32,
     first_revision: u64,
 }
 
-/// What is read next.
+/// What to read next.
 #[derive(Debug)]
 enum Stage {
     /// The first page.
     FirstPage,
-    /// The page that begins after this key.
+    /// The page that starts after this key.
     PageAfter(String),
     /// The changes since the first page.
     Changes,
 }
 
-/// The next request of a reading.
+/// What a request of the read asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SnapshotPart {
     /// A page of records.
@@ -45,7 +45,7 @@
 }
 
 impl SnapshotRead {
-    /// A reading that begins, into an empty view.
+    /// Starts a read into an empty view.
     pub fn new(view: View) -> Self {
         Self {
             view,
@@ -56,15 +56,15 @@
         }
     }
 
-    /// What is to be asked next, and the path to ask for it.
+    /// What to request next, and the path of the request.
     pub fn next_request(&self) -> (SnapshotPart, String) {
         match &self.stage {
             Stage::FirstPage => {
-                let path = format!("/kv?starts={KEY_PREFIX}&most={PAGE}");
+                let path = format!("/kv?starts={KEY_PREFIX}&most={MAX_PAGE_RECORDS}");
                 (SnapshotPart::Page, path)
             }
             Stage::PageAfter(key) => {
-                let path = format!("/kv?starts={KEY_PREFIX}&after={key}&most={PAGE}");
+                let path = format!("/kv?starts={KEY_PREFIX}&after={key}&most={MAX_PAGE_RECORDS}");
                 (SnapshotPart::Page, path)
             }
             Stage::Changes => {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes a page. `can_read` says which records this program understands.
+    /// Applies a page. `can_read` tells which records this program can read.
     pub fn take_page(&mut self, page: Page, can_read: impl Fn(&Event) -> bool) {
         if matches!(self.stage, Stage::FirstPage) {
             self.view.revision = page.revision;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes the changes since the first page.
+    /// Applies the changes since the first page.
     pub fn take_changes(&mut self, changes: Events, can_read: impl Fn(&Event) -> bool) {
         let mut events = changes.events;
         events.sort_by(|a, b| (a.version(), a.key()).cmp(&(b.version(), b.key())));
@@ -109,16 +109,17 @@
         matches!(self.stage, Stage::Changes)
     }
 
-    /// Whether the records are those of one moment, not before `revision`.
+    /// Whether the records show the state at one revision, at or after `revision`.
     pub fn is_consistent(&self, revision: u64) -> bool {
         self.has_all_pages() && self.view.revision >= self.consistent_at.max(revision)
     }
 
-    /// The records. What each of them means for the parts is worked out anew by
-    /// whoever takes them, so that none counts as news.
+    /// The records. The caller recomputes all derived state from them, so the list of
+    /// changed machines is cleared.
     pub fn into_view(mut self) -> View {
         log::info!(
-            "all records read: {} pages, revisions {} to {}, consistent at {}",
+            "read all records: {} pages, first page at revision {}, newest page at revision {}, \
+             consistent at revision {}",
             self.pages,
             self.first_revision,
             self.consistent_at,
--- a/crates/core/src/snapshot/tests.rs
+++ b/crates/core/src/snapshot/tests.rs
@@ -24,7 +24,7 @@
     true
 }
 
-/// A page that is the only one is of one moment.
+/// A single page shows the state at one revision.
 #[test]
 fn one_page_is_consistent() {
     let mut read = SnapshotRead::new(View::default());
@@ -35,8 +35,8 @@
     assert_eq!((view.revision, view.lowered_limits_version), (7, 3));
 }
 
-/// Later pages show what was written after the first one: until all changes since
-/// the first page are in, they don't fit together.
+/// Later pages show changes written after the first page. They are consistent with it only
+/// once all changes since the first page are applied.
 #[test]
 fn several_pages_need_the_changes_since_the_first() {
     let mut read = SnapshotRead::new(View::default());
@@ -53,7 +53,7 @@
     let (part, path) = read.next_request();
     assert_eq!(part, SnapshotPart::Changes);
     assert!(path.ends_with("after=7"), "{path}");
-    // Of a moment before the last page.
+    // These changes end before the revision of the last page.
     read.take_changes(changes(8, Vec::new()), any);
     assert!(!read.is_consistent(0));
     let key = format!("{KEY_PREFIX}lowered");
@@ -64,9 +64,9 @@
     assert_eq!((view.revision, view.lowered_limits_version), (10, 0));
 }
 
-/// What is in use may have gone further meanwhile, by what was read for users.
+/// The view in use may have advanced during the read, by reads for users.
 #[test]
-fn records_from_before_those_in_use_are_not_used() {
+fn records_older_than_the_view_in_use_are_not_used() {
     let mut read = SnapshotRead::new(View::default());
     read.take_page(page(7, false, &[]), any);
     assert!(!read.is_consistent(8));
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -336,14 +336,20 @@
                 continue;
             };
             if self.send_txn(txn, Purpose::User(id.clone()), Urgency::Background) {
-                self.user_requests.awaiting_write.sent(self.now, &id);
+                self.user_requests
+                    .awaiting_write
+                    .record_repeat(self.now, &id);
             }
         }
     }
 
     /// Handles the outcome of one request of a user's write.
     pub(crate) fn user_write_answered(&mut self, id: &WriteId, outcome: Outcome) {
-        match self.user_requests.awaiting_write.answered(id, outcome) {
+        match self
+            .user_requests
+            .awaiting_write
+            .record_outcome(id, outcome)
+        {
             WriteResolution::Nothing => {}
             WriteResolution::Confirmed(request) => self.answer_written(&request),
             // The record exists already, written through another controller by a retry
--- a/crates/core/src/user_writes.rs
+++ b/crates/core/src/user_writes.rs
@@ -1,9 +1,9 @@
-//! Writes that users wait for: acceptances and cancellations.
+//! Writes that users wait for: submissions and cancellations.
 //!
-//! A user is told what the store has confirmed, whichever way that is learnt first:
-//! the answer to the write, the answer to a repeat of it, or the record itself as a
-//! watch brings it. So a lost or late answer costs the user nothing that the store
-//! knows already. Repeats have the same conditions, so at most one takes effect.
+//! A write is confirmed by whichever comes first: its answer, the answer to a repeat of
+//! it, or the record itself in the answer to a watch. A lost or late answer therefore
+//! does not delay the user when the store has the record already. Repeats have the same
+//! conditions, so at most one takes effect.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,11 +15,12 @@
     user_api::{RequestKind, UserRequest},
 };
 
-/// A write without an answer is repeated after so long, so many times at most.
-const HEDGE_AFTER: Duration = Duration::from_millis(350);
-const MOST_SENT: u32 = 3;
+/// The time after which a write without an answer is sent again, and the most times that a
+/// write is sent.
+const HEDGE_DELAY: Duration = Duration::from_millis(350);
+const MAX_SENDS: u32 = 3;
 
-/// What identifies a write: its job, and the user's connection.
+/// The id of a write: its job and the user's connection.
 pub(crate) type WriteId = (JobId, ConnId);
 
 /// A user's write that is not confirmed yet.
@@ -27,42 +28,42 @@
 pub(crate) struct UserWrite {
     pub request: UserRequest,
     pub txn: Txn,
-    sent: u32,
+    send_count: u32,
     in_flight: u32,
     sent_at: Duration,
-    /// Some request for it got no answer: it may yet take effect.
+    /// Whether some send of it got no answer, so that it may still take effect.
     in_doubt: bool,
 }
 
 impl UserWrite {
-    /// One whose first request goes out now.
+    /// A write that is sent for the first time now.
     pub fn new(now: Duration, request: UserRequest, txn: Txn) -> Self {
         Self {
             request,
             txn,
-            sent: 1,
+            send_count: 1,
             in_flight: 1,
             sent_at: now,
             in_doubt: false,
         }
     }
 
-    /// Whether it may take effect although its user is told otherwise.
+    /// Whether some send of it got no answer, so that it may still take effect.
     pub fn is_in_doubt(&self) -> bool {
         self.in_doubt
     }
 }
 
-/// What follows from an answer to a write.
+/// What an answer means for a write.
 #[derive(Debug)]
 pub(crate) enum WriteResolution {
-    /// Nothing: others are under way, or its user has been answered.
+    /// Nothing: other sends of it are in flight, or its user has been answered.
     Nothing,
-    /// The store has it.
+    /// The store has the write.
     Confirmed(UserRequest),
-    /// A condition did not hold at this revision.
+    /// A condition did not hold, as of this revision.
     Conflict(UserRequest, u64),
-    /// No request for it is left that may be answered.
+    /// No send of it is in flight, and none has confirmed it.
     Failed(UserWrite),
 }
 
@@ -73,23 +74,22 @@
 }
 
 impl UserWrites {
-    /// How many there are.
+    /// The number of writes that are not confirmed.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// A new one.
+    /// Adds a write.
     pub fn add(&mut self, write: UserWrite) {
         let id = (write.request.job.clone(), write.request.conn);
         self.waiting.insert(id, write);
     }
 
-    /// The writes that are to be repeated now.
+    /// The writes that are due to be repeated.
     pub fn due(&self, now: Duration) -> Vec<WriteId> {
-        let due = self
-            .waiting
-            .iter()
-            .filter(|(_, write)| write.sent < MOST_SENT && now >= write.sent_at + HEDGE_AFTER);
+        let due = self.waiting.iter().filter(|(_, write)| {
+            write.send_count < MAX_SENDS && now >= write.sent_at + HEDGE_DELAY
+        });
         due.map(|(id, _)| id.clone()).collect()
     }
 
@@ -98,17 +98,17 @@
         self.waiting.get(id).map(|write| &write.txn)
     }
 
-    /// One more request for it has gone out.
-    pub fn sent(&mut self, now: Duration, id: &WriteId) {
+    /// Records that a write has been repeated.
+    pub fn record_repeat(&mut self, now: Duration, id: &WriteId) {
         if let Some(write) = self.waiting.get_mut(id) {
-            write.sent += 1;
+            write.send_count += 1;
             write.in_flight += 1;
             write.sent_at = now;
         }
     }
 
-    /// A request for a write has come to an outcome.
-    pub fn answered(&mut self, id: &WriteId, outcome: Outcome) -> WriteResolution {
+    /// Records the outcome of one send of a write.
+    pub fn record_outcome(&mut self, id: &WriteId, outcome: Outcome) -> WriteResolution {
         let Some(write) = self.waiting.get_mut(id) else {
             return WriteResolution::Nothing;
         };
@@ -128,24 +128,23 @@
         }
     }
 
-    /// The record of a job has changed: takes the asks that it confirms. `shows`
-    /// tells whether it shows what a wish was for.
+    /// Takes the requests that a changed record of a job confirms. `shows` tells whether
+    /// the record shows the effect of a request.
     pub fn take_confirmed(
         &mut self,
         job: &JobId,
         shows: impl Fn(&UserRequest) -> bool,
     ) -> Vec<UserRequest> {
         let all = (job.clone(), ConnId::MIN)..=(job.clone(), ConnId::MAX);
-        let shown = self.waiting.range(all).filter(|(_, w)| shows(&w.request));
-        let shown: Vec<_> = shown.map(|(id, _)| id.clone()).collect();
-        let writes = shown.iter().filter_map(|id| self.waiting.remove(id));
+        let confirmed = self.waiting.range(all).filter(|(_, w)| shows(&w.request));
+        let confirmed: Vec<_> = confirmed.map(|(id, _)| id.clone()).collect();
+        let writes = confirmed.iter().filter_map(|id| self.waiting.remove(id));
         writes.map(|write| write.request).collect()
     }
 }
 
 impl UserRequest {
-    /// Whether a job's record of this time of acceptance is the one that this ask
-    /// has written.
+    /// Whether a job record with this time of acceptance was written by this request.
     pub fn has_written(&self, at_ms: u64) -> bool {
         self.kind == RequestKind::Submit && self.at_ms == Some(at_ms)
     }
