--- a/crates/core/src/invariants.rs
+++ b/crates/core/src/invariants.rs
@@ -17,7 +17,8 @@
 /// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
-    /// The state service answered with a revision older than one it returned before.
+    /// The state service answered with a revision older than the one after which changes
+    /// were requested.
     RevisionWentBack {
         /// The revision that was known.
         known: u64,
@@ -70,7 +71,7 @@
             Self::RevisionWentBack { known, seen } => {
                 write!(
                     f,
-                    "the state service answered with revision {seen} after revision {known}"
+                    "the state service answered with revision {seen}, older than the known {known}"
                 )
             }
             Self::TermRegained { block, term } => {
