--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -102,9 +102,7 @@
             Some(("block", id)) => Self::Block(id.parse().ok()?),
             Some(("machines", rest)) => match rest.parse() {
                 Ok(id) => Self::Machines(id, 0),
-                Err(_) => {
-                    numbered(rest).map(|(id, list_number)| Self::Machines(id, list_number))?
-                }
+                Err(_) => numbered(rest).map(|(id, number)| Self::Machines(id, number))?,
             },
             Some(("job", id)) => Self::Job(id.parse().ok()?),
             Some(("more", rest)) => numbered(rest).map(|(id, k)| Self::SpecOverflow(id, k))?,
--- a/crates/core/src/store/session.rs
+++ b/crates/core/src/store/session.rs
@@ -72,7 +72,7 @@
     }
 
     pub(super) fn keep_member_record(&mut self) {
-        let Some(member_lease) = self.store.member_lease else {
+        let Some(lease) = self.store.member_lease else {
             return;
         };
         let node = &self.settings.node;
@@ -95,7 +95,7 @@
             changes: vec![Change::Put {
                 key,
                 value: to_list(&record),
-                lease: Some(member_lease),
+                lease: Some(lease),
             }],
         };
         self.store.member_write_pending = self.send_txn(txn, Purpose::Member, Urgency::Session);
@@ -131,7 +131,7 @@
     /// of this controller, which is known to be gone.
     pub(super) fn seek_leadership(&mut self) {
         let backs_off = self.defers_candidacy();
-        let Some(member_lease) = self.store.member_lease.filter(|_| !backs_off) else {
+        let Some(lease) = self.store.member_lease.filter(|_| !backs_off) else {
             return;
         };
         let waits =
@@ -158,7 +158,7 @@
             changes: vec![Change::Put {
                 key,
                 value: to_list(&self.member_record()),
-                lease: Some(member_lease),
+                lease: Some(lease),
             }],
         };
         self.store.leader_write_pending = self.send_txn(txn, Purpose::Leadership, Urgency::Session);
