--- a/crates/core/src/admission_shares.rs
+++ b/crates/core/src/admission_shares.rs
@@ -21,7 +21,7 @@
     time::Duration,
 };
 
-use oliveshift_policy::share::max_min;
+use oliveshift_policy::fair_share::max_min;
 use oliveshift_wire::{
     JobId,
     job::{Amounts, JobSpec, Shape},
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use oliveshift_policy::{
-    fleet::{Offer, Stock, Want, suits, to_rent},
+    fleet::{CapacityRequest, FreeCapacity, Offer, machines_to_rent, offer_allowed},
     score::fits,
 };
 use oliveshift_wire::{
@@ -63,7 +63,7 @@
     /// Offers that the cloud has refused, and when to try them again.
     refused_offers: BTreeMap<Offer, Duration>,
     rent_requests: u64,
-    wants: Vec<Want>,
+    wants: Vec<CapacityRequest>,
     /// Recent jobs and when they were first seen.
     recent_jobs: BTreeMap<JobId, (Duration, Rc<JobSpec>)>,
     wanting_since: Option<Duration>,
@@ -127,7 +127,7 @@
     }
 
     /// Takes the capacity requests of the last plan.
-    pub fn set_capacity_requests(&mut self, now: Duration, wants: Vec<Want>) {
+    pub fn set_capacity_requests(&mut self, now: Duration, wants: Vec<CapacityRequest>) {
         if wants.is_empty() {
             self.wanting_since = None;
         } else if self.wanting_since.is_none() {
@@ -290,7 +290,7 @@
     /// fraction of its jobs that the aim names. Only spot capacity is reserved:
     /// on-demand capacity is freed by preemption, and a reserve of it would cost money
     /// all the time.
-    fn reserve(&self) -> Vec<Want> {
+    fn reserve(&self) -> Vec<CapacityRequest> {
         let zones = &self.settings.params.zones;
         let mut wants = Vec::new();
         for aim in &self.settings.params.objectives {
@@ -309,7 +309,7 @@
             if within >= self.fresh_start_s(spec) {
                 continue;
             }
-            wants.push(Want {
+            wants.push(CapacityRequest {
                 need: spec.amounts(),
                 tasks: spec.tasks,
                 spot: spec.spot,
@@ -326,7 +326,7 @@
         let offer = room.offer();
         let total = &room.candidate.total;
         let mut wants = self.fleet.wants.iter();
-        wants.any(|w| w.tasks > 0 && fits(&w.need, total) && suits(w, &offer))
+        wants.any(|w| w.tasks > 0 && fits(&w.need, total) && offer_allowed(w, &offer))
     }
 
     fn usable_rooms(&self) -> impl Iterator<Item = &MachineView> {
@@ -335,15 +335,15 @@
     }
 
     /// Whether the reserve still fits without these machines.
-    fn reserve_fits_without(&self, without: &[String], reserve: &[Want]) -> bool {
+    fn reserve_fits_without(&self, without: &[String], reserve: &[CapacityRequest]) -> bool {
         if reserve.is_empty() {
             return true;
         }
-        let mut stock = Stock::default();
+        let mut stock = FreeCapacity::default();
         for room in self.usable_rooms().filter(|r| !without.contains(&r.name)) {
             room.add_free_to(&mut stock, false);
         }
-        reserve.iter().all(|want| stock.count_on(want) == 0)
+        reserve.iter().all(|want| stock.allocate(want) == 0)
     }
 
     /// How long a machine may be idle. On-demand machines cost more than spot machines.
@@ -366,8 +366,8 @@
     }
 
     /// Free capacity of the usable machines and the machines that are rented.
-    fn stock(&self, rented: &[Offer], with_freed_soon: bool) -> Stock {
-        let mut stock = Stock::default();
+    fn stock(&self, rented: &[Offer], with_freed_soon: bool) -> FreeCapacity {
+        let mut stock = FreeCapacity::default();
         for room in self.usable_rooms() {
             room.add_free_to(&mut stock, with_freed_soon);
         }
@@ -378,7 +378,7 @@
     }
 
     /// Adds the whole capacity of a machine that is not up yet.
-    fn add_whole(&self, stock: &mut Stock, offer: &Offer) {
+    fn add_whole(&self, stock: &mut FreeCapacity, offer: &Offer) {
         if let Some(kind) = self.machine_types.get(&offer.kind) {
             stock.add(&offer.kind, &offer.zone, offer.spot, kind.amounts());
         }
@@ -422,7 +422,7 @@
         let load = |zone: &str| loads.get(zone).copied().unwrap_or(0);
         let wants = std::mem::take(&mut self.fleet.wants);
         let most = self.tuning.max_rent_batch;
-        let mut offers = to_rent(&wants, &mut stock, &types, closed, load, most);
+        let mut offers = machines_to_rent(&wants, &mut stock, &types, closed, load, most);
         let reserve = self.reserve();
         if !reserve.is_empty() {
             let mut stock = self.stock(&rented, false);
@@ -430,10 +430,12 @@
                 self.add_whole(&mut stock, offer);
             }
             for want in &wants {
-                stock.count_on(want);
+                stock.allocate(want);
             }
             let most = most.saturating_sub(offers.len());
-            offers.extend(to_rent(&reserve, &mut stock, &types, closed, load, most));
+            offers.extend(machines_to_rent(
+                &reserve, &mut stock, &types, closed, load, most,
+            ));
         }
         self.fleet.wants = wants;
         let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
--- a/crates/core/src/handout.rs
+++ b/crates/core/src/handout.rs
@@ -12,7 +12,7 @@
 
 use oliveshift_policy::{
     Candidate, Task, Weights,
-    fleet::{Want, how_many},
+    fleet::{CapacityRequest, count_fitting},
     ranking::Ranking,
     score::{fits, plus},
 };
@@ -55,7 +55,7 @@
     /// What each team uses, all that counts against its limit.
     pub used: BTreeMap<String, Amounts>,
     pub borrowed: HashSet<JobId>,
-    wants: Vec<Want>,
+    wants: Vec<CapacityRequest>,
     /// Machine types kept for tasks that fit nowhere else and have waited.
     scarce: Rc<BTreeSet<String>>,
     /// The types that tasks of a kind fit.
@@ -205,7 +205,7 @@
             let claim = claimed.entry(&spec.team).or_default();
             claim.cpus += need.cpus * left;
             claim.gpus += need.gpus * left;
-            let share = self.team_share(&spec.team).unwrap_or_default();
+            let share = self.team_quota(&spec.team).unwrap_or_default();
             let guaranteed = share.guarantees(claim);
             if !guaranteed {
                 plan.borrowed.insert(id.clone());
@@ -305,7 +305,7 @@
             let team = &queued.spec.team;
             let used = plan.used.get(team).copied().unwrap_or_default();
             let more = plus(&used, &queued.spec.amounts());
-            let share = self.team_share(team).unwrap_or_default();
+            let share = self.team_quota(team).unwrap_or_default();
             let held_back = !share.allows(&more);
             #[cfg(feature = "sabotage")]
             let held_back =
@@ -327,7 +327,7 @@
             return;
         };
         let Some(spec) = job.spec.clone() else { return };
-        let share = self.team_share(&spec.team).unwrap_or_default();
+        let share = self.team_quota(&spec.team).unwrap_or_default();
         let job_at = job.ready_ms as f64 / 1e3;
         let need = spec.amounts();
         let doubt = self.in_doubt(id, job);
@@ -502,7 +502,7 @@
             self.preempt_tasks(plan, queued, &spec, tasks, open);
             let waited = self.wall_clock.as_millis() as f64 / 1e3 - job_at;
             let patience = self.max_spot_wait_s(&spec);
-            plan.wants.push(Want {
+            plan.wants.push(CapacityRequest {
                 spot_only: spec.spot && waited < patience,
                 need,
                 tasks,
@@ -612,7 +612,7 @@
 fn roomiest_zone(plan: &Plan, spec: &JobSpec) -> Option<String> {
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
     for room in plan.inventory.list.iter().filter(|r| r.accepts(spec)) {
-        let n = how_many(&spec.amounts(), &room.candidate.free).min(spec.tasks);
+        let n = count_fitting(&spec.amounts(), &room.candidate.free).min(spec.tasks);
         let sum = zones.entry(&room.zone).or_default();
         *sum = sum.saturating_add(n);
     }
--- a/crates/core/src/inventory.rs
+++ b/crates/core/src/inventory.rs
@@ -9,7 +9,7 @@
 
 use oliveshift_policy::{
     Candidate,
-    fleet::{Offer, Stock},
+    fleet::{FreeCapacity, Offer},
     score::{minus, plus},
 };
 use oliveshift_wire::{
@@ -85,7 +85,7 @@
     /// Its free room after the last plan, for sizing the fleet; with what running
     /// work will probably have left by the time a machine rented now would be
     /// up, or without.
-    pub fn add_free_to(&self, stock: &mut Stock, with_freed_soon: bool) {
+    pub fn add_free_to(&self, stock: &mut FreeCapacity, with_freed_soon: bool) {
         let free = &self.candidate.free;
         let free = match with_freed_soon {
             true => plus(free, &self.freed_soon),
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use oliveshift_policy::{
-    fleet::how_many,
-    queue::may_preempt,
+    fleet::count_fitting,
+    quota::may_preempt,
     score::{fits, plus},
 };
 use oliveshift_wire::{
@@ -50,7 +50,7 @@
                 continue;
             }
             if let Some((free, victims)) = self.victims(plan, room, queued, &need) {
-                inventory.push((victims.len(), at, how_many(&need, &free), victims));
+                inventory.push((victims.len(), at, count_fitting(&need, &free), victims));
             }
         }
         // The fewest to be stopped first; those that were asked before are none.
--- a/crates/core/src/queue_order.rs
+++ b/crates/core/src/queue_order.rs
@@ -161,8 +161,8 @@
         mut queue: Vec<QueuedJob>,
     ) -> Vec<QueuedJob> {
         let mut lines = Lines::new(rooms, used);
-        let waiting = queue.iter().map(|queued| triage::Waiting {
-            stratum: triage::Stratum {
+        let waiting = queue.iter().map(|queued| triage::WaitingJob {
+            stratum: triage::PriorityBand {
                 behind_production: queued.priority != Priority::Production,
                 borrowed: !queued.guaranteed,
                 turn: triage::Turn::None,
@@ -194,7 +194,7 @@
         now: Duration,
         (rooms, used): (&[MachineView], &BTreeMap<String, Amounts>),
         queue: &mut [QueuedJob],
-        jobs: &mut [triage::Waiting],
+        jobs: &mut [triage::WaitingJob],
         order: &[usize],
     ) -> bool {
         let mut late: BTreeMap<Flow, (f64, OldestJob)> = BTreeMap::new();
@@ -285,7 +285,7 @@
 struct Lines<'a> {
     rooms: &'a [MachineView],
     used: &'a BTreeMap<String, Amounts>,
-    lines: Vec<triage::Line>,
+    lines: Vec<triage::SharedResource>,
     /// Total capacity of the machines of a set of types, without services.
     machines: BTreeMap<Rc<BTreeSet<String>>, (usize, Amounts)>,
     teams: BTreeMap<String, usize>,
@@ -311,7 +311,7 @@
         let machines = self.machines.entry(queued.types.clone());
         let (line, all) = machines.or_insert_with(|| {
             let (free, all) = machines_of(rooms, &queued.types);
-            lines.push(triage::Line {
+            lines.push(triage::SharedResource {
                 free: smallest_share(&free, &all),
             });
             (lines.len() - 1, all)
@@ -322,7 +322,7 @@
             let team = &queued.spec.team;
             let used = self.used.get(team).map_or(0.0, |u| u.cpus);
             let line = *self.teams.entry(team.clone()).or_insert_with(|| {
-                lines.push(triage::Line {
+                lines.push(triage::SharedResource {
                     free: (1.0 - used / limit).max(0.0),
                 });
                 lines.len() - 1
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -9,7 +9,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use oliveshift_policy::{queue::Share, score::fits};
+use oliveshift_policy::{quota::Quota, score::fits};
 use oliveshift_wire::{
     JobId, encode,
     job::{Amounts, JobPhase, JobSpec, JobStatus, Shape},
@@ -267,7 +267,7 @@
         if self.sabotage == Some(crate::Sabotage::NoAdmissionChecks) {
             return Ok(());
         }
-        let Some(team) = self.team_share(&spec.team) else {
+        let Some(team) = self.team_quota(&spec.team) else {
             return Err("unknown team");
         };
         if spec
@@ -302,9 +302,9 @@
     }
 
     /// Guarantee and limit of a team.
-    pub(crate) fn team_share(&self, team: &str) -> Option<Share> {
+    pub(crate) fn team_quota(&self, team: &str) -> Option<Quota> {
         let teams = &self.settings.params.teams;
-        teams.iter().find(|t| t.name == team).map(|t| Share {
+        teams.iter().find(|t| t.name == team).map(|t| Quota {
             guarantee: (t.cpus, t.gpus),
             limit: (t.cpus_max, t.gpus_max),
         })
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -6,7 +6,9 @@
     time::Duration,
 };
 
-use oliveshift_policy::graph::{Claim, Graph, Named, Own, Standing};
+use oliveshift_policy::graph::{
+    AwaitedState, DependencyGraph, EffectivePriority, JobDemand, Readiness,
+};
 use oliveshift_wire::{
     JobId,
     job::{JobSpec, Priority, Shape},
@@ -152,11 +154,11 @@
     }
 
     /// Its state for the jobs that await it.
-    fn awaited_state(&self) -> Named {
+    fn awaited_state(&self) -> AwaitedState {
         match self.phase {
-            Phase::Open => Named::Open,
-            Phase::Done => Named::Done(Duration::from_millis(self.done_ms.unwrap_or(0))),
-            Phase::Cancelled => Named::Cancelled,
+            Phase::Open => AwaitedState::Open,
+            Phase::Done => AwaitedState::Done(Duration::from_millis(self.done_ms.unwrap_or(0))),
+            Phase::Cancelled => AwaitedState::Cancelled,
         }
     }
 
@@ -229,7 +231,7 @@
     /// among them.
     pub active: BTreeSet<JobId>,
     /// The dependencies between the open jobs.
-    graph: Graph<JobId>,
+    graph: DependencyGraph<JobId>,
     /// The operators' settings.
     pub settings: Option<Versioned<Value>>,
     /// The format level in which all controllers write.
@@ -526,7 +528,7 @@
         };
         let arrived = Duration::from_millis(job.accepted_ms);
         let seconds = |s: f64| Duration::try_from_secs_f64(s).unwrap_or_default();
-        let own = Own {
+        let own = JobDemand {
             priority: spec.priority,
             length: seconds(spec.estimate_s),
             due: spec.deadline_s.map(|due| arrived + seconds(due)),
@@ -536,7 +538,7 @@
             let awaited_state = self
                 .jobs
                 .get(awaited)
-                .map_or(Named::Open, Job::awaited_state);
+                .map_or(AwaitedState::Open, Job::awaited_state);
             (awaited.clone(), awaited_state)
         });
         self.graph.open(id.clone(), own, awaits);
@@ -553,7 +555,7 @@
     }
 
     fn update_readiness(&mut self, id: &JobId) {
-        let Some(standing) = self.graph.standing(id) else {
+        let Some(standing) = self.graph.readiness(id) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(id) else {
@@ -561,27 +563,29 @@
         };
         #[cfg(feature = "sabotage")]
         match (self.sabotage, standing) {
-            (Some(crate::Sabotage::NoDependencies), Standing::Waits)
-            | (Some(crate::Sabotage::NoCancelCascade), Standing::Cancelled) => return,
+            (Some(crate::Sabotage::NoDependencies), Readiness::Waiting)
+            | (Some(crate::Sabotage::NoCancelCascade), Readiness::Cancelled) => return,
             _ => {}
         }
-        job.waits_for_dependencies = standing == Standing::Waits;
+        job.waits_for_dependencies = standing == Readiness::Waiting;
         match standing {
-            Standing::Waits => {}
-            Standing::Ready(since) => job.ready_ms = since.as_millis() as u64,
-            Standing::Cancelled => job.phase = Phase::Cancelled,
+            Readiness::Waiting => {}
+            Readiness::Ready(since) => job.ready_ms = since.as_millis() as u64,
+            Readiness::Cancelled => job.phase = Phase::Cancelled,
         }
     }
 
     /// The priority and latest start of an open job, with the needs of the jobs that
     /// await it; `None` if it is not in the dependency graph.
-    pub fn claim(&self, id: &JobId) -> Option<Claim> {
-        self.graph.claim(id)
+    pub fn claim(&self, id: &JobId) -> Option<EffectivePriority> {
+        self.graph.effective_priority(id)
     }
 
     /// The effective priority of a job; its own if it is not in the dependency graph.
     pub fn priority(&self, id: &JobId, spec: &JobSpec) -> Priority {
-        self.graph.claim(id).map_or(spec.priority, |c| c.priority)
+        self.graph
+            .effective_priority(id)
+            .map_or(spec.priority, |c| c.priority)
     }
 
     fn update_active(&mut self, id: &JobId) {
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -6,7 +6,7 @@
 
 /// Tasks for which there is no room.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Want {
+pub struct CapacityRequest {
     /// What each takes.
     pub need: Amounts,
     /// How many there are.
@@ -33,7 +33,7 @@
 }
 
 /// How many tasks of `need` fit into `room`.
-pub fn how_many(need: &Amounts, room: &Amounts) -> u32 {
+pub fn count_fitting(need: &Amounts, free: &Amounts) -> u32 {
     let by = |need: f64, room: f64| {
         if need > 0.0 {
             (room / need + 1e-6).floor().max(0.0)
@@ -41,9 +41,9 @@
             f64::INFINITY
         }
     };
-    let most = by(need.cpus, room.cpus)
-        .min(by(need.gpus, room.gpus))
-        .min(by(need.memory_gb, room.memory_gb));
+    let most = by(need.cpus, free.cpus)
+        .min(by(need.gpus, free.gpus))
+        .min(by(need.memory_gb, free.memory_gb));
     if most >= f64::from(u32::MAX) {
         u32::MAX
     } else {
@@ -57,9 +57,9 @@
 /// either: what a kind of want can have is worked out once, and what has no room
 /// left for one is not looked at for the next.
 #[derive(Clone, Debug, Default)]
-pub struct Stock {
+pub struct FreeCapacity {
     offers: Vec<Offer>,
-    rooms: Vec<(usize, Amounts)>,
+    machines: Vec<(usize, Amounts)>,
     kinds: Vec<Kind>,
     /// How often a machine was looked at.
     #[cfg(test)]
@@ -74,21 +74,21 @@
     types: Option<Vec<String>>,
     zones: Vec<String>,
     /// By offer, as far as they were looked at.
-    suits: Vec<bool>,
+    allowed_offers: Vec<bool>,
     /// No room before this one has any for it.
-    from: usize,
+    first_candidate: usize,
 }
 
 impl Kind {
-    fn is_of(&self, want: &Want) -> bool {
-        self.need == want.need
-            && self.spot == want.spot
-            && self.types == want.types
-            && self.zones == want.zones
+    fn is_of(&self, request: &CapacityRequest) -> bool {
+        self.need == request.need
+            && self.spot == request.spot
+            && self.types == request.types
+            && self.zones == request.zones
     }
 }
 
-impl Stock {
+impl FreeCapacity {
     /// Adds a machine with what it has free.
     pub fn add(&mut self, kind: &str, zone: &str, spot: bool, free: Amounts) {
         let same = |o: &Offer| o.spot == spot && o.zone == zone && o.kind == kind;
@@ -100,48 +100,49 @@
             });
             self.offers.len() - 1
         });
-        self.rooms.push((offer, free));
+        self.machines.push((offer, free));
     }
 
     /// The kind of a want, as its number.
-    fn kind(&mut self, want: &Want) -> usize {
-        let known = self.kinds.iter().position(|k| k.is_of(want));
+    fn kind(&mut self, request: &CapacityRequest) -> usize {
+        let known = self.kinds.iter().position(|k| k.is_of(request));
         let at = known.unwrap_or_else(|| {
             self.kinds.push(Kind {
-                need: want.need,
-                spot: want.spot,
-                types: want.types.clone(),
-                zones: want.zones.clone(),
-                suits: Vec::new(),
-                from: 0,
+                need: request.need,
+                spot: request.spot,
+                types: request.types.clone(),
+                zones: request.zones.clone(),
+                allowed_offers: Vec::new(),
+                first_candidate: 0,
             });
             self.kinds.len() - 1
         });
         let kind = &mut self.kinds[at];
-        let new = self.offers.iter().skip(kind.suits.len());
-        kind.suits.extend(new.map(|offer| suits(want, offer)));
+        let new = self.offers.iter().skip(kind.allowed_offers.len());
+        kind.allowed_offers
+            .extend(new.map(|offer| offer_allowed(request, offer)));
         at
     }
 
     /// Counts a want on what is there; returns how many of its tasks are left.
-    pub fn count_on(&mut self, want: &Want) -> u32 {
-        let at = self.kind(want);
+    pub fn allocate(&mut self, request: &CapacityRequest) -> u32 {
+        let at = self.kind(request);
         let kind = &mut self.kinds[at];
-        let mut left = want.tasks;
+        let mut left = request.tasks;
         while left > 0
-            && let Some((offer, free)) = self.rooms.get_mut(kind.from)
+            && let Some((offer, free)) = self.machines.get_mut(kind.first_candidate)
         {
             #[cfg(test)]
             {
                 self.looks += 1;
             }
-            if kind.suits[*offer] {
-                left -= put(&want.need, left, free);
-                if fits(&want.need, free) {
+            if kind.allowed_offers[*offer] {
+                left -= put(&request.need, left, free);
+                if fits(&request.need, free) {
                     break;
                 }
             }
-            kind.from += 1;
+            kind.first_candidate += 1;
         }
         left
     }
@@ -151,9 +152,9 @@
 /// to rent besides, at most `most` machines. `closed` tells which offers were
 /// refused lately; `load` how much there is in a zone already, so that equal
 /// prices spread.
-pub fn to_rent(
-    wants: &[Want],
-    stock: &mut Stock,
+pub fn machines_to_rent(
+    requests: &[CapacityRequest],
+    free_capacity: &mut FreeCapacity,
     types: &[MachineType],
     closed: impl Fn(&Offer) -> bool,
     load: impl Fn(&str) -> u32,
@@ -161,22 +162,22 @@
 ) -> Vec<Offer> {
     let mut rent = Vec::new();
     // Kinds of wants for which nothing can be had now.
-    let mut nothing: Vec<(usize, bool)> = Vec::new();
-    for want in wants {
-        let mut left = stock.count_on(want);
-        let kind = (stock.kind(want), want.spot_only);
-        while left > 0 && rent.len() < most && !nothing.contains(&kind) {
-            let Some((offer, total)) = cheapest(want, left, types, &closed, &load, &rent) else {
-                nothing.push(kind);
+    let mut unavailable: Vec<(usize, bool)> = Vec::new();
+    for request in requests {
+        let mut left = free_capacity.allocate(request);
+        let kind = (free_capacity.kind(request), request.spot_only);
+        while left > 0 && rent.len() < most && !unavailable.contains(&kind) {
+            let Some((offer, total)) = cheapest(request, left, types, &closed, &load, &rent) else {
+                unavailable.push(kind);
                 break;
             };
             let mut free = total;
-            let placed = put(&want.need, left, &mut free);
+            let placed = put(&request.need, left, &mut free);
             if placed == 0 {
                 break;
             }
             left -= placed;
-            stock.add(&offer.kind, &offer.zone, offer.spot, free);
+            free_capacity.add(&offer.kind, &offer.zone, offer.spot, free);
             rent.push(offer);
         }
     }
@@ -184,10 +185,13 @@
 }
 
 /// Whether a machine of a kind may take a want's tasks.
-pub fn suits(want: &Want, offer: &Offer) -> bool {
-    (want.spot || !offer.spot)
-        && want.zones.contains(&offer.zone)
-        && want.types.as_ref().is_none_or(|t| t.contains(&offer.kind))
+pub fn offer_allowed(request: &CapacityRequest, offer: &Offer) -> bool {
+    (request.spot || !offer.spot)
+        && request.zones.contains(&offer.zone)
+        && request
+            .types
+            .as_ref()
+            .is_none_or(|t| t.contains(&offer.kind))
 }
 
 /// Puts as many of the tasks there as fit.
@@ -203,7 +207,7 @@
 /// The offer with the lowest price for each of the tasks that it would really
 /// take; of equals, the zone with the least.
 fn cheapest(
-    want: &Want,
+    request: &CapacityRequest,
     left: u32,
     types: &[MachineType],
     closed: &impl Fn(&Offer) -> bool,
@@ -212,7 +216,7 @@
 ) -> Option<(Offer, Amounts)> {
     let mut top: Option<((f64, u32), Offer, Amounts)> = None;
     for kind in types {
-        let room = how_many(&want.need, &kind.amounts()).min(left);
+        let room = count_fitting(&request.need, &kind.amounts()).min(left);
         if room == 0 {
             continue;
         }
@@ -223,7 +227,8 @@
                     zone: zone.clone(),
                     spot,
                 };
-                if !suits(want, &offer) || (want.spot_only && !spot) || closed(&offer) {
+                if !offer_allowed(request, &offer) || (request.spot_only && !spot) || closed(&offer)
+                {
                     continue;
                 }
                 let price = if spot { kind.spot_price } else { kind.price };
@@ -257,8 +262,8 @@
         }
     }
 
-    fn want(tasks: u32, cpus: f64, spot: bool) -> Want {
-        Want {
+    fn request(tasks: u32, cpus: f64, spot: bool) -> CapacityRequest {
+        CapacityRequest {
             need: Amounts {
                 cpus,
                 gpus: 0.0,
@@ -280,16 +285,16 @@
             zone: zone.into(),
             spot,
         };
-        let mut stock = Stock::default();
-        stock.add("s", "a", true, types[0].amounts());
-        let wants = [want(3, 4.0, true)];
-        let got = to_rent(&wants, &mut stock, &types, |_| false, |_| 0, 9);
+        let mut free_capacity = FreeCapacity::default();
+        free_capacity.add("s", "a", true, types[0].amounts());
+        let requests = [request(3, 4.0, true)];
+        let got = machines_to_rent(&requests, &mut free_capacity, &types, |_| false, |_| 0, 9);
         assert_eq!(got, [offer("s", "a", true), offer("s", "b", true)]);
 
         // A large machine is cheaper for each of four tasks than four small.
-        let got = to_rent(
-            &[want(4, 4.0, false)],
-            &mut Stock::default(),
+        let got = machines_to_rent(
+            &[request(4, 4.0, false)],
+            &mut FreeCapacity::default(),
             &types,
             |o| o.zone == "a",
             |_| 0,
@@ -298,9 +303,9 @@
         assert_eq!(got, [offer("l", "b", false)]);
 
         // Nothing that could take the task.
-        let got = to_rent(
-            &[want(1, 99.0, true)],
-            &mut Stock::default(),
+        let got = machines_to_rent(
+            &[request(1, 99.0, true)],
+            &mut FreeCapacity::default(),
             &types,
             |_| false,
             |_| 0,
@@ -315,7 +320,7 @@
     #[test]
     fn machines_without_room_are_not_looked_at_again() {
         let types = [kind("s", 4.0, 0.3)];
-        let mut stock = Stock::default();
+        let mut free_capacity = FreeCapacity::default();
         for at in 0..1000 {
             let free = if at % 2 == 0 { 0.0 } else { 4.0 };
             let free = Amounts {
@@ -323,14 +328,14 @@
                 gpus: 0.0,
                 memory_gb: 16.0,
             };
-            stock.add("s", "a", true, free);
+            free_capacity.add("s", "a", true, free);
         }
-        let wants: Vec<_> = (0..2000)
-            .map(|i| want(1, [2.0, 4.0][i % 2], true))
+        let requests: Vec<_> = (0..2000)
+            .map(|i| request(1, [2.0, 4.0][i % 2], true))
             .collect();
-        let got = to_rent(&wants, &mut stock, &types, |_| true, |_| 0, 9);
+        let got = machines_to_rent(&requests, &mut free_capacity, &types, |_| true, |_| 0, 9);
         assert_eq!(got, []);
-        let looks = stock.looks;
+        let looks = free_capacity.looks;
         assert!(looks < 2 * 1000 + 2000, "{looks}");
     }
 }
--- a/crates/policy/src/graph.rs
+++ b/crates/policy/src/graph.rs
@@ -15,7 +15,7 @@
 
 /// What a job asks for by itself. Times of day count from 1970.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Own {
+pub struct JobDemand {
     /// Its own priority.
     pub priority: Priority,
     /// How long it takes once it has started, by its owner's estimate.
@@ -28,7 +28,7 @@
 
 /// How an awaited job stands when it is named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Named {
+pub enum AwaitedState {
     /// Not over, or not known yet.
     Open,
     /// Done at that time.
@@ -39,9 +39,9 @@
 
 /// What follows for an open job from those that it awaits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Readiness {
     /// Some of them are not done.
-    Waits,
+    Waiting,
     /// All are done: since then it may start.
     Ready(Duration),
     /// One of them is cancelled, and it with that one.
@@ -50,7 +50,7 @@
 
 /// What a job may claim, for itself and for those that need it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct EffectivePriority {
     /// The highest priority of itself and of all that need it. Production is
     /// not passed on: it is for what people look at.
     pub priority: Priority,
@@ -62,20 +62,20 @@
 /// What the jobs that need one claim, counted, so that each can be taken out
 /// again.
 #[derive(Debug, Default)]
-struct Pull {
+struct DependentPriorities {
     priorities: [u32; 4],
     latest: BTreeMap<Duration, u32>,
 }
 
-impl Pull {
-    fn add(&mut self, claim: &Claim) {
+impl DependentPriorities {
+    fn add(&mut self, claim: &EffectivePriority) {
         self.priorities[claim.priority as usize] += 1;
         if let Some(at) = claim.latest_start {
             *self.latest.entry(at).or_default() += 1;
         }
     }
 
-    fn remove(&mut self, claim: &Claim) {
+    fn remove(&mut self, claim: &EffectivePriority) {
         let count = &mut self.priorities[claim.priority as usize];
         *count = count.saturating_sub(1);
         if let Some(at) = claim.latest_start
@@ -107,18 +107,18 @@
 #[derive(Debug)]
 struct Node<K> {
     /// None while only others have named it.
-    own: Option<Own>,
+    own: Option<JobDemand>,
     /// Those that it awaits and that were open when it came.
     awaits: Vec<K>,
     /// How many of them are not done.
     missing: usize,
     /// When the last of the others was done.
-    since: Duration,
+    ready_since: Duration,
     cancelled: bool,
-    needed_by: BTreeSet<K>,
-    pull: Pull,
+    dependents: BTreeSet<K>,
+    dependent_priorities: DependentPriorities,
     /// What those that it awaits have counted for it.
-    given: Option<Claim>,
+    propagated: Option<EffectivePriority>,
     /// More than that of all it awaits, so that changes are passed on in
     /// order.
     depth: u32,
@@ -130,47 +130,47 @@
             own: None,
             awaits: Vec::new(),
             missing: 0,
-            since: Duration::ZERO,
+            ready_since: Duration::ZERO,
             cancelled: false,
-            needed_by: BTreeSet::new(),
-            pull: Pull::default(),
-            given: None,
+            dependents: BTreeSet::new(),
+            dependent_priorities: DependentPriorities::default(),
+            propagated: None,
             depth: 0,
         }
     }
 }
 
 impl<K> Node<K> {
-    fn claim(&self) -> Option<Claim> {
+    fn effective_priority(&self) -> Option<EffectivePriority> {
         let own = self.own.filter(|_| !self.cancelled)?;
-        let priority = self.pull.priority();
-        let due = [own.due, self.pull.latest_start()];
+        let priority = self.dependent_priorities.priority();
+        let due = [own.due, self.dependent_priorities.latest_start()];
         let due = due.into_iter().flatten().min();
-        Some(Claim {
+        Some(EffectivePriority {
             priority: priority.map_or(own.priority, |p| p.min(own.priority)),
             latest_start: due.map(|at| at.saturating_sub(own.length)),
         })
     }
 
-    fn standing(&self) -> Standing {
+    fn readiness(&self) -> Readiness {
         if self.cancelled {
-            Standing::Cancelled
+            Readiness::Cancelled
         } else if self.missing > 0 {
-            Standing::Waits
+            Readiness::Waiting
         } else {
-            Standing::Ready(self.since)
+            Readiness::Ready(self.ready_since)
         }
     }
 }
 
 /// All open jobs and what lies between them.
 #[derive(Debug)]
-pub struct Graph<K> {
+pub struct DependencyGraph<K> {
     nodes: HashMap<K, Node<K>>,
     changed: Vec<K>,
 }
 
-impl<K> Default for Graph<K> {
+impl<K> Default for DependencyGraph<K> {
     fn default() -> Self {
         Self {
             nodes: HashMap::new(),
@@ -179,10 +179,15 @@
     }
 }
 
-impl<K: Clone + Eq + Hash + Ord> Graph<K> {
+impl<K: Clone + Eq + Hash + Ord> DependencyGraph<K> {
     /// Takes an open job in, with how those that it awaits stand by their
     /// records.
-    pub fn open(&mut self, id: K, own: Own, awaits: impl IntoIterator<Item = (K, Named)>) {
+    pub fn open(
+        &mut self,
+        id: K,
+        own: JobDemand,
+        awaits: impl IntoIterator<Item = (K, AwaitedState)>,
+    ) {
         if self.nodes.get(&id).is_some_and(|n| n.own.is_some()) {
             return;
         }
@@ -192,9 +197,9 @@
         let mut depth = 0;
         for (awaited, named) in awaits {
             match named {
-                Named::Done(at) => since = since.max(at),
-                Named::Cancelled => cancelled = true,
-                Named::Open => {
+                AwaitedState::Done(at) => since = since.max(at),
+                AwaitedState::Cancelled => cancelled = true,
+                AwaitedState::Open => {
                     if let Some(node) = self.nodes.get(&awaited) {
                         cancelled |= node.cancelled;
                         depth = depth.max(node.depth + 1);
@@ -209,18 +214,18 @@
         }
         for awaited in &open {
             let node = self.nodes.entry(awaited.clone()).or_default();
-            node.needed_by.insert(id.clone());
+            node.dependents.insert(id.clone());
         }
         let node = self.nodes.entry(id.clone()).or_default();
         node.own = Some(own);
         node.missing = open.len();
         node.awaits = open;
-        node.since = since;
+        node.ready_since = since;
         node.depth = node.depth.max(depth);
         if cancelled {
             self.cancel(vec![id]);
         } else {
-            self.pass_on(vec![id]);
+            self.propagate(vec![id]);
         }
     }
 
@@ -229,14 +234,14 @@
         let Some(node) = self.nodes.remove(id) else {
             return;
         };
-        for needing in node.needed_by {
-            let Some(node) = self.nodes.get_mut(&needing) else {
+        for dependent in node.dependents {
+            let Some(node) = self.nodes.get_mut(&dependent) else {
                 continue;
             };
             node.missing = node.missing.saturating_sub(1);
-            node.since = node.since.max(at);
+            node.ready_since = node.ready_since.max(at);
             if node.missing == 0 && !node.cancelled {
-                self.changed.push(needing);
+                self.changed.push(dependent);
             }
         }
     }
@@ -251,7 +256,7 @@
 
     /// Cancels jobs with all that need them.
     fn cancel(&mut self, mut next: Vec<K>) {
-        let mut relieved = Vec::new();
+        let mut affected = Vec::new();
         while let Some(id) = next.pop() {
             let Some(node) = self.nodes.get_mut(&id) else {
                 continue;
@@ -260,49 +265,49 @@
                 continue;
             }
             self.changed.push(id.clone());
-            next.extend(node.needed_by.iter().cloned());
-            let given = node.given.take();
+            next.extend(node.dependents.iter().cloned());
+            let given = node.propagated.take();
             for awaited in std::mem::take(&mut node.awaits) {
                 let Some(node) = self.nodes.get_mut(&awaited) else {
                     continue;
                 };
-                node.needed_by.remove(&id);
+                node.dependents.remove(&id);
                 if let Some(given) = &given {
-                    node.pull.remove(given);
-                    relieved.push(awaited);
+                    node.dependent_priorities.remove(given);
+                    affected.push(awaited);
                 }
             }
         }
-        self.pass_on(relieved);
+        self.propagate(affected);
     }
 
     /// What these jobs claim may have changed: those that they await inherit
     /// it. The deepest go first, so that each is looked at once.
-    fn pass_on(&mut self, ids: Vec<K>) {
-        let deep = |nodes: &HashMap<K, Node<K>>, id: &K| nodes.get(id).map_or(0, |n| n.depth);
+    fn propagate(&mut self, ids: Vec<K>) {
+        let depth_of = |nodes: &HashMap<K, Node<K>>, id: &K| nodes.get(id).map_or(0, |n| n.depth);
         let mut next: BinaryHeap<(u32, K)> = ids
             .into_iter()
-            .map(|id| (deep(&self.nodes, &id), id))
+            .map(|id| (depth_of(&self.nodes, &id), id))
             .collect();
         while let Some((_, id)) = next.pop() {
             let Some(node) = self.nodes.get_mut(&id) else {
                 continue;
             };
-            let claim = node.claim();
-            if claim == node.given {
+            let claim = node.effective_priority();
+            if claim == node.propagated {
                 continue;
             }
-            let before = std::mem::replace(&mut node.given, claim);
+            let before = std::mem::replace(&mut node.propagated, claim);
             let awaits = std::mem::take(&mut node.awaits);
             for awaited in &awaits {
                 let Some(node) = self.nodes.get_mut(awaited) else {
                     continue;
                 };
                 if let Some(before) = &before {
-                    node.pull.remove(before);
+                    node.dependent_priorities.remove(before);
                 }
                 if let Some(claim) = &claim {
-                    node.pull.add(claim);
+                    node.dependent_priorities.add(claim);
                 }
                 next.push((node.depth, awaited.clone()));
             }
@@ -318,18 +323,18 @@
     }
 
     /// How an open job stands.
-    pub fn standing(&self, id: &K) -> Option<Standing> {
+    pub fn readiness(&self, id: &K) -> Option<Readiness> {
         let node = self.nodes.get(id).filter(|n| n.own.is_some())?;
-        Some(node.standing())
+        Some(node.readiness())
     }
 
     /// What an open job may claim; none if it is cancelled.
-    pub fn claim(&self, id: &K) -> Option<Claim> {
-        self.nodes.get(id)?.given
+    pub fn effective_priority(&self, id: &K) -> Option<EffectivePriority> {
+        self.nodes.get(id)?.propagated
     }
 
     /// The open jobs that await this one.
-    pub fn needed_by(&self, id: &K) -> impl Iterator<Item = &K> {
-        self.nodes.get(id).into_iter().flat_map(|n| &n.needed_by)
+    pub fn dependents(&self, id: &K) -> impl Iterator<Item = &K> {
+        self.nodes.get(id).into_iter().flat_map(|n| &n.dependents)
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,12 +7,12 @@
 //! for jobs that await others; [`fleet`] how many machines of which kind the
 //! waiting work asks for.
 
+pub mod fair_share;
 pub mod fleet;
 pub mod graph;
-pub mod queue;
+pub mod quota;
 pub mod ranking;
 pub mod score;
-pub mod share;
 pub mod triage;
 
 pub use score::{Candidate, Task, Weights, best};
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/quota.rs
@@ -5,14 +5,14 @@
 
 /// A team's guarantee and limit; 0: none.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Share {
+pub struct Quota {
     /// Guaranteed processors and accelerators.
     pub guarantee: (f64, f64),
     /// Most processors and accelerators; 0: no limit.
     pub limit: (f64, f64),
 }
 
-impl Share {
+impl Quota {
     /// Whether `used` keeps to the limit.
     pub fn allows(&self, used: &Amounts) -> bool {
         let within = |used: f64, limit: f64| limit <= 0.0 || used <= limit + 1e-6;
--- a/crates/policy/src/score.rs
+++ b/crates/policy/src/score.rs
@@ -10,38 +10,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Weights {
     /// Weight of the image score while the gate is open.
-    pub open: f64,
+    pub gate_open: f64,
     /// Weight of the image score while it is shut.
-    pub shut: f64,
+    pub gate_closed: f64,
     /// Cached bytes above which the gate can open, in MB (the paper names no
     /// unit).
-    pub min_cached_mb: f64,
+    pub gate_min_cached_mb: f64,
     /// Processor share below which it can open.
-    pub max_cpu: f64,
+    pub gate_max_cpu: f64,
     /// Half the gap between processor and memory share below which it can.
-    pub max_gap: f64,
+    pub gate_max_gap: f64,
     /// Ours: what a spot machine is worth to a task that may use it. Ordinary
     /// room is left to those who need it.
-    pub spot: f64,
+    pub spot_bonus: f64,
     /// Ours: what it is worth that a task fills a machine's processors. Large
     /// machines are left to large tasks.
-    pub snug: f64,
+    pub cpu_fill_bonus: f64,
     /// Ours: what it is worth to a service to be where services fill the
     /// machine. Whole machines become free to be returned.
-    pub pack: f64,
+    pub service_packing_bonus: f64,
 }
 
 impl Default for Weights {
     fn default() -> Self {
         Self {
-            open: 2.0,
-            shut: 1.5,
-            min_cached_mb: 10.0,
-            max_cpu: 0.6,
-            max_gap: 0.16,
-            spot: 80.0,
-            snug: 60.0,
-            pack: 150.0,
+            gate_open: 2.0,
+            gate_closed: 1.5,
+            gate_min_cached_mb: 10.0,
+            gate_max_cpu: 0.6,
+            gate_max_gap: 0.16,
+            spot_bonus: 80.0,
+            cpu_fill_bonus: 60.0,
+            service_packing_bonus: 150.0,
         }
     }
 }
@@ -128,21 +128,25 @@
     let free_cpu = share(on.free.cpus, on.total.cpus);
     let free_memory = share(on.free.memory_gb, on.total.memory_gb);
     let gap = (free_cpu - free_memory).abs() / 2.0;
-    let open = on.cached_gb * 1000.0 > weights.min_cached_mb
-        && 1.0 - free_cpu < weights.max_cpu
-        && gap < weights.max_gap;
+    let open = on.cached_gb * 1000.0 > weights.gate_min_cached_mb
+        && 1.0 - free_cpu < weights.gate_max_cpu
+        && gap < weights.gate_max_gap;
     let layers = 100.0 * share(on.cached_gb, *image_gb);
     let base = 100.0 * (free_cpu + free_memory) / 2.0;
-    let weight = if open { weights.open } else { weights.shut };
+    let weight = if open {
+        weights.gate_open
+    } else {
+        weights.gate_closed
+    };
     let spot = if task.spot && on.spot {
-        weights.spot
+        weights.spot_bonus
     } else {
         0.0
     };
     let place = if task.service {
-        weights.pack * on.service_share
+        weights.service_packing_bonus * on.service_share
     } else {
-        weights.snug * share(need.cpus, on.total.cpus)
+        weights.cpu_fill_bonus * share(need.cpus, on.total.cpus)
     };
     Some(weight * layers + base + spot + place)
 }
@@ -201,10 +205,10 @@
 
     fn papers() -> Weights {
         Weights {
-            shut: 0.5,
-            spot: 0.0,
-            snug: 0.0,
-            pack: 0.0,
+            gate_closed: 0.5,
+            spot_bonus: 0.0,
+            cpu_fill_bonus: 0.0,
+            service_packing_bonus: 0.0,
             ..Weights::default()
         }
     }
--- a/crates/policy/src/triage.rs
+++ b/crates/policy/src/triage.rs
@@ -30,7 +30,7 @@
 /// Something that jobs share and that can run out: the machines that they fit
 /// on, or what their team may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
+pub struct SharedResource {
     /// The share of it that is free now, 0 to 1.
     pub free: f64,
 }
@@ -48,7 +48,7 @@
 
 /// What comes before all that is said of time. Ordered: the smallest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Stratum {
+pub struct PriorityBand {
     /// Services in production come first, as people look at them.
     pub behind_production: bool,
     /// Then work within a guarantee, which must not wait for borrowers.
@@ -61,9 +61,9 @@
 
 /// A job with tasks that wait.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Waiting {
+pub struct WaitingJob {
     /// What comes before all else.
-    pub stratum: Stratum,
+    pub stratum: PriorityBand,
     /// Its place by arrival, or by the latest start that a deadline allows.
     pub order_ms: u64,
     /// The latest starts that its aims allow, in seconds from now, ascending;
@@ -78,7 +78,7 @@
     pub length_s: f64,
 }
 
-impl Waiting {
+impl WaitingJob {
     fn missed(&self) -> usize {
         self.latest_s.iter().filter(|at| **at < 0.0).count()
     }
@@ -112,7 +112,7 @@
 
     /// When the last of it starts, in seconds from now: what does not fit into
     /// the free room waits for its share of all work to be over.
-    fn last_start_s(&self, line: &Line) -> f64 {
+    fn last_start_s(&self, line: &SharedResource) -> f64 {
         if self.width <= line.free + 1e-9 {
             return 0.0;
         }
@@ -120,7 +120,7 @@
     }
 
     /// Whether the last of it starts too late for an aim.
-    fn is_too_late(&self, line: &Line, latest_s: f64) -> bool {
+    fn is_too_late(&self, line: &SharedResource, latest_s: f64) -> bool {
         self.last_start_s(line) * MARGIN > latest_s + ROUNDING_S
     }
 }
@@ -155,7 +155,7 @@
 
 /// The order in which `jobs` are served, as their numbers. Of jobs that are
 /// alike, the one with the smallest number goes first.
-pub fn order(jobs: &[Waiting], lines: &[Line]) -> Vec<usize> {
+pub fn order(jobs: &[WaitingJob], lines: &[SharedResource]) -> Vec<usize> {
     let mut loads = vec![Load::default(); lines.len()];
     let mut all: Vec<usize> = (0..jobs.len()).collect();
     all.sort_by_key(|at| (jobs[*at].stratum, jobs[*at].order_ms, *at));
@@ -173,21 +173,21 @@
     order
 }
 
-fn put(loads: &mut [Load], job: &Waiting) {
+fn put(loads: &mut [Load], job: &WaitingJob) {
     for (line, width) in &job.lines {
         loads[*line].add(*width, job.length_s);
     }
 }
 
-fn take_out(loads: &mut [Load], job: &Waiting) {
+fn take_out(loads: &mut [Load], job: &WaitingJob) {
     for (line, width) in &job.lines {
         loads[*line].add(-*width, job.length_s);
     }
 }
 
 fn in_tiers(
-    jobs: &[Waiting],
-    lines: &[Line],
+    jobs: &[WaitingJob],
+    lines: &[SharedResource],
     loads: &mut [Load],
     stratum: &[usize],
     order: &mut Vec<usize>,
@@ -234,8 +234,8 @@
 /// Which of the candidates can't keep the aim of this tier, so that as many as
 /// possible can.
 fn keep(
-    jobs: &[Waiting],
-    lines: &[Line],
+    jobs: &[WaitingJob],
+    lines: &[SharedResource],
     loads: &mut [Load],
     tier: usize,
     candidates: &[usize],
--- a/crates/policy/src/triage/backward.rs
+++ b/crates/policy/src/triage/backward.rs
@@ -8,14 +8,14 @@
 
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-use super::{Chosen, Line, Load, Waiting, take_out};
+use super::{Chosen, Load, SharedResource, WaitingJob, take_out};
 
 /// Orders jobs that all keep their aim of a tier in the order of `kept`. `loads` holds
 /// them and all that goes before them. A job without an aim in this tier keeps its
 /// place.
 pub(super) fn order(
-    jobs: &[Waiting],
-    lines: &[Line],
+    jobs: &[WaitingJob],
+    lines: &[SharedResource],
     loads: &[Load],
     tier: usize,
     kept: Vec<usize>,
@@ -33,8 +33,8 @@
 
 /// Gives places, the last first.
 struct Backward<'a> {
-    jobs: &'a [Waiting],
-    lines: &'a [Line],
+    jobs: &'a [WaitingJob],
+    lines: &'a [SharedResource],
     tier: usize,
     /// What has no place yet, and all that goes before it.
     loads: Vec<Load>,
@@ -49,8 +49,8 @@
 
 impl<'a> Backward<'a> {
     fn new(
-        jobs: &'a [Waiting],
-        lines: &'a [Line],
+        jobs: &'a [WaitingJob],
+        lines: &'a [SharedResource],
         loads: &[Load],
         tier: usize,
         aimed: &[usize],
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -4,10 +4,10 @@
 
 use oliveshift_policy::{
     Candidate, Task, Weights,
-    fleet::{Offer, Want, how_many, suits},
-    graph::{Claim, Named, Own, Standing},
+    fleet::{CapacityRequest, Offer, count_fitting, offer_allowed},
+    graph::{AwaitedState, EffectivePriority, JobDemand, Readiness},
     score::{fits, minus},
-    triage::{Line, Waiting},
+    triage::{SharedResource, WaitingJob},
 };
 use oliveshift_wire::{
     cloud::MachineType,
@@ -27,26 +27,26 @@
     let used_memory = 1.0 - on.free.memory_gb / on.total.memory_gb;
     let mut sum = 0.0;
     if on.cached_gb > 0.0 {
-        let light = used_cpu < w.max_cpu;
-        let balanced = (used_cpu - used_memory).abs() / 2.0 < w.max_gap;
-        let enough = on.cached_gb * 1000.0 > w.min_cached_mb;
+        let light = used_cpu < w.gate_max_cpu;
+        let balanced = (used_cpu - used_memory).abs() / 2.0 < w.gate_max_gap;
+        let enough = on.cached_gb * 1000.0 > w.gate_min_cached_mb;
         let layer = on.cached_gb / task.image_gb * 100.0;
         sum += layer
             * if light && balanced && enough {
-                w.open
+                w.gate_open
             } else {
-                w.shut
+                w.gate_closed
             };
     }
     sum += (1.0 - used_cpu) * 50.0;
     sum += (1.0 - used_memory) * 50.0;
     if on.spot && task.spot {
-        sum += w.spot;
+        sum += w.spot_bonus;
     }
     if task.service {
-        sum += w.pack * on.service_share;
+        sum += w.service_packing_bonus * on.service_share;
     } else {
-        sum += w.snug * task.need.cpus / on.total.cpus;
+        sum += w.cpu_fill_bonus * task.need.cpus / on.total.cpus;
     }
     Some(sum)
 }
@@ -68,11 +68,11 @@
 #[derive(Clone, Debug)]
 pub struct PlainJob {
     /// What it asks for.
-    pub own: Own,
+    pub own: JobDemand,
     /// The jobs that it awaits.
     pub awaits: Vec<u32>,
     /// What its record says.
-    pub recorded: Named,
+    pub recorded: AwaitedState,
 }
 
 /// Jobs by their numbers.
@@ -81,26 +81,26 @@
 /// Whether a job is cancelled, by its record or with one before it.
 fn is_cancelled(jobs: &PlainJobs, id: u32) -> bool {
     let job = &jobs[&id];
-    job.recorded == Named::Cancelled || job.awaits.iter().any(|a| is_cancelled(jobs, *a))
+    job.recorded == AwaitedState::Cancelled || job.awaits.iter().any(|a| is_cancelled(jobs, *a))
 }
 
 /// How an open job stands, by looking at all that it needs.
-pub fn standing(jobs: &PlainJobs, id: u32) -> Standing {
+pub fn standing(jobs: &PlainJobs, id: u32) -> Readiness {
     if is_cancelled(jobs, id) {
-        return Standing::Cancelled;
+        return Readiness::Cancelled;
     }
     let mut since = jobs[&id].own.arrived;
     for awaited in &jobs[&id].awaits {
         match jobs[awaited].recorded {
-            Named::Done(at) => since = since.max(at),
-            _ => return Standing::Waits,
+            AwaitedState::Done(at) => since = since.max(at),
+            _ => return Readiness::Waiting,
         }
     }
-    Standing::Ready(since)
+    Readiness::Ready(since)
 }
 
 /// What an open job may claim, by looking at all that need it.
-pub fn claim(jobs: &PlainJobs, id: u32) -> Option<Claim> {
+pub fn claim(jobs: &PlainJobs, id: u32) -> Option<EffectivePriority> {
     if is_cancelled(jobs, id) {
         return None;
     }
@@ -108,7 +108,7 @@
     let mut priority = own.priority;
     let mut due = own.due;
     for (other, job) in jobs {
-        let open = job.recorded == Named::Open && job.awaits.contains(&id);
+        let open = job.recorded == AwaitedState::Open && job.awaits.contains(&id);
         if let Some(theirs) = open.then(|| claim(jobs, *other)).flatten() {
             priority = priority.min(theirs.priority.max(Priority::High));
             due = match (due, theirs.latest_start) {
@@ -118,7 +118,7 @@
         }
     }
     let before = |at: Duration| at.saturating_sub(own.length);
-    Some(Claim {
+    Some(EffectivePriority {
         priority,
         latest_start: due.map(before),
     })
@@ -126,7 +126,7 @@
 
 /// When the last task of the last of `jobs` starts, by each line that it stands
 /// in, reckoned anew from all of them.
-fn last_start_s(all: &[Waiting], jobs: &[usize], line: usize, free: f64) -> f64 {
+fn last_start_s(all: &[WaitingJob], jobs: &[usize], line: usize, free: f64) -> f64 {
     let mine = jobs.iter().flat_map(|at| {
         let job = &all[*at];
         let here = job.lines.iter().filter(move |(l, _)| *l == line);
@@ -142,7 +142,7 @@
 
 /// The order of serving, job by job and tier by tier, with all sums made anew
 /// each time.
-pub fn order(all: &[Waiting], lines: &[Line]) -> Vec<usize> {
+pub fn order(all: &[WaitingJob], lines: &[SharedResource]) -> Vec<usize> {
     let mut left: Vec<usize> = (0..all.len()).collect();
     left.sort_by_key(|at| (all[*at].stratum, all[*at].order_ms, *at));
     let mut order: Vec<usize> = Vec::new();
@@ -249,9 +249,12 @@
 }
 
 /// How many of a want's tasks find no room, task by task and machine by machine.
-pub fn count_on(want: &Want, rooms: &mut [(Offer, Amounts)]) -> u32 {
+pub fn allocate(want: &CapacityRequest, rooms: &mut [(Offer, Amounts)]) -> u32 {
     let mut left = want.tasks;
-    for (_, free) in rooms.iter_mut().filter(|(offer, _)| suits(want, offer)) {
+    for (_, free) in rooms
+        .iter_mut()
+        .filter(|(offer, _)| offer_allowed(want, offer))
+    {
         while left > 0 && fits(&want.need, free) {
             *free = minus(free, &want.need);
             left -= 1;
@@ -261,8 +264,8 @@
 }
 
 /// What to rent, machine by machine: of all offers the cheapest for a task.
-pub fn to_rent(
-    wants: &[Want],
+pub fn machines_to_rent(
+    wants: &[CapacityRequest],
     rooms: &mut Vec<(Offer, Amounts)>,
     types: &[MachineType],
     closed: &[Offer],
@@ -270,11 +273,11 @@
 ) -> Vec<Offer> {
     let mut rent: Vec<Offer> = Vec::new();
     for want in wants {
-        let mut left = count_on(want, rooms);
+        let mut left = allocate(want, rooms);
         while left > 0 && rent.len() < most {
             let mut offers = Vec::new();
             for kind in types {
-                let room = how_many(&want.need, &kind.amounts()).min(left);
+                let room = count_fitting(&want.need, &kind.amounts()).min(left);
                 for (spot, price) in [(true, kind.spot_price), (false, kind.price)] {
                     for zone in &kind.zones {
                         let offer = Offer {
@@ -283,7 +286,7 @@
                             spot,
                         };
                         let there = rent.iter().filter(|o| o.zone == *zone).count();
-                        let allowed = suits(want, &offer) && (spot || !want.spot_only);
+                        let allowed = offer_allowed(want, &offer) && (spot || !want.spot_only);
                         if room > 0 && allowed && !closed.contains(&offer) {
                             let rank = (price / f64::from(room), there, offers.len());
                             offers.push((rank, offer, kind.amounts(), room));
--- a/crates/testkit/tests/policy.rs
+++ b/crates/testkit/tests/policy.rs
@@ -4,12 +4,12 @@
 
 use oliveshift_policy::{
     Candidate, Task, Weights, best,
-    fleet::{Offer, Stock, Want, to_rent},
-    graph::{Graph, Named, Own, Standing},
+    fair_share::max_min,
+    fleet::{CapacityRequest, FreeCapacity, Offer, machines_to_rent},
+    graph::{AwaitedState, DependencyGraph, JobDemand, Readiness},
     ranking::Ranking,
     score::minus,
-    share::max_min,
-    triage::{self, Line, Stratum, Turn, Waiting},
+    triage::{self, PriorityBand, SharedResource, Turn, WaitingJob},
 };
 use oliveshift_testkit::model::{self, PlainJob, PlainJobs};
 use oliveshift_wire::{
@@ -115,14 +115,14 @@
     assert!(placed > 400, "{placed}");
 }
 
-fn draw_own(rng: &mut fastrand::Rng, now: u64) -> Own {
+fn draw_own(rng: &mut fastrand::Rng, now: u64) -> JobDemand {
     let priorities = [
         Priority::Production,
         Priority::High,
         Priority::Normal,
         Priority::Low,
     ];
-    Own {
+    JobDemand {
         priority: priorities[rng.usize(0..4)],
         length: Duration::from_secs(rng.u64(0..30)),
         due: (rng.u32(0..3) == 0).then(|| Duration::from_secs(now + rng.u64(0..200))),
@@ -130,30 +130,30 @@
     }
 }
 
-fn compare(graph: &Graph<u32>, jobs: &PlainJobs, what: &str) {
+fn compare(graph: &DependencyGraph<u32>, jobs: &PlainJobs, what: &str) {
     for (id, job) in jobs {
-        if job.recorded == Named::Open {
-            let real = (graph.standing(id), graph.claim(id));
+        if job.recorded == AwaitedState::Open {
+            let real = (graph.readiness(id), graph.effective_priority(id));
             let plain = (Some(model::standing(jobs, *id)), model::claim(jobs, *id));
             assert_eq!(real, plain, "{what}: job {id}");
         } else {
-            assert_eq!(graph.standing(id), None, "{what}: job {id}");
+            assert_eq!(graph.readiness(id), None, "{what}: job {id}");
         }
     }
 }
 
 /// Enters a job as its record has it, in whatever order records are read.
-fn enter(graph: &mut Graph<u32>, read: &PlainJobs, id: u32, job: &PlainJob) {
+fn enter(graph: &mut DependencyGraph<u32>, read: &PlainJobs, id: u32, job: &PlainJob) {
     match job.recorded {
-        Named::Open => {
+        AwaitedState::Open => {
             let awaits = job.awaits.iter().map(|a| {
-                let known = read.get(a).map_or(Named::Open, |j| j.recorded);
+                let known = read.get(a).map_or(AwaitedState::Open, |j| j.recorded);
                 (*a, known)
             });
             graph.open(id, job.own, awaits.collect::<Vec<_>>());
         }
-        Named::Done(at) => graph.done(&id, at),
-        Named::Cancelled => graph.cancelled(&id),
+        AwaitedState::Done(at) => graph.done(&id, at),
+        AwaitedState::Cancelled => graph.cancelled(&id),
     }
 }
 
@@ -164,25 +164,25 @@
     let mut rng = fastrand::Rng::with_seed(13);
     let (mut waited, mut chained) = (0, 0);
     for round in 0..60 {
-        let mut graph = Graph::default();
+        let mut graph = DependencyGraph::default();
         let mut jobs = PlainJobs::new();
         for step in 0..60u64 {
             let open: Vec<u32> = jobs
                 .iter()
-                .filter(|(_, j)| j.recorded == Named::Open)
+                .filter(|(_, j)| j.recorded == AwaitedState::Open)
                 .map(|(id, _)| *id)
                 .collect();
             let chosen = rng.choice(open);
             match (rng.u32(0..10), chosen) {
                 (0, Some(id)) => {
                     graph.cancelled(&id);
-                    jobs.get_mut(&id).expect("known").recorded = Named::Cancelled;
+                    jobs.get_mut(&id).expect("known").recorded = AwaitedState::Cancelled;
                 }
                 (1..4, Some(id)) => {
-                    if let Standing::Ready(_) = model::standing(&jobs, id) {
+                    if let Readiness::Ready(_) = model::standing(&jobs, id) {
                         let at = Duration::from_secs(step + rng.u64(0..5));
                         graph.done(&id, at);
-                        jobs.get_mut(&id).expect("known").recorded = Named::Done(at);
+                        jobs.get_mut(&id).expect("known").recorded = AwaitedState::Done(at);
                     }
                 }
                 _ => {
@@ -191,7 +191,7 @@
                     let job = PlainJob {
                         own: draw_own(&mut rng, step),
                         awaits: rng.choose_multiple(jobs.keys().copied(), count),
-                        recorded: Named::Open,
+                        recorded: AwaitedState::Open,
                     };
                     enter(&mut graph, &jobs, id, &job);
                     jobs.insert(id, job);
@@ -201,18 +201,18 @@
         }
         let mut order: Vec<u32> = jobs.keys().copied().collect();
         rng.shuffle(&mut order);
-        let (mut graph, mut read) = (Graph::default(), PlainJobs::new());
+        let (mut graph, mut read) = (DependencyGraph::default(), PlainJobs::new());
         for id in order {
             enter(&mut graph, &read, id, &jobs[&id]);
             read.insert(id, jobs[&id].clone());
         }
         compare(&graph, &jobs, &format!("round {round}, read anew"));
         for (id, job) in &jobs {
-            if job.recorded == Named::Open {
+            if job.recorded == AwaitedState::Open {
                 match model::standing(&jobs, *id) {
-                    Standing::Waits => waited += 1,
-                    Standing::Cancelled => chained += 1,
-                    Standing::Ready(_) => {}
+                    Readiness::Waiting => waited += 1,
+                    Readiness::Cancelled => chained += 1,
+                    Readiness::Ready(_) => {}
                 }
             }
         }
@@ -225,24 +225,24 @@
 #[test]
 fn deep_and_broad_graphs() {
     const MANY: u32 = 5000;
-    let own = |priority| Own {
+    let own = |priority| JobDemand {
         priority,
         length: Duration::from_secs(1),
         due: None,
         arrived: Duration::ZERO,
     };
     let at = Duration::from_secs(9);
-    let mut chain = Graph::default();
+    let mut chain = DependencyGraph::default();
     for id in 0..MANY {
-        let before = id.checked_sub(1).map(|b| (b, Named::Open));
+        let before = id.checked_sub(1).map(|b| (b, AwaitedState::Open));
         chain.open(id, own(Priority::Low), before);
     }
-    let last = Own {
+    let last = JobDemand {
         due: Some(Duration::from_secs(10_000)),
         ..own(Priority::High)
     };
-    chain.open(MANY, last, [(MANY - 1, Named::Open)]);
-    let first = chain.claim(&0).expect("open");
+    chain.open(MANY, last, [(MANY - 1, AwaitedState::Open)]);
+    let first = chain.effective_priority(&0).expect("open");
     assert_eq!(first.priority, Priority::High);
     let start = Duration::from_secs(10_000 - u64::from(MANY) - 1);
     assert_eq!(first.latest_start, Some(start));
@@ -251,25 +251,28 @@
     chain.cancelled(&1);
     assert_eq!(chain.take_changed().len() as u32, MANY);
 
-    let mut broad = Graph::default();
+    let mut broad = DependencyGraph::default();
     broad.open(0, own(Priority::Low), []);
     for id in 1..MANY {
-        broad.open(id, own(Priority::Low), [(0, Named::Open)]);
+        broad.open(id, own(Priority::Low), [(0, AwaitedState::Open)]);
     }
-    let all = (1..MANY).map(|id| (id, Named::Open));
+    let all = (1..MANY).map(|id| (id, AwaitedState::Open));
     broad.open(MANY, own(Priority::Normal), all);
-    assert_eq!(broad.claim(&0).map(|c| c.priority), Some(Priority::Normal));
+    assert_eq!(
+        broad.effective_priority(&0).map(|c| c.priority),
+        Some(Priority::Normal)
+    );
     broad.done(&0, at);
     assert_eq!(broad.take_changed().len() as u32, MANY - 1);
     for id in 1..MANY {
-        assert_eq!(broad.standing(&MANY), Some(Standing::Waits));
+        assert_eq!(broad.readiness(&MANY), Some(Readiness::Waiting));
         broad.done(&id, at);
     }
     assert_eq!(broad.take_changed(), [MANY]);
-    assert_eq!(broad.standing(&MANY), Some(Standing::Ready(at)));
+    assert_eq!(broad.readiness(&MANY), Some(Readiness::Ready(at)));
 }
 
-fn draw_waiting(rng: &mut fastrand::Rng, lines: usize) -> Waiting {
+fn draw_waiting(rng: &mut fastrand::Rng, lines: usize) -> WaitingJob {
     let aims = rng.usize(0..4);
     let mut latest_s: Vec<f64> = (0..aims).map(|_| rng.f64() * 200.0 - 40.0).collect();
     latest_s.sort_by(f64::total_cmp);
@@ -279,8 +282,8 @@
         let other = (places[0].0 + 1) % lines;
         places.push((other, rng.f64()));
     }
-    Waiting {
-        stratum: Stratum {
+    WaitingJob {
+        stratum: PriorityBand {
             behind_production: priority != Priority::Production,
             borrowed: rng.bool(),
             turn: match rng.u32(0..16) {
@@ -304,7 +307,7 @@
     let mut put_back = 0;
     for _ in 0..600 {
         let lines: Vec<_> = (0..3)
-            .map(|_| Line {
+            .map(|_| SharedResource {
                 free: rng.f64() * 0.4,
             })
             .collect();
@@ -322,10 +325,10 @@
 }
 
 /// A job of one kind of room with one aim, within so many seconds.
-fn draw_aimed(rng: &mut fastrand::Rng, within_s: f64) -> Waiting {
+fn draw_aimed(rng: &mut fastrand::Rng, within_s: f64) -> WaitingJob {
     let latest = rng.f64() * within_s;
-    Waiting {
-        stratum: Stratum {
+    WaitingJob {
+        stratum: PriorityBand {
             behind_production: true,
             borrowed: true,
             turn: Turn::None,
@@ -366,7 +369,7 @@
             })
             .max()
             .unwrap_or(0);
-        let order = triage::order(&jobs, &[Line { free: 0.0 }]);
+        let order = triage::order(&jobs, &[SharedResource { free: 0.0 }]);
         let got = kept(&mut order.into_iter());
         assert!(got >= most, "{got} of {most}");
         dropped += u32::from(most < count as u32);
@@ -417,7 +420,7 @@
             continue;
         };
         judged += 1;
-        let order = triage::order(&jobs, &[Line { free: 0.0 }]);
+        let order = triage::order(&jobs, &[SharedResource { free: 0.0 }]);
         let got = sum_of_ends(&order).expect("all aims can be kept");
         assert!(got <= least + 1e-6, "{got} instead of {least}: {jobs:?}");
         let mut by_latest = numbers;
@@ -466,7 +469,7 @@
             spot: rng.bool(),
         };
         let mut rooms = Vec::new();
-        let mut stock = Stock::default();
+        let mut stock = FreeCapacity::default();
         for _ in 0..rng.usize(0..40) {
             let offer = offer(&mut rng);
             let cpus = f64::from(rng.u32(0..17));
@@ -480,7 +483,7 @@
         }
         let closed: Vec<_> = (0..rng.usize(0..8)).map(|_| offer(&mut rng)).collect();
         let wants: Vec<_> = (0..rng.usize(1..30))
-            .map(|_| Want {
+            .map(|_| CapacityRequest {
                 need: Amounts {
                     cpus: [0.25, 2.0, 4.0, 8.0, 32.0][rng.usize(0..5)],
                     gpus: 0.0,
@@ -499,13 +502,13 @@
             .collect();
         let most = rng.usize(0..12);
         let is_closed = |o: &Offer| closed.contains(o);
-        let real = to_rent(&wants, &mut stock, &types, is_closed, |_| 0, most);
-        let plain = model::to_rent(&wants, &mut rooms, &types, &closed, most);
+        let real = machines_to_rent(&wants, &mut stock, &types, is_closed, |_| 0, most);
+        let plain = model::machines_to_rent(&wants, &mut rooms, &types, &closed, most);
         assert_eq!(real, plain, "{wants:?}");
         rented += real.len();
         for want in &wants {
-            let left = stock.count_on(want);
-            assert_eq!(left, model::count_on(want, &mut rooms), "{want:?}");
+            let left = stock.allocate(want);
+            assert_eq!(left, model::allocate(want, &mut rooms), "{want:?}");
             placed += want.tasks - left;
         }
     }
