--- a/crates/core/src/handout.rs
+++ b/crates/core/src/handout.rs
@@ -244,7 +244,7 @@
                     priority: self.view.priority(id, spec),
                     order_ms: latest.map_or(at, |at| at.as_millis() as u64),
                     waited_s: waited_s(self.wall_clock, job.ready_ms),
-                    latest_s: latest_starts(aims, job, spec, self.wall_clock, takes_s),
+                    latest_starts_s: latest_starts(aims, job, spec, self.wall_clock, takes_s),
                     started: job.assigned_total() > 0,
                     length_s,
                     starved_turn: false,
--- a/crates/core/src/queue_order.rs
+++ b/crates/core/src/queue_order.rs
@@ -51,7 +51,7 @@
     /// How long it has been ready to start, in seconds.
     pub waited_s: f64,
     /// The latest starts that its aims allow, in seconds from now, ascending.
-    pub latest_s: Vec<f64>,
+    pub latest_starts_s: Vec<f64>,
     /// Whether some of its tasks are assigned.
     pub started: bool,
     /// Expected run time of a task, in seconds.
@@ -162,16 +162,16 @@
     ) -> Vec<QueuedJob> {
         let mut lines = Lines::new(rooms, used);
         let waiting = queue.iter().map(|queued| triage::WaitingJob {
-            stratum: triage::PriorityBand {
+            band: triage::PriorityBand {
                 behind_production: queued.priority != Priority::Production,
                 borrowed: !queued.guaranteed,
                 turn: triage::Turn::None,
                 priority: queued.priority,
             },
             order_ms: queued.order_ms,
-            latest_s: queued.latest_s.clone(),
-            begun: queued.started,
-            lines: lines.places(queued),
+            latest_starts_s: queued.latest_starts_s.clone(),
+            started: queued.started,
+            resources: lines.places(queued),
             length_s: queued.length_s,
         });
         let mut jobs: Vec<_> = waiting.collect();
@@ -204,11 +204,11 @@
             // Low priority only uses otherwise idle capacity and has no minimum share: a
             // batch of thousands of tasks made urgent work wait for 3 s on average.
             let entitled = queued.priority != Priority::Low;
-            if entitled && queued.waited_s > queued.time_left_s(queued.latest_s.first()) {
+            if entitled && queued.waited_s > queued.time_left_s(queued.latest_starts_s.first()) {
                 long.insert(flow.clone());
             }
             let older = |(waited, _): &(f64, OldestJob)| *waited >= queued.waited_s;
-            if queued.time_left_s(queued.latest_s.last()) < 0.0
+            if queued.time_left_s(queued.latest_starts_s.last()) < 0.0
                 && !late.get(flow).is_some_and(older)
             {
                 let oldest = OldestJob {
@@ -234,7 +234,7 @@
             let by_floor = first || turns.contains(&queued.id);
             queued.starved_turn = starved.contains(&queued.id);
             if by_floor || queued.starved_turn {
-                jobs[*at].stratum.turn = match queued.starved_turn {
+                jobs[*at].band.turn = match queued.starved_turn {
                     true => triage::Turn::Starved,
                     false => triage::Turn::MinimumShare,
                 };
--- a/crates/policy/src/triage.rs
+++ b/crates/policy/src/triage.rs
@@ -63,36 +63,36 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WaitingJob {
     /// What comes before all else.
-    pub stratum: PriorityBand,
+    pub band: PriorityBand,
     /// Its place by arrival, or by the latest start that a deadline allows.
     pub order_ms: u64,
     /// The latest starts that its aims allow, in seconds from now, ascending;
     /// below 0: missed.
-    pub latest_s: Vec<f64>,
+    pub latest_starts_s: Vec<f64>,
     /// Whether some of its tasks are out already.
-    pub begun: bool,
+    pub started: bool,
     /// The lines that it stands in, and what share of each its waiting tasks
     /// would take if all of them ran at once.
-    pub lines: Vec<(usize, f64)>,
+    pub resources: Vec<(usize, f64)>,
     /// How long a task takes, in seconds.
     pub length_s: f64,
 }
 
 impl WaitingJob {
     fn missed(&self) -> usize {
-        self.latest_s.iter().filter(|at| **at < 0.0).count()
+        self.latest_starts_s.iter().filter(|at| **at < 0.0).count()
     }
 
     /// Whether it comes first in a tier and is not taken out for others: what
     /// has been begun and can still be in time is brought to its end, as the work
     /// that it has had is of no use to anybody otherwise.
     fn is_held(&self, tier: usize) -> bool {
-        self.begun && self.latest_s.len() > tier
+        self.started && self.latest_starts_s.len() > tier
     }
 
     /// Its work: of the line of which it takes most.
     pub fn work(&self) -> f64 {
-        let widths = self.lines.iter().map(|(_, width)| *width);
+        let widths = self.resources.iter().map(|(_, width)| *width);
         widths.fold(0.0, f64::max) * self.length_s
     }
 }
@@ -112,16 +112,16 @@
 
     /// When the last of it starts, in seconds from now: what does not fit into
     /// the free room waits for its share of all work to be over.
-    fn last_start_s(&self, line: &SharedResource) -> f64 {
-        if self.width <= line.free + 1e-9 {
+    fn last_start_s(&self, resource: &SharedResource) -> f64 {
+        if self.width <= resource.free + 1e-9 {
             return 0.0;
         }
-        self.work * (1.0 - line.free / self.width)
+        self.work * (1.0 - resource.free / self.width)
     }
 
     /// Whether the last of it starts too late for an aim.
-    fn is_too_late(&self, line: &SharedResource, latest_s: f64) -> bool {
-        self.last_start_s(line) * MARGIN > latest_s + ROUNDING_S
+    fn is_too_late(&self, resource: &SharedResource, latest_starts_s: f64) -> bool {
+        self.last_start_s(resource) * MARGIN > latest_starts_s + ROUNDING_S
     }
 }
 
@@ -155,17 +155,17 @@
 
 /// The order in which `jobs` are served, as their numbers. Of jobs that are
 /// alike, the one with the smallest number goes first.
-pub fn order(jobs: &[WaitingJob], lines: &[SharedResource]) -> Vec<usize> {
-    let mut loads = vec![Load::default(); lines.len()];
+pub fn order(jobs: &[WaitingJob], resources: &[SharedResource]) -> Vec<usize> {
+    let mut loads = vec![Load::default(); resources.len()];
     let mut all: Vec<usize> = (0..jobs.len()).collect();
-    all.sort_by_key(|at| (jobs[*at].stratum, jobs[*at].order_ms, *at));
+    all.sort_by_key(|at| (jobs[*at].band, jobs[*at].order_ms, *at));
     let mut order = Vec::with_capacity(all.len());
-    for stratum in all.chunk_by(|a, b| jobs[*a].stratum == jobs[*b].stratum) {
-        if jobs[stratum[0]].stratum.behind_production {
-            in_tiers(jobs, lines, &mut loads, stratum, &mut order);
+    for band in all.chunk_by(|a, b| jobs[*a].band == jobs[*b].band) {
+        if jobs[band[0]].band.behind_production {
+            in_tiers(jobs, resources, &mut loads, band, &mut order);
         } else {
-            order.extend_from_slice(stratum);
-            for at in stratum {
+            order.extend_from_slice(band);
+            for at in band {
                 put(&mut loads, &jobs[*at]);
             }
         }
@@ -174,30 +174,30 @@
 }
 
 fn put(loads: &mut [Load], job: &WaitingJob) {
-    for (line, width) in &job.lines {
-        loads[*line].add(*width, job.length_s);
+    for (resource, width) in &job.resources {
+        loads[*resource].add(*width, job.length_s);
     }
 }
 
 fn take_out(loads: &mut [Load], job: &WaitingJob) {
-    for (line, width) in &job.lines {
-        loads[*line].add(-*width, job.length_s);
+    for (resource, width) in &job.resources {
+        loads[*resource].add(-*width, job.length_s);
     }
 }
 
 fn in_tiers(
     jobs: &[WaitingJob],
-    lines: &[SharedResource],
+    resources: &[SharedResource],
     loads: &mut [Load],
-    stratum: &[usize],
+    band: &[usize],
     order: &mut Vec<usize>,
 ) {
-    let most = stratum.iter().map(|at| jobs[*at].latest_s.len());
+    let most = band.iter().map(|at| jobs[*at].latest_starts_s.len());
     let tiers = most.max().unwrap_or(0).max(1);
     let mut by_tier: Vec<Vec<usize>> = vec![Vec::new(); tiers];
     let mut late = Vec::new();
-    for at in stratum {
-        let aims = jobs[*at].latest_s.len().max(1);
+    for at in band {
+        let aims = jobs[*at].latest_starts_s.len().max(1);
         match jobs[*at].missed() {
             missed if missed < aims => by_tier[missed].push(*at),
             _ => late.push(*at),
@@ -207,13 +207,13 @@
         let mut candidates = std::mem::take(&mut by_tier[tier]);
         // Those taken out of the tier before come in their place.
         candidates.sort_by_key(|at| (!jobs[*at].is_held(tier), jobs[*at].order_ms, *at));
-        let out = keep(jobs, lines, loads, tier, &candidates);
+        let out = keep(jobs, resources, loads, tier, &candidates);
         let kept = candidates.iter().copied().filter(|at| !out.contains(at));
         let (held, kept): (Vec<usize>, Vec<usize>) = kept.partition(|at| jobs[*at].is_held(tier));
         order.extend(held);
-        order.extend(backward::order(jobs, lines, loads, tier, kept));
+        order.extend(backward::order(jobs, resources, loads, tier, kept));
         for at in out {
-            if tier + 1 < jobs[at].latest_s.len() {
+            if tier + 1 < jobs[at].latest_starts_s.len() {
                 by_tier[tier + 1].push(at);
             } else {
                 late.push(at);
@@ -235,28 +235,29 @@
 /// possible can.
 fn keep(
     jobs: &[WaitingJob],
-    lines: &[SharedResource],
+    resources: &[SharedResource],
     loads: &mut [Load],
     tier: usize,
     candidates: &[usize],
 ) -> BTreeSet<usize> {
     let mut out = BTreeSet::new();
-    let mut chosen: Vec<BinaryHeap<Chosen>> = lines.iter().map(|_| BinaryHeap::new()).collect();
+    let mut chosen: Vec<BinaryHeap<Chosen>> = resources.iter().map(|_| BinaryHeap::new()).collect();
     for at in candidates {
         let job = &jobs[*at];
         put(loads, job);
-        for (line, width) in job.lines.iter().filter(|_| !job.is_held(tier)) {
+        for (resource, width) in job.resources.iter().filter(|_| !job.is_held(tier)) {
             let work = width * job.length_s;
-            chosen[*line].push(Chosen { work, job: *at });
+            chosen[*resource].push(Chosen { work, job: *at });
         }
-        let Some(latest) = job.latest_s.get(tier) else {
+        let Some(latest) = job.latest_starts_s.get(tier) else {
             continue;
         };
         while !out.contains(at) {
-            let mut mine = job.lines.iter().map(|(line, _)| *line);
-            let crowded = mine.find(|line| loads[*line].is_too_late(&lines[*line], *latest));
-            let Some(line) = crowded else { break };
-            let largest = std::iter::from_fn(|| chosen[line].pop());
+            let mut mine = job.resources.iter().map(|(resource, _)| *resource);
+            let crowded =
+                mine.find(|resource| loads[*resource].is_too_late(&resources[*resource], *latest));
+            let Some(resource) = crowded else { break };
+            let largest = std::iter::from_fn(|| chosen[resource].pop());
             let largest = largest.map(|c| c.job).find(|j| !out.contains(j));
             let largest = largest.unwrap_or(*at);
             take_out(loads, &jobs[largest]);
--- a/crates/policy/src/triage/backward.rs
+++ b/crates/policy/src/triage/backward.rs
@@ -15,14 +15,14 @@
 /// place.
 pub(super) fn order(
     jobs: &[WaitingJob],
-    lines: &[SharedResource],
+    resources: &[SharedResource],
     loads: &[Load],
     tier: usize,
     kept: Vec<usize>,
 ) -> Vec<usize> {
-    let has_aim = |at: &usize| jobs[*at].latest_s.len() > tier;
+    let has_aim = |at: &usize| jobs[*at].latest_starts_s.len() > tier;
     let aimed: Vec<usize> = kept.iter().copied().filter(has_aim).collect();
-    let backward = Backward::new(jobs, lines, loads, tier, &aimed);
+    let backward = Backward::new(jobs, resources, loads, tier, &aimed);
     let mut ordered = backward.order(&aimed).into_iter();
     let place = |at: usize| match has_aim(&at) {
         true => ordered.next(),
@@ -34,7 +34,7 @@
 /// Gives places, the last first.
 struct Backward<'a> {
     jobs: &'a [WaitingJob],
-    lines: &'a [SharedResource],
+    resources: &'a [SharedResource],
     tier: usize,
     /// What has no place yet, and all that goes before it.
     loads: Vec<Load>,
@@ -50,23 +50,25 @@
 impl<'a> Backward<'a> {
     fn new(
         jobs: &'a [WaitingJob],
-        lines: &'a [SharedResource],
+        resources: &'a [SharedResource],
         loads: &[Load],
         tier: usize,
         aimed: &[usize],
     ) -> Self {
         let mut by_latest = aimed.to_vec();
-        by_latest.sort_by(|a, b| jobs[*a].latest_s[tier].total_cmp(&jobs[*b].latest_s[tier]));
-        let mut too_late: Vec<Vec<usize>> = vec![Vec::new(); lines.len()];
+        by_latest.sort_by(|a, b| {
+            jobs[*a].latest_starts_s[tier].total_cmp(&jobs[*b].latest_starts_s[tier])
+        });
+        let mut too_late: Vec<Vec<usize>> = vec![Vec::new(); resources.len()];
         for at in &by_latest {
-            for (line, _) in &jobs[*at].lines {
-                too_late[*line].push(*at);
+            for (resource, _) in &jobs[*at].resources {
+                too_late[*resource].push(*at);
             }
         }
-        let too_late_in = aimed.iter().map(|at| (*at, jobs[*at].lines.len()));
+        let too_late_in = aimed.iter().map(|at| (*at, jobs[*at].resources.len()));
         Self {
             jobs,
-            lines,
+            resources,
             tier,
             loads: loads.to_vec(),
             too_late,
@@ -78,15 +80,15 @@
     /// The jobs in their order. Those that no place is found for, by rounding, come
     /// first, as they were.
     fn order(mut self, aimed: &[usize]) -> Vec<usize> {
-        for line in 0..self.lines.len() {
-            self.look_at(line);
+        for resource in 0..self.resources.len() {
+            self.look_at(resource);
         }
         let mut from_last = Vec::with_capacity(aimed.len());
         while let Some(Chosen { job, .. }) = self.suited.pop() {
             from_last.push(job);
             take_out(&mut self.loads, &self.jobs[job]);
-            for (line, _) in &self.jobs[job].lines {
-                self.look_at(*line);
+            for (resource, _) in &self.jobs[job].resources {
+                self.look_at(*resource);
             }
         }
         let placed: HashSet<usize> = from_last.iter().copied().collect();
@@ -95,18 +97,20 @@
     }
 
     /// Finds the jobs of a line that would not be too late in it any more.
-    fn look_at(&mut self, line: usize) {
-        while let Some(at) = self.too_late[line].last().copied() {
+    fn look_at(&mut self, resource: usize) {
+        while let Some(at) = self.too_late[resource].last().copied() {
             let job = &self.jobs[at];
-            if self.loads[line].is_too_late(&self.lines[line], job.latest_s[self.tier]) {
+            if self.loads[resource]
+                .is_too_late(&self.resources[resource], job.latest_starts_s[self.tier])
+            {
                 return;
             }
-            self.too_late[line].pop();
-            let Some(lines) = self.too_late_in.get_mut(&at) else {
+            self.too_late[resource].pop();
+            let Some(resources) = self.too_late_in.get_mut(&at) else {
                 continue;
             };
-            *lines -= 1;
-            if *lines == 0 {
+            *resources -= 1;
+            if *resources == 0 {
                 let work = job.work();
                 self.suited.push(Chosen { work, job: at });
             }
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -126,10 +126,10 @@
 
 /// When the last task of the last of `jobs` starts, by each line that it stands
 /// in, reckoned anew from all of them.
-fn last_start_s(all: &[WaitingJob], jobs: &[usize], line: usize, free: f64) -> f64 {
+fn last_start_s(all: &[WaitingJob], jobs: &[usize], resource: usize, free: f64) -> f64 {
     let mine = jobs.iter().flat_map(|at| {
         let job = &all[*at];
-        let here = job.lines.iter().filter(move |(l, _)| *l == line);
+        let here = job.resources.iter().filter(move |(l, _)| *l == resource);
         here.map(move |(_, width)| (*width, width * job.length_s))
     });
     let (width, work) = mine.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
@@ -142,43 +142,43 @@
 
 /// The order of serving, job by job and tier by tier, with all sums made anew
 /// each time.
-pub fn order(all: &[WaitingJob], lines: &[SharedResource]) -> Vec<usize> {
+pub fn order(all: &[WaitingJob], resources: &[SharedResource]) -> Vec<usize> {
     let mut left: Vec<usize> = (0..all.len()).collect();
-    left.sort_by_key(|at| (all[*at].stratum, all[*at].order_ms, *at));
+    left.sort_by_key(|at| (all[*at].band, all[*at].order_ms, *at));
     let mut order: Vec<usize> = Vec::new();
     while let Some(first) = left.first().copied() {
-        let stratum = all[first].stratum;
+        let band = all[first].band;
         let (mut now, later): (Vec<_>, Vec<_>) =
-            left.into_iter().partition(|at| all[*at].stratum == stratum);
+            left.into_iter().partition(|at| all[*at].band == band);
         left = later;
-        if !stratum.behind_production {
+        if !band.behind_production {
             order.extend(now);
             continue;
         }
-        let passed = |at: usize| all[at].latest_s.iter().filter(|l| **l < 0.0).count();
+        let passed = |at: usize| all[at].latest_starts_s.iter().filter(|l| **l < 0.0).count();
         let mut missed: BTreeMap<usize, usize> = now.iter().map(|at| (*at, passed(*at))).collect();
         for tier in 0..8 {
-            let aims = |at: usize| all[at].latest_s.len().max(1);
+            let aims = |at: usize| all[at].latest_starts_s.len().max(1);
             let mut tries: Vec<_> = now.clone();
             tries.retain(|at| missed[at] == tier && tier < aims(*at));
-            let held = |at: usize| all[at].begun && all[at].latest_s.len() > tier;
+            let held = |at: usize| all[at].started && all[at].latest_starts_s.len() > tier;
             tries.sort_by_key(|at| (!held(*at), all[*at].order_ms, *at));
             let mut kept: Vec<usize> = Vec::new();
             for at in tries {
                 kept.push(at);
-                let Some(latest) = all[at].latest_s.get(tier) else {
+                let Some(latest) = all[at].latest_starts_s.get(tier) else {
                     continue;
                 };
                 loop {
                     let so_far: Vec<_> = order.iter().chain(&kept).copied().collect();
-                    let late = all[at].lines.iter().find(|(l, _)| {
-                        last_start_s(all, &so_far, *l, lines[*l].free) * 1.2 > latest + 1e-6
+                    let late = all[at].resources.iter().find(|(l, _)| {
+                        last_start_s(all, &so_far, *l, resources[*l].free) * 1.2 > latest + 1e-6
                     });
-                    let Some((line, _)) = late.filter(|_| kept.contains(&at)) else {
+                    let Some((resource, _)) = late.filter(|_| kept.contains(&at)) else {
                         break;
                     };
                     let work = |at: usize| {
-                        let here = all[at].lines.iter().find(|(l, _)| l == line);
+                        let here = all[at].resources.iter().find(|(l, _)| l == resource);
                         here.map(|(_, width)| width * all[at].length_s)
                     };
                     let open = kept.iter().filter(|at| !held(**at));
@@ -193,7 +193,7 @@
             let (first, mut rest): (Vec<_>, Vec<_>) = kept.into_iter().partition(|at| held(*at));
             order.extend(first);
             // Smith's rule: the largest of those that may be the last goes last.
-            let has_aim = |at: &usize| all[*at].latest_s.len() > tier;
+            let has_aim = |at: &usize| all[*at].latest_starts_s.len() > tier;
             let places: Vec<bool> = rest.iter().map(has_aim).collect();
             let without: Vec<usize> = rest.iter().copied().filter(|at| !has_aim(at)).collect();
             let mut without = without.into_iter();
@@ -203,9 +203,9 @@
                 let unplaced = order.iter().chain(&rest).copied();
                 let so_far: Vec<_> = unplaced.chain(without.clone()).collect();
                 let suits = |at: &&usize| {
-                    let latest = all[**at].latest_s[tier];
-                    all[**at].lines.iter().all(|(l, _)| {
-                        last_start_s(all, &so_far, *l, lines[*l].free) * 1.2 <= latest + 1e-6
+                    let latest = all[**at].latest_starts_s[tier];
+                    all[**at].resources.iter().all(|(l, _)| {
+                        last_start_s(all, &so_far, *l, resources[*l].free) * 1.2 <= latest + 1e-6
                     })
                 };
                 let sized = rest.iter().filter(suits).map(|at| (all[*at].work(), *at));
--- a/crates/testkit/tests/policy.rs
+++ b/crates/testkit/tests/policy.rs
@@ -272,18 +272,18 @@
     assert_eq!(broad.readiness(&MANY), Some(Readiness::Ready(at)));
 }
 
-fn draw_waiting(rng: &mut fastrand::Rng, lines: usize) -> WaitingJob {
+fn draw_waiting(rng: &mut fastrand::Rng, resources: usize) -> WaitingJob {
     let aims = rng.usize(0..4);
-    let mut latest_s: Vec<f64> = (0..aims).map(|_| rng.f64() * 200.0 - 40.0).collect();
-    latest_s.sort_by(f64::total_cmp);
+    let mut latest_starts_s: Vec<f64> = (0..aims).map(|_| rng.f64() * 200.0 - 40.0).collect();
+    latest_starts_s.sort_by(f64::total_cmp);
     let priority = [Priority::Production, Priority::High, Priority::Normal][rng.usize(0..3)];
-    let mut places = vec![(rng.usize(0..lines), rng.f64() * 0.8)];
+    let mut places = vec![(rng.usize(0..resources), rng.f64() * 0.8)];
     if rng.bool() {
-        let other = (places[0].0 + 1) % lines;
+        let other = (places[0].0 + 1) % resources;
         places.push((other, rng.f64()));
     }
     WaitingJob {
-        stratum: PriorityBand {
+        band: PriorityBand {
             behind_production: priority != Priority::Production,
             borrowed: rng.bool(),
             turn: match rng.u32(0..16) {
@@ -294,9 +294,9 @@
             priority,
         },
         order_ms: rng.u64(0..50),
-        latest_s,
-        begun: rng.u32(0..4) == 0,
-        lines: places,
+        latest_starts_s,
+        started: rng.u32(0..4) == 0,
+        resources: places,
         length_s: rng.f64() * 60.0,
     }
 }
@@ -306,18 +306,18 @@
     let mut rng = fastrand::Rng::with_seed(23);
     let mut put_back = 0;
     for _ in 0..600 {
-        let lines: Vec<_> = (0..3)
+        let resources: Vec<_> = (0..3)
             .map(|_| SharedResource {
                 free: rng.f64() * 0.4,
             })
             .collect();
         let count = rng.usize(1..40);
         let jobs: Vec<_> = (0..count).map(|_| draw_waiting(&mut rng, 3)).collect();
-        let order = triage::order(&jobs, &lines);
-        assert_eq!(order, model::order(&jobs, &lines));
+        let order = triage::order(&jobs, &resources);
+        assert_eq!(order, model::order(&jobs, &resources));
         let behind = |pair: &&[usize]| {
             let [a, b] = [&jobs[pair[0]], &jobs[pair[1]]];
-            a.stratum == b.stratum && a.order_ms > b.order_ms
+            a.band == b.band && a.order_ms > b.order_ms
         };
         put_back += order.windows(2).filter(behind).count();
     }
@@ -328,16 +328,16 @@
 fn draw_aimed(rng: &mut fastrand::Rng, within_s: f64) -> WaitingJob {
     let latest = rng.f64() * within_s;
     WaitingJob {
-        stratum: PriorityBand {
+        band: PriorityBand {
             behind_production: true,
             borrowed: true,
             turn: Turn::None,
             priority: Priority::High,
         },
         order_ms: (latest * 1e6) as u64,
-        latest_s: vec![latest],
-        begun: false,
-        lines: vec![(0, rng.f64() + 0.05)],
+        latest_starts_s: vec![latest],
+        started: false,
+        resources: vec![(0, rng.f64() + 0.05)],
         length_s: 30.0,
     }
 }
@@ -356,7 +356,7 @@
             let mut kept = 0u32;
             for at in order {
                 work += jobs[at].work();
-                kept += u32::from(work * 1.2 <= jobs[at].latest_s[0] + 1e-6);
+                kept += u32::from(work * 1.2 <= jobs[at].latest_starts_s[0] + 1e-6);
             }
             kept
         };
@@ -407,7 +407,7 @@
             for at in order {
                 work += jobs[*at].work();
                 sum += work;
-                if work * 1.2 > jobs[*at].latest_s[0] + 1e-6 {
+                if work * 1.2 > jobs[*at].latest_starts_s[0] + 1e-6 {
                     return None;
                 }
             }
