--- a/crates/core/src/failed_placements.rs
+++ b/crates/core/src/failed_placements.rs
@@ -1,8 +1,8 @@
-//! Which jobs found no room in which blocks.
+//! Cache of recent placement attempts that found no machine, by block and job.
 //!
-//! A task without room was tried anew at each input, against every machine of
-//! its block: with a few dozen such tasks that took a fifth of a controller's
-//! processor time on ordinary days, and most of it just when it was behind.
+//! Without it a task that fits nowhere was tried again at each input, against every machine
+//! of its block. With a few dozen such tasks this took a fifth of a controller's processor
+//! time on ordinary days, most of it while the controller was already behind.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,42 +13,41 @@
 
 use crate::records::BlockId;
 
-/// What time alone may change is looked at again after this.
+/// A failed attempt is repeated after this time, for changes that come with time alone.
 const AGAIN: Duration = Duration::from_millis(250);
 
-/// Searches that found nothing, and would find nothing now.
+/// Placement attempts that found no machine and would still find none.
 #[derive(Debug, Default)]
 pub(crate) struct FailedPlacements {
-    /// When a task of a job was tried last, by block.
+    /// When a task of each job was last tried, by block.
     attempts: BTreeMap<BlockId, BTreeMap<JobId, Duration>>,
-    /// Some machine has gained room since.
+    /// Blocks in which a machine has gained capacity after failed attempts.
     changed: BTreeSet<BlockId>,
 }
 
 impl FailedPlacements {
-    /// Whether a task of this job would find nothing in the block, as far as
-    /// is known.
+    /// Whether a task of this job found no machine in the block recently, and no machine of
+    /// the block has gained capacity since.
     pub fn has_failed_recently(&self, now: Duration, block: BlockId, job: &JobId) -> bool {
         let attempts = self.attempts.get(&block).and_then(|jobs| jobs.get(job));
         attempts.is_some_and(|at| now < *at + AGAIN)
     }
 
-    /// One has found nothing.
+    /// Records that a task of this job found no machine in the block.
     pub fn record(&mut self, now: Duration, block: BlockId, job: &JobId) {
         let jobs = self.attempts.entry(block).or_default();
         jobs.retain(|_, at| now < *at + AGAIN);
         jobs.insert(job.clone(), now);
     }
 
-    /// A machine of the block has room that it had not: all jobs may be tried
-    /// again.
+    /// Handles a gain of capacity on a machine of the block: all jobs may be tried again.
     pub fn capacity_gained(&mut self, block: BlockId) {
         if self.attempts.remove(&block).is_some() {
             self.changed.insert(block);
         }
     }
 
-    /// Whether something that could not be placed may be placed now.
+    /// Whether tasks that could not be placed may fit now. Resets the answer.
     pub fn take_changed(&mut self) -> bool {
         !std::mem::take(&mut self.changed).is_empty()
     }
--- a/crates/core/src/handout.rs
+++ b/crates/core/src/handout.rs
@@ -1,7 +1,7 @@
-//! The leader's hand-out: which waiting tasks go to which block.
+//! Planning by the leader: it assigns waiting tasks to blocks.
 //!
-//! Quota, zones and spread are decided here alone. Everything handed and not
-//! recorded as done or given back counts as used, and so does every hand-out
+//! Quotas, zone constraints and spread are decided only here. Every task that is assigned
+//! and not recorded as done or given back counts as used, and so does every assignment
 //! whose write may still take effect.
 
 use std::{
@@ -34,40 +34,41 @@
     view::{Chunk, Job},
 };
 
-/// The least time between two plans.
+/// Minimum interval between two plans.
 const PLAN_GAP: Duration = Duration::from_millis(40);
-/// What each machine and each job that waits add to it: a plan costs time. With
-/// thousands of jobs whoever leads otherwise does nothing but plan.
+/// Added to the minimum interval for each machine and each waiting job. A plan costs
+/// processor time: with thousands of jobs a leader would otherwise do nothing but plan.
 const PLAN_GAP_EACH: Duration = Duration::from_micros(100);
-/// The time after which a plan is made even without news.
+/// Interval after which a plan is made even without changes.
 const PLAN_PERIOD: Duration = Duration::from_millis(500);
-/// The least time between two hand-outs of a job that nobody looks at: each
-/// is a write, and holds up those that record what is done.
+/// Minimum interval between two assignments of a job that is not in production. Each is a
+/// write, and delays the writes that record finished tasks.
 const HANDOUT_GAP: Duration = Duration::from_millis(500);
-/// How long a task that was asked to make room is expected to do so.
+/// How long a task that was asked to stop is expected to do so. After that it may be asked
+/// again.
 const ASKED: Duration = Duration::from_secs(8);
 
-/// A plan in the making.
+/// A plan in progress.
 pub(crate) struct Plan {
     pub inventory: Inventory,
-    /// All machines that can be used.
+    /// Total capacity of the usable machines.
     fleet: Amounts,
-    /// What each team uses, all that counts against its limit.
+    /// What each team uses, as counted against its limit.
     pub used: BTreeMap<String, Amounts>,
     pub borrowed: HashSet<JobId>,
     wants: Vec<CapacityRequest>,
-    /// Machine types kept for tasks that fit nowhere else and have waited.
+    /// Machine types reserved for waiting tasks that fit no other type.
     scarce: Rc<BTreeSet<String>>,
-    /// The types that tasks of a kind fit.
+    /// Machine types that fit, by task requirements.
     fitting: HashMap<Fitting, Rc<BTreeSet<String>>>,
-    /// Needs for which no machine has room: rooms only shrink in a plan, so
-    /// whoever needs the same need not look again.
+    /// Requirements for which no machine has enough free capacity. Capacity only shrinks
+    /// during a plan, so other jobs with the same requirements skip the search.
     full: HashSet<Need>,
-    /// How often machines were looked through for work to stop.
+    /// How often all machines were searched for tasks to preempt.
     pub searches: u32,
 }
 
-/// What decides on which machines a task fits.
+/// What determines on which machines a task fits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Need {
     amounts: [u64; 3],
@@ -77,8 +78,8 @@
     avoids: bool,
 }
 
-/// What decides on which types a task fits, and whether it has to leave the
-/// scarce ones alone.
+/// What determines which machine types a task fits, and whether the reserved types are left
+/// out.
 type Fitting = ([u64; 3], Option<Vec<String>>, bool);
 
 fn bits(need: &Amounts) -> [u64; 3] {
@@ -105,7 +106,7 @@
     }
 }
 
-/// The machines that a job's tasks fit on.
+/// Ranks the machines that a job's tasks fit on.
 fn ranking(
     inventory: &[MachineView],
     spec: &JobSpec,
@@ -121,7 +122,8 @@
     Ranking::new(Task::from(spec), candidates, weights)
 }
 
-/// The top scorer in a zone that is still open. Zones only close.
+/// Takes the best machine in a zone for which `zone_ok` holds. Machines of other zones are
+/// dropped: a zone that is closed to a job stays closed during a plan.
 fn top(
     ranking: &mut Ranking,
     inventory: &[MachineView],
@@ -131,7 +133,8 @@
 }
 
 impl Controller {
-    /// Makes and carries out a plan, if we lead and there is reason to.
+    /// Makes a plan and submits its assignments, if this controller leads and a plan is
+    /// due.
     pub(crate) fn hand_out(&mut self) {
         let now = self.now;
         let contact = self.in_contact() && !self.machine_types.is_empty();
@@ -179,7 +182,7 @@
         }
     }
 
-    /// The jobs with waiting tasks, in the order of serving.
+    /// The jobs with waiting tasks, in serving order.
     fn queue(&mut self, plan: &mut Plan) -> Vec<QueuedJob> {
         let now = self.now;
         let mut open: Vec<_> = self
@@ -258,7 +261,7 @@
             if spec.priority == Priority::Production || types.is_subset(&plan.scarce) {
                 queued.types = types;
             } else {
-                // It has others.
+                // Other types fit, too.
                 queued.types = self.types_for(plan, spec, true);
                 queued.avoid = plan.scarce.clone();
             }
@@ -276,7 +279,7 @@
             .order(now, &plan.inventory.list, &plan.used, queue)
     }
 
-    /// The machine types that a job's tasks fit, the scarce ones aside or not.
+    /// Machine types that a job's tasks fit, with or without the scarce ones.
     fn types_for(&self, plan: &mut Plan, spec: &JobSpec, aside: bool) -> Rc<BTreeSet<String>> {
         let need = spec.amounts();
         let scarce = &plan.scarce;
@@ -293,15 +296,15 @@
         types.clone()
     }
 
-    /// Types that are all that some job can use which has waited for a while.
-    /// Without this, small tasks take every bit of room that gets free on a
-    /// large machine, and a large task never finds enough of it.
+    /// Machine types that are the only ones for some job that has waited longer than
+    /// `scarce_after`. Without this, small tasks take all capacity that is freed on a large
+    /// machine, and a large task never finds enough of it.
     fn scarce(&self, plan: &mut Plan, queue: &[QueuedJob]) -> BTreeSet<String> {
         let patience = self.tuning.scarce_type_wait.as_secs_f64();
         let mut scarce = BTreeSet::new();
         for queued in queue {
-            // One that its team's limit holds back would have them to itself for
-            // nothing: others waited beside room for as long as it did.
+            // A job held back by its team's limit would reserve machines that it can't use,
+            // while others wait beside free capacity.
             let team = &queued.spec.team;
             let used = plan.used.get(team).copied().unwrap_or_default();
             let more = plus(&used, &queued.spec.amounts());
@@ -320,7 +323,7 @@
         scarce
     }
 
-    /// Hands out as many of a job's waiting tasks as there is room for.
+    /// Assigns as many of a job's waiting tasks as there is capacity for.
     fn hand_job(&mut self, plan: &mut Plan, queued: &QueuedJob) {
         let id = &queued.id;
         let Some(job) = self.view.jobs.get(id) else {
@@ -356,7 +359,7 @@
         let mut may_hand = if queued.starved_turn { 1 } else { u32::MAX };
         let gang = spec.shape == Shape::Gang;
         if gang && left < job.tasks.saturating_sub(job.done) {
-            // The rest of it is still on machines; it starts as a whole.
+            // Other tasks of the gang are still assigned; it starts as a whole.
             return;
         }
         let before = gang.then(|| {
@@ -371,13 +374,13 @@
         let mut limited = false;
         let limits = self.limits();
         let most_pairs = |count| max_block_terms(self.level(), limits.value_bytes(), count);
-        // The other conditions are on the leader, the chunk and the job.
+        // The other three conditions are on the leader, the chunk and the job.
         let most_blocks = limits.txn_conds().saturating_sub(3);
         for part in 0..job.chunk_count() {
             if left == 0 || may_hand == 0 || full || limited {
                 break;
             }
-            // A job of 100,000 tasks has hundreds of chunks that are done.
+            // Skips finished chunks: a job of 100,000 tasks has hundreds of them.
             let waits = |c: &Chunk| c.task_statuses.contains(&TaskStatus::Waiting);
             if self.chunk_writes.contains_key(&(id.clone(), part))
                 || !job.chunks.get(&part).is_none_or(waits)
@@ -386,8 +389,8 @@
             }
             let (first, count) = job.chunk_span(part);
             let mut tasks = Vec::new();
-            // A record has room for so many blocks and terms, and a write for
-            // so many conditions: what goes beyond waits.
+            // A record holds a limited number of block terms, and a write a limited number
+            // of conditions. Tasks beyond that wait for a later plan.
             let mut pairs = handed_to(job, part);
             let mut blocks: BTreeSet<BlockId> = BTreeSet::new();
             let mut aside = Vec::new();
@@ -470,8 +473,8 @@
             left = job.waiting();
         }
         if limited && queued.starved_turn && parts.is_empty() {
-            // What its team gets free is kept for it, or smaller tasks would take it
-            // bit by bit.
+            // The team's limit is reserved for this job as it is freed, or smaller tasks
+            // would use it up.
             let used = plan.used.entry(spec.team.clone()).or_default();
             *used = plus(used, &need);
         }
@@ -517,7 +520,7 @@
         }
     }
 
-    /// Hands tasks of one chunk out, by one conditional write.
+    /// Assigns tasks of one chunk in one conditional write.
     fn hand_chunk(&mut self, plan: &Plan, id: &JobId, part: u32, tasks: &[(u32, usize)]) {
         let Some(lead) = self.leader_cond() else {
             return;
@@ -530,7 +533,8 @@
         let people_wait = job.spec.as_ref().map(|s| s.priority) == Some(Priority::Production);
         let recent = recent.is_some_and(|at| self.now < *at + HANDOUT_GAP);
         if !people_wait && recent && spare {
-            // Room gets free bit by bit; its place in the queue is kept.
+            // Capacity is freed little by little. The job is served by a later plan and
+            // keeps its place in the queue.
             if let Some(leader) = &mut self.leader {
                 leader.plan_due = true;
             }
@@ -596,7 +600,7 @@
     }
 }
 
-/// The blocks, with their terms, that tasks of a chunk are handed to.
+/// The blocks, with their terms, to which tasks of a chunk are assigned.
 fn handed_to(job: &Job, part: u32) -> BTreeSet<(BlockId, Term)> {
     let chunk = job.chunks.get(&part);
     let places = chunk.into_iter().flat_map(|c| &c.task_statuses);
@@ -608,7 +612,7 @@
         .collect()
 }
 
-/// The zone in which most of a job's tasks have room.
+/// The zone with capacity for most of a job's tasks.
 fn roomiest_zone(plan: &Plan, spec: &JobSpec) -> Option<String> {
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
     for room in plan.inventory.list.iter().filter(|r| r.accepts(spec)) {
--- a/crates/core/src/inventory.rs
+++ b/crates/core/src/inventory.rs
@@ -1,5 +1,5 @@
-//! The leader's picture of all machines: kept from plan to plan and renewed
-//! machine by machine.
+//! The leader's inventory of machines. It is kept between plans, and only changed machines
+//! are updated.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -24,10 +24,10 @@
     records::{BlockId, TaskStatus, Term},
 };
 
-/// How often all machines are looked at, for what time alone changes.
+/// Interval at which the whole inventory is rebuilt, for changes that come with time alone.
 const PERIOD: Duration = Duration::from_millis(1000);
 
-/// A machine, as far as the leader can tell.
+/// A machine as the leader knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct MachineView {
     pub name: String,
@@ -38,21 +38,22 @@
     pub spot: bool,
     /// Whether tasks can be placed on it.
     pub usable: bool,
-    /// Whether its holder's word is recent.
+    /// Whether its holder's last message is recent.
     pub fresh: bool,
     pub faulty: bool,
     pub silent_since: Option<Duration>,
     pub idle_since: Option<Duration>,
-    /// What no task takes, and the share that services take, as last told.
+    /// Capacity that no task uses, and the share of processors that services use, as last
+    /// reported.
     pub free: Amounts,
     pub service_share: f64,
-    /// The same as the plan goes on.
+    /// The machine as a candidate, updated during a plan.
     pub candidate: Candidate,
-    /// What running work is expected to leave within a boot time.
+    /// Capacity that running tasks are expected to free within a boot time.
     pub freed_soon: Amounts,
     pub images: Vec<String>,
     pub tasks: Vec<(TaskId, Rc<JobSpec>)>,
-    /// Nothing more of the present plan goes there.
+    /// No further task of the present plan is assigned to it.
     pub closed: bool,
 }
 
@@ -73,7 +74,7 @@
         }
     }
 
-    /// As what it was rented.
+    /// The offer that it was rented by.
     pub fn offer(&self) -> Offer {
         Offer {
             kind: self.kind.clone(),
@@ -82,9 +83,9 @@
         }
     }
 
-    /// Its free room after the last plan, for sizing the fleet; with what running
-    /// work will probably have left by the time a machine rented now would be
-    /// up, or without.
+    /// Adds its free capacity after the last plan, for sizing the fleet. With
+    /// `with_freed_soon` this includes the capacity that running tasks will probably free
+    /// by the time a machine rented now would be up.
     pub fn add_free_to(&self, stock: &mut FreeCapacity, with_freed_soon: bool) {
         let free = &self.candidate.free;
         let free = match with_freed_soon {
@@ -103,24 +104,24 @@
     }
 }
 
-/// All machines, in the order of their names.
+/// All machines, sorted by name.
 #[derive(Debug, Default)]
 pub(crate) struct Inventory {
     pub list: Vec<MachineView>,
-    /// How many machines each task is bound to.
+    /// Number of machines that have each task.
     bound: HashMap<TaskId, u32>,
-    /// Machines to look at again.
+    /// Machines whose views are outdated.
     stale: BTreeSet<String>,
     all_at: Option<Duration>,
 }
 
 impl Inventory {
-    /// Where a machine is in the list.
+    /// Position of a machine in the list.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.search(name).ok()
     }
 
-    /// A machine by its name.
+    /// The view of a machine.
     pub fn get(&self, name: &str) -> Option<&MachineView> {
         self.index_of(name).map(|at| &self.list[at])
     }
@@ -129,18 +130,18 @@
         self.list.binary_search_by(|r| r.name.as_str().cmp(name))
     }
 
-    /// What all machines have that can be used.
+    /// Total capacity of the usable machines.
     pub fn usable_capacity(&self) -> Amounts {
         let usable = self.list.iter().filter(|r| r.usable);
         usable.fold(Amounts::default(), |sum, r| plus(&sum, &r.candidate.total))
     }
 
-    /// Whether some machine has the task.
+    /// Whether any machine has the task.
     pub fn has_task(&self, task: &TaskId) -> bool {
         self.bound.contains_key(task)
     }
 
-    /// Counts where a machine's tasks are bound.
+    /// Adds a machine's tasks to the counts of machines by task.
     fn count(&mut self, room: &MachineView) {
         for (task, _) in &room.tasks {
             *self.bound.entry(task.clone()).or_default() += 1;
@@ -173,7 +174,7 @@
 }
 
 impl Controller {
-    /// Something about a machine may have changed.
+    /// Marks a machine's view as outdated and a plan as due.
     pub(crate) fn mark_machine_stale(&mut self, name: &str) {
         if let Some(leader) = &mut self.leader {
             leader.inventory.stale.insert(name.to_owned());
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Looks again at what may have changed.
+    /// Updates the views of machines that may have changed.
     pub(crate) fn refresh_inventory(&self, inventory: &mut Inventory) {
         let now = self.now;
         if inventory.all_at.is_none_or(|at| now >= at + PERIOD) {
@@ -212,8 +213,8 @@
         let free = if fresh {
             seen.free
         } else {
-            // Its holder can't be heard: by the records, then, what has been
-            // done or given back takes no room any more.
+            // Without recent messages from the holder, the records decide: tasks recorded
+            // as done or given back use no capacity any more.
             let needs = tasks.iter().map(|(_, spec)| spec.amounts());
             needs.fold(total, |free, need| minus(&free, &need))
         };
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -1,4 +1,5 @@
-//! The leader's duties but for handing out: blocks, machines, tidying.
+//! Work of the leader other than assigning tasks: leasing blocks, registering machines,
+//! publishing admission shares and compacting finished jobs.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,80 +25,80 @@
     view::Job,
 };
 
-/// How long a report waits for its machine to be registered.
+/// How long a report waits for its machine's record to be written.
 const REPORT_PATIENCE: Duration = Duration::from_millis(2000);
-/// How long a duty without an answer is left alone before it is done again.
+/// How long a leader write without an answer counts as pending before it may be sent again.
 const REDO: Duration = Duration::from_millis(2500);
-/// Most writes at a time that tidy up.
+/// Maximum number of compaction writes started at a time.
 const MOST_BATCHES: usize = 4;
-/// For how long a controller has to be up before blocks move to it.
+/// Minimum uptime of every controller before blocks are moved between them.
 const STEADY: Duration = Duration::from_secs(8);
 
-/// What a leader's write is for.
+/// Purpose of a write that only the leader makes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum LeaderWrite {
-    /// Leasing a block.
+    /// Leases a block to a controller.
     LeaseBlock(BlockId),
-    /// Tidying up after jobs.
+    /// Compacts the records of jobs that are over.
     CompactJobs(Vec<JobId>),
-    /// Saying what may be let in.
+    /// Publishes how much work each controller may admit.
     PublishAdmission,
-    /// Leaving the lead to others.
+    /// Gives up leadership.
     Resign,
 }
 
-/// What only the leader knows.
+/// State that a controller keeps only while it is the leader.
 #[derive(Debug)]
 pub(crate) struct Leader {
-    /// The version of our `leader` record: all our writes depend on it.
+    /// Version of our `leader` record. Every write of the leader is conditional on it.
     pub version: u64,
     pub plan_due: bool,
     pub plan_at: Duration,
-    /// Jobs with tasks that waited at the last plan.
+    /// Number of jobs with waiting tasks at the last plan.
     pub waiting: usize,
-    /// Duties under way, and when to look at them again.
+    /// Writes in progress, and when each may be sent again.
     pending_writes: BTreeMap<LeaderWrite, Duration>,
-    /// Reports of machines that have no record yet.
+    /// Reports of machines that have no record yet, and when each arrived.
     pub reports: Vec<(ConnId, Report, Duration)>,
-    /// Since when each controller is up.
+    /// Incarnation of each member, and since when the leader has seen it.
     up: BTreeMap<String, (u64, Duration)>,
-    /// All machines as last seen.
+    /// The leader's view of all machines.
     pub inventory: Inventory,
-    /// What may be let in.
+    /// Computes the admission shares.
     pub share_planner: SharePlanner,
-    /// What the order of serving depends on.
+    /// State that determines the order in which jobs are served.
     pub queue_order: QueueOrder,
-    /// When what teams use was logged last.
+    /// When team usage was last logged.
     pub usage_logged: Duration,
-    /// When each task was last asked to make room.
+    /// When each task was last asked to stop for another.
     pub asked: BTreeMap<TaskId, Duration>,
-    /// When tasks of each job were handed out last.
+    /// When tasks of each job were last assigned.
     pub handed_at: BTreeMap<JobId, Duration>,
-    /// The machine on which each task was counted at hand-out.
+    /// Machine on whose capacity each task was counted when it was assigned.
     pub planned_machines: BTreeMap<TaskId, String>,
-    /// The write of machine lists under way.
+    /// Write of machine lists in progress.
     pub list_write: Option<MachineListWrite>,
-    /// When lists were written last.
+    /// When machine lists were last written.
     pub lists_written_at: Duration,
-    /// Blocks being made, and in which zone.
+    /// Blocks that are being created, with their zones.
     making: BTreeMap<BlockId, String>,
     tidy_at: Duration,
-    /// Jobs all of whose tasks are done and that are recorded as open.
+    /// Jobs whose tasks are all done but whose records are still open.
     pub complete_jobs: BTreeSet<JobId>,
 }
 
 /// Why the leader leases a block to a controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseReason {
-    /// There was no such block.
+    /// The block is new.
     NewBlock,
-    /// Its holder is no member any more.
+    /// The holder is no longer a member.
     HolderGone,
-    /// The controller is in its zone, unlike its holder.
+    /// The new holder is in the block's zone, the former one is not.
     Nearer,
-    /// The controller has fewer machines than its holder.
+    /// The new holder has fewer machines than the former one.
     LessLoaded,
-    /// Its holder does not reach its workers; how that is known.
+    /// The holder does not reach its workers; the text says how that was found out.
     Unreachable(String),
 }
 
@@ -105,16 +106,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NewBlock => f.write_str("a new block"),
-            Self::HolderGone => f.write_str("its holder is gone"),
+            Self::HolderGone => f.write_str("its holder is no longer a member"),
             Self::Nearer => f.write_str("it is in the new holder's zone"),
-            Self::LessLoaded => f.write_str("the former holder has more machines"),
+            Self::LessLoaded => f.write_str("its former holder has more machines"),
             Self::Unreachable(why) => f.write_str(why),
         }
     }
 }
 
 impl Controller {
-    /// Whether a leader's write can be made, and the condition for it.
+    /// Condition that a leader write depends on; none if this controller does not lead.
     pub(crate) fn leader_cond(&self) -> Option<Cond> {
         let leader = self.leader.as_ref()?;
         Some(Cond {
@@ -123,7 +124,7 @@
         })
     }
 
-    /// Who leads and who is up may have changed.
+    /// Handles a change of the leader or of the members.
     pub(crate) fn members_changed(&mut self) {
         let mine = self.view.leader.as_ref().filter(|l| {
             l.record.node == self.settings.node && l.record.incarnation == self.incarnation
@@ -174,7 +175,8 @@
         self.update_request_budgets();
     }
 
-    /// A report of a machine that has no record.
+    /// Handles a report of a machine that has no record: the leader keeps it until the
+    /// machine is registered, other controllers forward or redirect it to the leader.
     pub(crate) fn report_of_unknown_machine(&mut self, conn: ConnId, report: Report) {
         let now = self.now;
         if let Some(leader) = &mut self.leader {
@@ -182,20 +184,20 @@
             return;
         }
         if self.forwarding.is_forwarded(conn) {
-            return self.refuse(conn, 503, "we don't lead any more");
+            return self.refuse(conn, 503, "this controller is no longer the leader");
         }
         if !self.forward_to_leader(conn, &report) {
             self.redirect_to_leader(conn);
         }
     }
 
-    /// Sends a worker to the leader.
+    /// Redirects a worker to the leader.
     pub(crate) fn redirect_to_leader(&mut self, conn: ConnId) {
         let leader = self.view.leader.as_ref().map(|l| l.record.node.clone());
         self.redirect(conn, leader.filter(|l| *l != self.settings.node));
     }
 
-    /// Answers the reports that waited for the machine's record.
+    /// Answers the reports that waited for this machine's record.
     pub(crate) fn answer_waiting_reports(&mut self, name: &str) {
         if !self.view.machines.contains_key(name) {
             return;
@@ -276,13 +278,13 @@
         if let Some(leader) = &mut self.leader
             && !matches!(outcome, Outcome::Unknown)
         {
-            // The view shows what came of it within that time.
+            // The view shows the outcome within this time.
             leader.pending_writes.insert(duty, soon);
         }
     }
 
-    /// Leases blocks whose holder is gone, and moves at most one at a time to
-    /// a holder that suits it better.
+    /// Leases blocks whose holder is gone. If there are none and `may_move` is set, moves
+    /// at most one block to a better holder.
     fn lease_blocks(&mut self, may_move: bool) {
         let orphans: Vec<_> = self
             .view
@@ -344,14 +346,14 @@
         let sent = self.submit_leader_write(LeaderWrite::LeaseBlock(id), txn, Urgency::Safety);
         if sent {
             log::info!(
-                "block {id} in {}: leased to {holder}, after version {version}: {reason}",
+                "block {id} in {}: leased to {holder}, replaces version {version}: {reason}",
                 record.zone
             );
         }
         sent
     }
 
-    /// How many machines each controller holds.
+    /// Load of each controller: the machines in its blocks, plus one for each block.
     pub(crate) fn loads(&self) -> BTreeMap<String, usize> {
         let mut loads = BTreeMap::new();
         for (id, block) in &self.view.blocks {
@@ -363,10 +365,10 @@
         loads
     }
 
-    /// The controller that a block of a zone suits best: one in that zone,
-    /// then the one with the fewest machines.
-    /// One that reaches the workers there goes before all others; instead of
-    /// `of`, nobody else will do.
+    /// The best holder for a block of a zone. Controllers that reach the workers of the
+    /// zone come first, then those not suspected of being unreachable, those in the zone,
+    /// and those with the fewest machines. With `instead_of`, only controllers other than
+    /// that one qualify that reach the workers.
     pub(crate) fn best_holder(
         &self,
         zone: &str,
@@ -403,13 +405,13 @@
             .pending_writes
             .keys()
             .any(|d| matches!(d, LeaderWrite::LeaseBlock(_)));
-        // While controllers come back one by one, blocks would move twice.
+        // While controllers restart one after the other, a block would move twice.
         let settled = self.view.members.keys().all(|name| steady(name));
         if busy || !settled {
             return;
         }
-        // Moves into a block's own zone come first: they change the loads by
-        // which the others are judged.
+        // Moves into a block's own zone come first, as they change the loads on which the
+        // other moves are decided.
         let nearer = self.better_holder(|near_now, near_then, _, _| near_then && !near_now);
         let chosen = nearer
             .map(|found| (found, LeaseReason::Nearer))
@@ -427,9 +429,9 @@
         }
     }
 
-    /// The first block for which some controller suits better than its holder,
-    /// judged by whether each is in its zone, by how many more machines the
-    /// holder has, and by the block's size.
+    /// Finds the first block for which `better` prefers another controller to its holder.
+    /// `better` gets whether the holder and the other controller are in the block's zone,
+    /// how much higher the holder's load is, and the block's load.
     fn better_holder(
         &self,
         better: impl Fn(bool, bool, usize, usize) -> bool,
@@ -456,7 +458,7 @@
         })
     }
 
-    /// Begins a block in a zone, unless one is being made there.
+    /// Creates a block in a zone, unless one is being created there.
     pub(crate) fn create_block(&mut self, zone: String) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -478,7 +480,7 @@
         }
     }
 
-    /// Says what may be let in, once that is less than all.
+    /// Publishes the admission shares when the planner has new ones.
     fn admit(&mut self) {
         let grows = self.is_fleet_growing();
         let Some(leader) = &mut self.leader else {
@@ -499,7 +501,7 @@
         let Some(next) = leader.share_planner.next_record(self.now, present, &seen) else {
             return;
         };
-        // An old program knows no such record and goes on as before.
+        // Programs of an older format level don't know this record.
         if self.level() < FormatLevel::PIPELINES {
             return;
         }
@@ -525,15 +527,15 @@
             Urgency::Safety,
         ) {
             log::info!(
-                "let in by each of {} controllers: {:?}",
+                "admission shares of each of {} controllers: {:?}",
                 next.nodes.len(),
                 next.flows
             );
         }
     }
 
-    /// Ends jobs all of whose tasks are done, if those who recorded the last of
-    /// them could not see it; the users and the jobs that await them wait.
+    /// Records jobs as done whose last tasks were recorded by controllers that could not
+    /// see that they were the last. Users and dependent jobs wait for this record.
     fn finish(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -546,15 +548,15 @@
             if let Some((conds, changes)) = self.compaction(&id) {
                 self.compact(vec![id.clone()], conds, changes, Urgency::Safety);
             }
-            // Until the view shows it.
+            // Tried again until the view shows the job as done.
             if let Some(leader) = &mut self.leader {
                 leader.complete_jobs.insert(id);
             }
         }
     }
 
-    /// What makes a job that is over smaller: its description and chunks go
-    /// once nothing of it can be on a machine. Nothing if it is not over.
+    /// Changes that compact a job that is over: they remove its description and chunks.
+    /// None if the job is not over, or if a task of it may still be on a machine.
     fn compaction(&self, id: &JobId) -> Option<(Vec<Cond>, Vec<Change>)> {
         let job = self.view.jobs.get(id)?;
         let complete = job.done >= job.tasks;
@@ -608,8 +610,8 @@
         }
     }
 
-    /// Compacts jobs that are over, several in one write: many may have been
-    /// cancelled with the same one.
+    /// Compacts jobs that are over. Several go into one write, as many jobs may have been
+    /// cancelled together.
     fn tidy(&mut self) {
         let Some(leader) = &self.leader else { return };
         let under_way: BTreeSet<&JobId> = leader
--- a/crates/core/src/minimum_shares.rs
+++ b/crates/core/src/minimum_shares.rs
@@ -1,12 +1,11 @@
-//! Floors: whatever the flood of others, each flow of work (a team's jobs of a
-//! class) that waits for long has its part of the machines.
+//! Minimum shares: each flow (a team's jobs of one class) that has waited for long gets a
+//! part of the machines, however much other work there is.
 //!
-//! There are two. A flow whose work has waited for half of the time that its
-//! aims leave is entitled to a part of the machines, whatever the priority of
-//! others: less than half of a class served makes a day worthless to the
-//! operators. And a flow that is late spends a part on its oldest job:
-//! otherwise a large job that can't be in time any more would wait as long as
-//! smaller ones come.
+//! There are two of them. A flow whose work has waited for half of the time that its
+//! objectives allow is entitled to a part of the machines regardless of priorities, because
+//! a day on which less than half of a class is served has no value to the operators. And a
+//! late flow spends a part on its oldest job, because a large job that can't be in time any
+//! more would otherwise wait as long as smaller ones arrive.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,15 +15,15 @@
 
 use oliveshift_wire::{JobId, job::JobSpec};
 
-/// The part of all machines that goes to the oldest jobs of late flows.
+/// Share of all machines that goes to the oldest jobs of late flows.
 pub const LATE_FLOWS_SHARE: f64 = 0.15;
-/// The part that flows which wait for long are entitled to, all together.
+/// Share that all flows that have waited for long are entitled to together.
 pub const LONG_WAITING_FLOWS_SHARE: f64 = 0.35;
-/// For so long an entitlement is saved up, and for so long what a flow had
-/// beyond it is held against it.
+/// Window over which an unused entitlement accumulates, and over which use beyond it is
+/// counted against the flow.
 const MEMORY: Duration = Duration::from_secs(10);
 
-/// A team's jobs of a class.
+/// A team's jobs of one class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Flow {
     /// The team.
@@ -43,41 +42,42 @@
     }
 }
 
-/// The oldest job of a flow that is late and has tasks that wait.
+/// The oldest job with waiting tasks of a late flow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OldestJob {
-    /// Which.
+    /// Its id.
     pub id: JobId,
-    /// What is left of it: shares of the machines it fits, times seconds.
+    /// Its remaining work: the share of the machines that it fits on, times seconds.
     pub work: f64,
 }
 
-/// Whose turn it is. A leader begins without debts of others.
+/// Credit and turns of flows. A new leader starts without the debts counted by the former
+/// one.
 #[derive(Debug, Default)]
 pub struct MinimumShares {
     lanes: BTreeMap<Flow, Lane>,
     at: Duration,
-    /// What each flow that waits for long may still have of its part, in
-    /// seconds of all machines.
+    /// Remaining entitlement of each flow that has waited for long, in seconds of all
+    /// machines.
     entitled: BTreeMap<Flow, f64>,
     entitled_at: Duration,
-    /// What is broken on purpose.
+    /// The fault injected by a test.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<crate::Sabotage>,
 }
 
 #[derive(Debug, Default)]
 struct Lane {
-    /// Work that it may still have; below 0: had before its time. It is never
-    /// saved up.
+    /// Work that the flow may still get; below 0 if it got work in advance. Credit is never
+    /// accumulated above 0.
     credit: f64,
-    /// The job whose turn it is, until none of its tasks waits.
+    /// The job that has the turn, until none of its tasks waits.
     turn: Option<JobId>,
 }
 
 impl MinimumShares {
-    /// The flows that have had less than their part. `waiting` are those that
-    /// wait for long, `given` is what each flow was given since the last time.
+    /// The flows that got less than their share. `waiting` are the flows that have waited
+    /// for long, `given` is what each flow got since the last call.
     pub fn flows_below_share(
         &mut self,
         now: Duration,
@@ -102,8 +102,8 @@
         short.map(|(flow, _)| flow.clone()).collect()
     }
 
-    /// The jobs whose turn it is, one of each flow that is late at most.
-    /// `waits` tells whether a job still has tasks that wait.
+    /// The jobs that have a turn, at most one for each late flow. `waits` returns whether a
+    /// job still has waiting tasks.
     pub fn turns(
         &mut self,
         now: Duration,
@@ -119,7 +119,8 @@
         for flow in late.keys() {
             self.lanes.entry(flow.clone()).or_default();
         }
-        // Those in debt are owed nothing while they have nothing to wait for.
+        // The share is divided by the number of late flows only: flows in debt that are not
+        // late do not reduce it.
         let each = LATE_FLOWS_SHARE * passed / late.len().max(1) as f64;
         for (flow, lane) in &mut self.lanes {
             lane.credit = (lane.credit + each).min(0.0);
--- a/crates/core/src/near_limit.rs
+++ b/crates/core/src/near_limit.rs
@@ -1,8 +1,8 @@
-//! Which teams are near their limit, by the records.
+//! Which teams are near their processor limit, by the records.
 //!
-//! What has ended counts against its team's limit until the records show it, so
-//! while a team is near its limit every second that an end waits to be recorded is
-//! lost to the work that the limit holds back.
+//! A task that has ended counts against its team's limit until that is recorded. While a
+//! team is near its limit, every second that the end of a task waits to be recorded is
+//! therefore lost to the work that the limit holds back.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,13 +13,13 @@
 
 use crate::view::View;
 
-/// How often the records are looked at.
+/// Interval at which the records are evaluated.
 const PERIOD: Duration = Duration::from_millis(500);
-/// A team is near its limit from this share of it on: what ended within the last
-/// seconds still counts as used.
+/// Share of its limit from which a team counts as near it: tasks that ended within the last
+/// seconds still count as used.
 pub(crate) const NEAR_LIMIT: f64 = 0.8;
 
-/// The teams that were near their limit when the records were last looked at.
+/// The teams that were near their limit at the last evaluation.
 #[derive(Debug, Default)]
 pub(crate) struct NearLimitTeams {
     looked_at: Option<Duration>,
@@ -27,7 +27,7 @@
 }
 
 impl NearLimitTeams {
-    /// Looks at the records again if it is time to.
+    /// Evaluates the records again if the interval has passed.
     pub fn refresh(&mut self, now: Duration, view: &View, teams: &[Team]) {
         if self.looked_at.is_some_and(|at| now < at + PERIOD) {
             return;
@@ -49,7 +49,7 @@
         self.near_limit = near.map(|team| team.name.clone()).collect();
     }
 
-    /// Whether a team was near its limit.
+    /// Whether a team was near its limit at the last evaluation.
     pub fn is_near_limit(&self, team: &str) -> bool {
         self.near_limit.contains(team)
     }
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,4 +1,5 @@
-//! Putting handed tasks on machines: the paper's score decides.
+//! Placement: the holder of a block puts the tasks assigned to the block on its machines,
+//! by the score of the LRScheduler paper.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,17 +21,17 @@
     request_queue::REPORT_TIMEOUT,
 };
 
-/// After a report without an answer a worker goes to the next controller within this
-/// time, and the leader has been told within as much again at the latest.
+/// A worker whose report got no answer reports to the next controller within this time. The
+/// leader learns of that at the latest after the same time again.
 const ROUND_PAUSE: Duration = Duration::from_secs(2);
-/// By so much a stray may seem to have come later than the answer that its holder gave by
-/// way of a peer.
+/// A report to a controller that is not the holder may appear this much later than an
+/// answer that the holder gave through a peer.
 const FORWARDING_LAG: Duration = Duration::from_secs(1);
-/// Attempts are numbered by the term and a counter below this.
+/// Attempt numbers are the term times this value plus a counter below it.
 const ATTEMPTS_PER_TERM: u64 = 1 << 20;
 
 impl Controller {
-    /// Places what has no machine yet, most urgent first.
+    /// Places the tasks that have no machine yet, in order of priority.
     pub(crate) fn place(&mut self) {
         if self.unplaced.is_empty() || !self.may_act() || self.machine_types.is_empty() {
             return;
@@ -58,7 +59,8 @@
             return;
         };
         let (block, job) = (assigned.block, &task.job);
-        // One that failed somewhere is not like the others of its job.
+        // A task that failed on some machine avoids it, so it may fail to fit where the
+        // other tasks of its job do.
         let alike = assigned.failed_on.is_empty();
         if alike
             && self
@@ -76,7 +78,7 @@
                 && self.now > since + patience
             {
                 log::debug!(
-                    "{task}: no room left in block {}, given back",
+                    "{task}: no capacity in block {}, given back to the leader",
                     assigned.block
                 );
                 self.set_task_state(task, AssignmentState::Returning);
@@ -87,7 +89,7 @@
             return;
         };
         let attempt = self.next_attempt(task, term);
-        log::debug!("{task}: goes to {name}");
+        log::debug!("{task}: placed on {name}");
         let bound = Bound {
             machine: name.clone(),
             attempt,
@@ -102,9 +104,9 @@
         self.order_queue.insert(name);
     }
 
-    /// A number that no other attempt of the task on any machine has. Members
-    /// of a gang gather under one number: that of the write which handed them
-    /// out together.
+    /// An attempt number that no other attempt of the task has on any machine. The members
+    /// of a gang use one common number to find each other: that of the write that assigned
+    /// them together.
     fn next_attempt(&mut self, task: &TaskId, term: Term) -> u64 {
         let gang = self.assigned_tasks.get(task).map(|s| s.spec.shape) == Some(Shape::Gang);
         let job = self.view.jobs.get(&task.job);
@@ -139,7 +141,7 @@
         Some((name.clone(), machine.session, machine.term))
     }
 
-    /// Whether tasks can be put on a machine now.
+    /// Whether tasks can be placed on a machine now.
     pub(crate) fn usable(&self, name: &str, machine: &Machine) -> bool {
         machine.term_acknowledged
             && !machine.lease.is_expired()
@@ -154,8 +156,9 @@
                 .is_none_or(|at| self.now > at + Duration::from_secs(2))
     }
 
-    /// Whether a machine came to another controller since we answered a report of it: as
-    /// long as it is not back its lease runs out, however well direct orders reach it.
+    /// Whether a machine has reported to another controller since we last answered a report
+    /// of it. Until it reports here again its lease runs out, even if direct orders reach
+    /// it.
     fn reports_to_others(&self, name: &str, machine: &Machine) -> bool {
         let strayed = self.reachability.last_stray_at(self.now, name);
         strayed.is_some_and(|at| {
@@ -165,21 +168,22 @@
         })
     }
 
-    /// The silence after which a worker counts as out of reach: two reports
-    /// that should have come.
+    /// Silence after which a worker counts as unreachable: two reports that should have
+    /// arrived.
     pub(crate) fn silence_limit(&self) -> Duration {
         self.settings.report_period() * 9 / 4 + Duration::from_millis(500)
     }
 
-    /// The silence after which a few machines are returned for the sake of their tasks.
-    /// Until then a worker that is cut off from its holder alone has come to somebody
-    /// else, after its patience with its holder and a pause, and this has been told.
+    /// Silence after which a few machines are returned early to free their tasks. It is
+    /// long enough for a worker that is cut off only from its holder to report to another
+    /// controller, after its timeout and a pause, and for the leader to learn of this.
     pub(crate) fn early_return_limit(&self) -> Duration {
         let comes_round = self.settings.report_period() * 5 / 4 + REPORT_TIMEOUT + ROUND_PAUSE;
         comes_round.max(self.silence_limit() * 3 / 2)
     }
 
-    /// What a machine's tasks take, those included that have no business here.
+    /// Resources that a machine's tasks use, including tasks that run there but are not
+    /// assigned to it.
     pub(crate) fn used(&self, machine: &Machine) -> Amounts {
         let mut used = Amounts::default();
         for task in &machine.bound_tasks {
@@ -213,8 +217,7 @@
     }
 }
 
-/// The share of a machine's processors that services take, among the tasks on
-/// it.
+/// Share of a machine's processors that the services among the given tasks use.
 pub(crate) fn service_share<'a>(
     specs: impl Iterator<Item = &'a Rc<JobSpec>>,
     total: &Amounts,
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Which tasks are asked to stop so that others get room.
+//! Preemption: which tasks are asked to stop to free capacity for others.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -16,13 +16,13 @@
     controller::Controller, handout::Plan, inventory::MachineView, queue_order::QueuedJob,
 };
 
-/// How often a plan may look through all machines for work to stop.
+/// Maximum number of searches through all machines for tasks to preempt, per plan.
 const MOST_SEARCHES: u32 = 12;
 
 impl Controller {
-    /// Asks tasks to make room for those of a job that have none: tasks of lower
-    /// priority, or borrowed ones while the job is guaranteed its share. `zones`
-    /// tells how many of the job's may go where.
+    /// Asks tasks to stop for tasks of a job that have no capacity: tasks of lower
+    /// priority, or tasks beyond their own team's guarantee if the job is within its team's
+    /// guarantee. `zones` gives how many of the job's tasks may go to each zone.
     pub(crate) fn preempt_tasks(
         &mut self,
         plan: &mut Plan,
@@ -36,8 +36,8 @@
             return;
         }
         plan.searches += 1;
-        // People wait for all replicas of a service. Of other work only as much
-        // is stopped at a time as one task needs: room gets free by itself, too.
+        // Users wait for all replicas of a production service. For other work, tasks are
+        // stopped for one task at a time, as capacity is also freed without preemption.
         let mut left = if production { tasks } else { 1 };
         let need = spec.amounts();
         let mut inventory = Vec::new();
@@ -53,7 +53,8 @@
                 inventory.push((victims.len(), at, count_fitting(&need, &free), victims));
             }
         }
-        // The fewest to be stopped first; those that were asked before are none.
+        // Machines on which the fewest tasks have to be asked come first. Tasks that were
+        // asked before don't count.
         inventory.sort_by_key(|(victims, at, ..)| (*victims, *at));
         for (_, at, fit, victims) in inventory {
             if left == 0 {
@@ -66,11 +67,14 @@
             let taken = fit.min(left).min(*open);
             left -= taken;
             *open -= taken;
-            // Nothing else of this plan goes there.
+            // No other task of this plan is assigned to this machine.
             room.closed = true;
             let name = room.name.clone();
             for task in victims {
-                log::info!("{task}: to make room on {name} for {}", queued.id);
+                log::info!(
+                    "{task}: asked to stop on {name} to free capacity for {}",
+                    queued.id
+                );
                 if let Some(leader) = &mut self.leader {
                     leader.asked.insert(task.clone(), self.now);
                 }
@@ -79,8 +83,8 @@
         }
     }
 
-    /// Which tasks have yet to be asked so that a machine gets room for a task,
-    /// and what it has free then; none if it can't.
+    /// Tasks that still have to be asked to stop so that a task fits on a machine, and the
+    /// capacity that is free then. None if the task can't fit.
     fn victims(
         &self,
         plan: &Plan,
@@ -107,8 +111,8 @@
                     return None;
                 }
                 let is_asked = self.leader.as_ref()?.asked.contains_key(task);
-                // People wait for production: the quickest to stop goes
-                // first. Otherwise those that lose nothing do.
+                // For production, which users wait for, the tasks that stop most quickly go
+                // first; otherwise those that lose no work.
                 let lost = match (queued.priority, other.saves()) {
                     (Priority::Production, true) => other.save_time(),
                     (Priority::Production, false) | (_, true) => Duration::ZERO,
--- a/crates/core/src/starvation.rs
+++ b/crates/core/src/starvation.rs
@@ -1,14 +1,14 @@
 //! Starvation guard for jobs that their team's limit holds back.
 //!
-//! A team near its limit is served by priority, so its least urgent jobs may
-//! wait without a single task for as long as more urgent ones come, although
-//! machines have room. Of each such team the waiting jobs that have been without a
-//! task for longest get one each ahead of the team's other borrowed work, as far as
-//! a small share of the team's limit pays for them.
+//! The jobs of a team near its limit are served by priority, so its least urgent jobs may
+//! wait without a single task as long as more urgent ones arrive, although machines have
+//! free capacity. For each such team, the waiting jobs that have been without a task for
+//! longest each get one task ahead of the team's other borrowed work, as far as a small
+//! share of the team's limit pays for it.
 //!
-//! What counts is the time since a job last had a task out, not its age. By age an
-//! old job of short tasks was the first again as soon as its task had ended, and
-//! took turn after turn from younger jobs that had never had a task.
+//! Jobs are compared by the time since they last had a task assigned, not by age. By age,
+//! an old job of short tasks was first again as soon as a task of it had ended, and took
+//! turn after turn from younger jobs that had never had a task.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,18 +19,17 @@
 
 use crate::near_limit::NEAR_LIMIT;
 
-/// A job counts as starved once it has been without a task for so long.
+/// Time without a task after which a job counts as starved.
 const STARVED_AFTER_S: f64 = 45.0;
-/// The share of a team's limit that starved jobs may take. With a tenth, and after
-/// 40 s, 2% fewer jobs got done on crowded days.
+/// Share of a team's limit that starved jobs may use. With a share of 0.1, and jobs starved
+/// after 40 s, 2% fewer jobs were completed on crowded days.
 const SHARE: f64 = 0.06;
-/// A team's unused share is saved up for so long.
+/// Time over which a team's unused share accumulates.
 const SAVED_S: f64 = 1.0;
-/// How long a turn lasts while the limit has room for its task: there may be no
-/// machine that fits.
+/// Duration of a turn while the team's limit leaves enough for its task. It ends because
+/// there may be no machine that fits.
 const TURN: Duration = Duration::from_secs(3);
-/// How long a turn lasts at most, with the time in which it waits for its team's
-/// limit to have room.
+/// Maximum duration of a turn, including the time in which it waits for its team's limit.
 const LONGEST_TURN: Duration = Duration::from_secs(30);
 
 /// A waiting job that may be starved.
@@ -40,15 +39,15 @@
     pub id: JobId,
     /// Its team.
     pub team: String,
-    /// For how long it could have been started, in seconds.
+    /// Time for which it could have been started, in seconds.
     pub waited_s: f64,
-    /// What one of its tasks takes, in processors.
+    /// Processors that one of its tasks uses.
     pub task_cpus: f64,
-    /// The same, in processor seconds.
+    /// Work of one of its tasks, in processor seconds.
     pub task_work: f64,
-    /// What the team uses, in processors.
+    /// Processors that the team uses.
     pub team_used: f64,
-    /// What it may use; 0: no limit.
+    /// Processors that the team may use; 0: no limit.
     pub team_limit: f64,
 }
 
@@ -58,7 +57,7 @@
         self.team_limit > 0.0 && self.team_used >= NEAR_LIMIT * self.team_limit
     }
 
-    /// Whether its team may not use as much more as one of its tasks takes.
+    /// Whether one more of its tasks would exceed its team's limit.
     fn waits_for_limit(&self) -> bool {
         self.team_used + self.task_cpus > self.team_limit
     }
@@ -68,32 +67,32 @@
 #[derive(Clone, Debug)]
 struct Starved {
     candidate: Candidate,
-    /// For how long, in seconds.
+    /// Time without a task, in seconds.
     without_task_s: f64,
 }
 
-/// What an open job has out and done, as far as the leader has seen.
+/// Tasks of an open job that are assigned and done, as the leader sees them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tasks {
-    /// Whether some are handed out.
+    /// Whether any are assigned.
     pub any_out: bool,
-    /// How many are done.
+    /// Number of tasks done.
     pub done: u32,
 }
 
-/// What a job has had.
+/// Service that a job has received.
 #[derive(Clone, Copy, Debug)]
 struct Had {
     tasks: Tasks,
-    /// Since when it has been without a task; none: since it could be started.
+    /// Since when it has been without a task; none: since it could first be started.
     without_since: Option<Duration>,
 }
 
 impl Had {
-    /// What follows from what is seen now. A task that was lost before it was done is
-    /// no service: its job goes on waiting from before, but behind all that have waited
-    /// for longer than it takes to be starved, or one whose tasks always fail would be
-    /// the first for ever.
+    /// Updates the record with the job's present tasks. A task that was lost before it was
+    /// done does not count as service: the job keeps its earlier waiting time, but at most
+    /// the time after which a job is starved. Otherwise a job whose tasks always fail would
+    /// always come first.
     fn then(self, now: Duration, tasks: Tasks) -> Self {
         let lost = self.tasks.any_out && !tasks.any_out && tasks.done == self.tasks.done;
         let just_starved = now.saturating_sub(Duration::from_secs_f64(STARVED_AFTER_S));
@@ -109,7 +108,7 @@
     }
 }
 
-/// A job that has a turn, until a task of it is out.
+/// The turn of a job, which lasts until a task of it is assigned or the time is over.
 #[derive(Debug)]
 struct Turn {
     task_work: f64,
@@ -126,38 +125,38 @@
         }
     }
 
-    /// Time has passed in which the team's limit had no room for the task.
+    /// Extends the turn by time in which the team's limit left no room for the task.
     fn extend(&mut self, passed: Duration) {
         self.until = (self.until + passed).min(self.at_most_until);
     }
 }
 
-/// What a team's starved jobs may have.
+/// Credit and turns of a team's starved jobs.
 #[derive(Debug, Default)]
 struct Account {
-    /// In processor seconds; below 0: had before its time.
+    /// Credit in processor seconds; below 0 if work was started in advance.
     credit: f64,
-    /// What the team may use, as last seen.
+    /// The team's limit in processors, as last seen.
     team_limit: f64,
     turns: BTreeMap<JobId, Turn>,
-    /// When jobs had a turn that they could not use.
+    /// When jobs last had a turn that they could not use.
     unused: BTreeMap<JobId, Duration>,
 }
 
-/// One account for each team.
+/// Accounts of all teams.
 #[derive(Debug, Default)]
 pub struct Starvation {
     accounts: BTreeMap<String, Account>,
-    /// What open jobs have had.
+    /// Service that open jobs have received.
     had: BTreeMap<JobId, Had>,
     at: Duration,
-    /// What is broken on purpose.
+    /// The fault injected by a test.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<crate::Sabotage>,
 }
 
 impl Starvation {
-    /// Takes in what open jobs have out and done.
+    /// Updates the service records from the present tasks of all open jobs.
     pub fn look<'a>(&mut self, now: Duration, open: impl Iterator<Item = (&'a JobId, Tasks)>) {
         let before = std::mem::take(&mut self.had);
         let had = open.map(|(id, tasks)| {
@@ -171,7 +170,7 @@
         self.had = had.collect();
     }
 
-    /// For how long a job has been without a task, though it could have had one.
+    /// Time that a job has been without a task although it could have had one.
     fn without_task_s(&self, now: Duration, candidate: &Candidate) -> f64 {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::TurnsByAge) {
@@ -185,14 +184,13 @@
         since_s.unwrap_or(f64::INFINITY).min(candidate.waited_s)
     }
 
-    /// Whether a job has been without a task for too long and its team's limit may be
-    /// why.
+    /// Whether a job has been without a task for too long while its team is near its limit.
     pub fn is_starved(&self, now: Duration, candidate: &Candidate) -> bool {
         candidate.is_held_back() && self.without_task_s(now, candidate) >= STARVED_AFTER_S
     }
 
-    /// The jobs that go ahead of others now, with one task each. `waiting` are the
-    /// jobs without a task out.
+    /// The jobs that go ahead of others now, with one task each. `waiting` are the jobs
+    /// that have no task assigned.
     pub fn turns(&mut self, now: Duration, waiting: Vec<Candidate>) -> BTreeSet<JobId> {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoStarvationGuard) {
@@ -234,13 +232,14 @@
 }
 
 impl Account {
-    /// Whether something was had before its time, or is being had.
+    /// Whether the account is in debt or a job has a turn.
     fn is_in_use(&self) -> bool {
         self.credit < 0.0 || !self.turns.is_empty()
     }
 
-    /// Extends the turns that wait for the team's limit. In the time of a turn often
-    /// nothing of a team ends whose tasks are long, and seldom enough for a wide task.
+    /// Extends the turns that wait for the team's limit. In a team whose tasks are long,
+    /// often no task ends during an unextended turn, or too few for a task that needs many
+    /// processors.
     fn extend_turns(&mut self, passed: Duration, jobs: &[Starved]) {
         let waiting = jobs.iter().map(|job| &job.candidate);
         for candidate in waiting.filter(|candidate| candidate.waits_for_limit()) {
@@ -250,8 +249,8 @@
         }
     }
 
-    /// Ends the turns that have been used, and those whose time is over, which cost
-    /// nothing.
+    /// Ends the turns that have been used, and those whose time is over. The latter are
+    /// refunded.
     fn end_turns(&mut self, now: Duration, had: &BTreeMap<JobId, Had>) {
         let any_out = |id: &JobId| had.get(id).is_some_and(|had| had.tasks.any_out);
         self.unused
@@ -261,7 +260,7 @@
             let is_used = any_out(id);
             let is_over = now >= turn.until;
             if !is_used && is_over {
-                log::debug!("{id}: could not use its turn");
+                log::debug!("{id}: starvation turn ended unused");
                 *credit += turn.task_work;
                 unused.insert(id.clone(), now);
             }
@@ -269,8 +268,8 @@
         });
     }
 
-    /// Time has passed; as long as the last turn is paid for, the next goes to the job
-    /// that has been without a task for longest, those that could not use theirs last.
+    /// Adds credit for the time passed, then gives turns as long as there is no debt. Jobs
+    /// without a task for longest come first, but jobs that could not use a turn come last.
     fn give_turns(&mut self, now: Duration, passed_s: f64, jobs: &[Starved]) {
         if let Some(job) = jobs.first() {
             self.team_limit = job.candidate.team_limit;
@@ -292,7 +291,7 @@
                 return;
             }
             log::debug!(
-                "{}: a turn, after {:.0} s without a task",
+                "{}: starvation turn given after {:.0} s without a task",
                 job.candidate.id,
                 job.without_task_s
             );
--- a/crates/core/src/starvation/tests.rs
+++ b/crates/core/src/starvation/tests.rs
@@ -16,7 +16,7 @@
     turns.iter().map(ToString::to_string).collect()
 }
 
-/// What a leader sees of jobs: how many tasks are out and done.
+/// Updates the service records; each job is given with its tasks assigned and done.
 fn look(starvation: &mut Starvation, now: Duration, jobs: &[(&str, u32, u32)]) {
     let ids: Vec<JobId> = jobs
         .iter()
@@ -39,18 +39,19 @@
     let all = || vec![candidate("j-1", 70.0, 99.0), candidate("j-2", 90.0, 99.0)];
     assert_eq!(ids(starvation.turns(ms(10_000), all())), ["j-2"]);
     let later = starvation.turns(ms(10_500), all());
-    assert_eq!(ids(later), ["j-2"], "until a task is out");
+    assert_eq!(ids(later), ["j-2"], "it lasts until a task is assigned");
     look(&mut starvation, ms(10_600), &[("j-1", 0, 0), ("j-2", 1, 0)]);
     let only = || vec![candidate("j-1", 70.0, 99.0)];
     let unpaid = starvation.turns(ms(10_600), only());
     assert!(
         unpaid.is_empty(),
-        "20 at 6 a second, of which 6 were saved up"
+        "the turn costs 20 at a rate of 6 a second, and the credit was 6"
     );
     assert_eq!(ids(starvation.turns(ms(14_100), only())), ["j-1"]);
 }
 
-/// By age the old job was the first again after each of its short tasks.
+/// Guards against ordering by age: an old job was first again after each of its short
+/// tasks.
 #[test]
 fn who_has_been_without_a_task_for_longest_goes_first() {
     let s = Duration::from_secs;
@@ -70,8 +71,8 @@
     assert_eq!(ids(starvation.turns(s(147), only())), ["j-2"]);
 }
 
-/// The job whose task went with its machine goes on waiting, but one whose tasks
-/// always fail is not the first each time.
+/// A job that lost its task with a machine keeps its waiting time, but a job whose tasks
+/// always fail must not come first each time.
 #[test]
 fn a_task_that_was_lost_is_no_service() {
     let s = Duration::from_secs;
@@ -88,7 +89,8 @@
     assert_eq!(ids(starvation.turns(s(101), both)), ["j-2"]);
 }
 
-/// A turn was lost, and paid for, whenever no machine had room for a moment.
+/// Guards against turns that were lost but still charged when no machine had capacity for a
+/// moment.
 #[test]
 fn a_turn_lasts_until_its_task_is_out() {
     let ms = Duration::from_millis;
@@ -98,11 +100,15 @@
     assert_eq!(ids(starvation.turns(ms(10_100), Vec::new())), ["j-1"]);
     assert_eq!(ids(starvation.turns(ms(12_900), one())), ["j-1"]);
     assert!(starvation.turns(ms(13_000), Vec::new()).is_empty());
-    assert_eq!(ids(starvation.turns(ms(13_100), one())), ["j-1"], "unpaid");
+    assert_eq!(
+        ids(starvation.turns(ms(13_100), one())),
+        ["j-1"],
+        "an unused turn costs nothing"
+    );
 }
 
-/// For how long a wide job is the one with a turn, of two for which the limit has no
-/// room. The task of one turn is more than a minute of the share.
+/// How long the first of two wide jobs keeps its turn while the limit leaves no room for
+/// either. The task of one turn costs more than a minute of the share.
 fn turn_beside_a_full_limit(mut starvation: Starvation) -> Duration {
     let wide = |id: &str, waited_s: f64| Candidate {
         task_cpus: 8.0,
@@ -119,8 +125,8 @@
     other.map_or(Duration::ZERO, |(now, _)| now - begun)
 }
 
-/// A team whose tasks are long had none that ended within a turn, or too few for a wide
-/// task, so that turn after turn was lost.
+/// Guards against turns lost one after the other in a team whose tasks are long: none of
+/// them, or too few for a wide task, ended within a turn.
 #[test]
 fn a_turn_waits_for_its_teams_limit() {
     let turn = turn_beside_a_full_limit(Starvation::default());
@@ -137,7 +143,8 @@
     assert_eq!(turn_beside_a_full_limit(broken), TURN);
 }
 
-/// No machine fits its tasks: the others of its team waited for as long as it did.
+/// Guards against a job that fits no machine keeping the turn: the other jobs of its team
+/// waited as long as it did.
 #[test]
 fn a_turn_that_can_not_be_used_goes_to_the_next() {
     let ms = Duration::from_millis;
--- a/crates/core/src/team_usage.rs
+++ b/crates/core/src/team_usage.rs
@@ -1,7 +1,7 @@
-//! What teams use, as the leader counts it for a plan.
+//! Team usage, as the leader counts it for a plan.
 //!
-//! Everything handed and not recorded as done or given back counts, and so does every
-//! hand-out whose write may still take effect: that is what makes the limit hold
+//! Every task that is assigned and not recorded as done or given back counts, and so does
+//! every assignment whose write may still take effect. This keeps teams within their limits
 //! whatever fails.
 
 use std::{
@@ -22,19 +22,19 @@
     view::Job,
 };
 
-/// The least time between two log lines about what teams use.
+/// Minimum interval between two logs of team usage.
 const LOG_PERIOD: Duration = Duration::from_secs(1);
 
-/// What of a team's tasks counts against its limit, in processors.
+/// Parts of a team's usage, in processors.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct TeamUsage {
     /// Placed on machines.
     placed: f64,
-    /// Handed to blocks and not yet placed.
+    /// Assigned to blocks and not yet placed.
     handed: f64,
-    /// Ended, by the word of a holder, and not yet recorded.
+    /// Ended, as reported by a holder, and not yet recorded.
     ended: f64,
-    /// Handed out by writes that may still take effect.
+    /// Assigned by writes that may still take effect.
     in_doubt: f64,
 }
 
@@ -42,13 +42,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{:.1} processors placed, {:.1} handed, {:.1} ended and not recorded, {:.1} in doubt",
+            "{:.1} processors placed, {:.1} assigned, {:.1} ended and not recorded, {:.1} in doubt",
             self.placed, self.handed, self.ended, self.in_doubt
         )
     }
 }
 
-/// A task that counts and is on no machine.
+/// A task that counts as used and is on no machine.
 struct Unplaced {
     task: TaskId,
     block: BlockId,
@@ -56,7 +56,7 @@
 }
 
 impl Controller {
-    /// Counts what teams use, and takes room for tasks that are handed but on no
+    /// Counts what teams use, and reserves capacity for tasks that are assigned but on no
     /// machine yet.
     pub(crate) fn count_team_usage(&mut self, plan: &mut Plan) {
         let unplaced = self.count_tasks(plan);
@@ -111,8 +111,9 @@
         unplaced
     }
 
-    /// Takes the room of tasks that are on no machine yet: where they were planned, or
-    /// else anywhere in their block.
+    /// Reserves capacity for tasks that are on no machine yet: on the machine that they
+    /// were planned for, or else on any machine of their block, one with enough free
+    /// capacity if there is one.
     fn take_room(&mut self, inventory: &mut Inventory, unplaced: Vec<Unplaced>) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -144,7 +145,7 @@
         leader.planned_machines = planned;
     }
 
-    /// Tasks whose hand-out may have taken effect without the view showing it.
+    /// Tasks whose assignment may have taken effect without the view showing it yet.
     pub(crate) fn in_doubt(&self, id: &JobId, job: &Job) -> Vec<(u32, u32)> {
         if self.chunk_writes.is_empty() {
             return Vec::new();
@@ -163,7 +164,7 @@
     }
 }
 
-/// The tasks of a job that are handed to blocks, by the records.
+/// The tasks of a job that the records show as assigned, with their blocks.
 fn handed_tasks<'a>(id: &'a JobId, job: &'a Job) -> impl Iterator<Item = (TaskId, BlockId)> + 'a {
     let chunks = job.chunks.iter().filter(|_| !job.assigned.is_empty());
     chunks.flat_map(move |(part, chunk)| {
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,19 +1,19 @@
-//! How many machines of which kind the waiting work asks for.
+//! Fleet sizing: how many machines of which type to rent for the waiting tasks.
 
 use oliveshift_wire::{cloud::MachineType, job::Amounts};
 
 use crate::score::{fits, minus};
 
-/// Tasks for which there is no room.
+/// Tasks for which there is no free capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CapacityRequest {
-    /// What each takes.
+    /// Resources that each task needs.
     pub need: Amounts,
-    /// How many there are.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Whether a spot machine will do.
+    /// Whether the tasks may run on spot machines.
     pub spot: bool,
-    /// Whether no ordinary machine is to be rented for it yet.
+    /// Whether only spot machines may be rented for them for now.
     pub spot_only: bool,
     /// The machine types allowed; none: all.
     pub types: Option<Vec<String>>,
@@ -21,7 +21,7 @@
     pub zones: Vec<String>,
 }
 
-/// A kind of machine that can be rented in a zone.
+/// A machine type that can be rented in a zone, as a spot or an ordinary machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Offer {
     /// The machine type.
@@ -32,7 +32,7 @@
     pub spot: bool,
 }
 
-/// How many tasks of `need` fit into `room`.
+/// How many tasks that each need `need` fit into `free`.
 pub fn count_fitting(need: &Amounts, free: &Amounts) -> u32 {
     let by = |need: f64, room: f64| {
         if need > 0.0 {
@@ -51,31 +51,31 @@
     }
 }
 
-/// Room that work is counted on, first come first served.
+/// Free capacity that requests are allocated on, first come, first served.
 ///
-/// Under a flood there are thousands of wants and machines, and few kinds of
-/// either: what a kind of want can have is worked out once, and what has no room
-/// left for one is not looked at for the next.
+/// Under heavy load there are thousands of requests and machines, but few distinct ones of
+/// either. Whether a kind of request may use an offer is therefore computed once, and
+/// machines without enough capacity for a kind are not looked at again for it.
 #[derive(Clone, Debug, Default)]
 pub struct FreeCapacity {
     offers: Vec<Offer>,
     machines: Vec<(usize, Amounts)>,
     kinds: Vec<Kind>,
-    /// How often a machine was looked at.
+    /// How often a machine was examined.
     #[cfg(test)]
     looks: usize,
 }
 
-/// What wants of a kind have in common.
+/// Properties that equivalent requests share.
 #[derive(Clone, Debug)]
 struct Kind {
     need: Amounts,
     spot: bool,
     types: Option<Vec<String>>,
     zones: Vec<String>,
-    /// By offer, as far as they were looked at.
+    /// Whether each offer is allowed, for the offers examined so far.
     allowed_offers: Vec<bool>,
-    /// No room before this one has any for it.
+    /// Index of the first machine that may have capacity for this kind.
     first_candidate: usize,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl FreeCapacity {
-    /// Adds a machine with what it has free.
+    /// Adds a machine with its free capacity.
     pub fn add(&mut self, kind: &str, zone: &str, spot: bool, free: Amounts) {
         let same = |o: &Offer| o.spot == spot && o.zone == zone && o.kind == kind;
         let offer = self.offers.iter().position(same).unwrap_or_else(|| {
@@ -103,7 +103,7 @@
         self.machines.push((offer, free));
     }
 
-    /// The kind of a want, as its number.
+    /// Index of a request's kind, which is added if it is new.
     fn kind(&mut self, request: &CapacityRequest) -> usize {
         let known = self.kinds.iter().position(|k| k.is_of(request));
         let at = known.unwrap_or_else(|| {
@@ -124,7 +124,7 @@
         at
     }
 
-    /// Counts a want on what is there; returns how many of its tasks are left.
+    /// Allocates a request on the free capacity and returns how many of its tasks are left.
     pub fn allocate(&mut self, request: &CapacityRequest) -> u32 {
         let at = self.kind(request);
         let kind = &mut self.kinds[at];
@@ -148,10 +148,10 @@
     }
 }
 
-/// Counts `wants`, first come first served, on what there is and says what
-/// to rent besides, at most `most` machines. `closed` tells which offers were
-/// refused lately; `load` how much there is in a zone already, so that equal
-/// prices spread.
+/// Allocates `requests`, first come, first served, on the free capacity and returns which
+/// machines to rent besides, at most `most`. `closed` returns whether an offer was refused
+/// lately; `load` how much there is in a zone already, so that machines of equal price are
+/// spread over the zones.
 pub fn machines_to_rent(
     requests: &[CapacityRequest],
     free_capacity: &mut FreeCapacity,
@@ -161,7 +161,7 @@
     most: usize,
 ) -> Vec<Offer> {
     let mut rent = Vec::new();
-    // Kinds of wants for which nothing can be had now.
+    // Kinds of requests for which no offer is available.
     let mut unavailable: Vec<(usize, bool)> = Vec::new();
     for request in requests {
         let mut left = free_capacity.allocate(request);
@@ -184,7 +184,7 @@
     rent
 }
 
-/// Whether a machine of a kind may take a want's tasks.
+/// Whether an offer may be used for a request's tasks.
 pub fn offer_allowed(request: &CapacityRequest, offer: &Offer) -> bool {
     (request.spot || !offer.spot)
         && request.zones.contains(&offer.zone)
@@ -194,7 +194,7 @@
             .is_none_or(|t| t.contains(&offer.kind))
 }
 
-/// Puts as many of the tasks there as fit.
+/// Takes capacity for as many of the tasks as fit and returns their number.
 fn put(need: &Amounts, tasks: u32, free: &mut Amounts) -> u32 {
     let mut placed = 0;
     while placed < tasks && fits(need, free) && placed < 10_000 {
@@ -204,8 +204,8 @@
     placed
 }
 
-/// The offer with the lowest price for each of the tasks that it would really
-/// take; of equals, the zone with the least.
+/// The offer with the lowest price per task, counting only the tasks that it would take; of
+/// equal ones, that in the zone with the lowest load.
 fn cheapest(
     request: &CapacityRequest,
     left: u32,
@@ -291,7 +291,7 @@
         let got = machines_to_rent(&requests, &mut free_capacity, &types, |_| false, |_| 0, 9);
         assert_eq!(got, [offer("s", "a", true), offer("s", "b", true)]);
 
-        // A large machine is cheaper for each of four tasks than four small.
+        // Per task, one large machine for four tasks is cheaper than four small ones.
         let got = machines_to_rent(
             &[request(4, 4.0, false)],
             &mut FreeCapacity::default(),
@@ -302,7 +302,7 @@
         );
         assert_eq!(got, [offer("l", "b", false)]);
 
-        // Nothing that could take the task.
+        // No type is large enough for the task.
         let got = machines_to_rent(
             &[request(1, 99.0, true)],
             &mut FreeCapacity::default(),
@@ -314,9 +314,9 @@
         assert_eq!(got, []);
     }
 
-    /// Each of thousands of wants was counted on each machine, string by
-    /// string: under a flood of 20 times that took a third of the processor
-    /// time of all controllers, and the portal lost its leases for it.
+    /// Guards against examining every machine for each request, with string comparisons: at
+    /// 20 times the usual load this took a third of the processor time of all controllers,
+    /// and the portal lost its leases.
     #[test]
     fn machines_without_room_are_not_looked_at_again() {
         let types = [kind("s", 4.0, 0.3)];
--- a/crates/policy/src/graph.rs
+++ b/crates/policy/src/graph.rs
@@ -1,9 +1,9 @@
-//! Jobs that await others: who may start, who is cancelled with whom, and what
-//! an awaited job inherits from those that need it.
+//! Job dependencies: which jobs may start, which are cancelled together with a job that
+//! they await, and what an awaited job inherits from its dependents.
 //!
-//! Everything here follows from the jobs' own records, so every controller
-//! comes to the same result whatever order it reads them in. Only open jobs
-//! have a place in the graph. Work per change goes with the edges touched.
+//! Everything follows from the jobs' own records, so all controllers get the same result in
+//! whatever order they read them. Only open jobs are in the graph. The cost of a change
+//! grows with the edges that it touches.
 
 use std::{
     collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap},
@@ -13,12 +13,12 @@
 
 use oliveshift_wire::job::Priority;
 
-/// What a job asks for by itself. Times of day count from 1970.
+/// What a job asks for by itself, without its dependents. Times count from 1970.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobDemand {
     /// Its own priority.
     pub priority: Priority,
-    /// How long it takes once it has started, by its owner's estimate.
+    /// Duration from its start, by its owner's estimate.
     pub length: Duration,
     /// When it should be complete.
     pub due: Option<Duration>,
@@ -26,7 +26,7 @@
     pub arrived: Duration,
 }
 
-/// How an awaited job stands when it is named.
+/// State of an awaited job when a dependent is added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AwaitedState {
     /// Not over, or not known yet.
@@ -37,29 +37,29 @@
     Cancelled,
 }
 
-/// What follows for an open job from those that it awaits.
+/// State of an open job that follows from the jobs it awaits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     /// Some of them are not done.
     Waiting,
-    /// All are done: since then it may start.
+    /// All of them are done: the job may start since that time.
     Ready(Duration),
-    /// One of them is cancelled, and it with that one.
+    /// One of them is cancelled, and the job with it.
     Cancelled,
 }
 
-/// What a job may claim, for itself and for those that need it.
+/// Priority and latest start of a job, for itself and for the jobs that depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EffectivePriority {
-    /// The highest priority of itself and of all that need it. Production is
-    /// not passed on: it is for what people look at.
+    /// The highest priority of the job and all its dependents. Production is passed on as
+    /// high: it is meant for work that users wait for.
     pub priority: Priority,
-    /// When it has to start for all deadlines behind it to be kept, by the
-    /// estimates of what lies between.
+    /// When the job has to start so that its own deadline and those of its dependents can
+    /// be kept, by the estimates of the jobs in between.
     pub latest_start: Option<Duration>,
 }
 
-/// What the jobs that need one claim, counted, so that each can be taken out
+/// Priorities and latest starts of a job's dependents, counted so that each can be removed
 /// again.
 #[derive(Debug, Default)]
 struct DependentPriorities {
@@ -106,21 +106,21 @@
 
 #[derive(Debug)]
 struct Node<K> {
-    /// None while only others have named it.
+    /// None while the job is known only as awaited by others.
     own: Option<JobDemand>,
-    /// Those that it awaits and that were open when it came.
+    /// Jobs that it awaits and that were open when it was added.
     awaits: Vec<K>,
-    /// How many of them are not done.
+    /// Number of them that are not done.
     missing: usize,
-    /// When the last of the others was done.
+    /// When the last of its awaited jobs was done, or the job itself arrived.
     ready_since: Duration,
     cancelled: bool,
     dependents: BTreeSet<K>,
     dependent_priorities: DependentPriorities,
-    /// What those that it awaits have counted for it.
+    /// What the jobs that it awaits have counted for it.
     propagated: Option<EffectivePriority>,
-    /// More than that of all it awaits, so that changes are passed on in
-    /// order.
+    /// Larger than the depth of every known job that it awaits, so that changes propagate
+    /// in order.
     depth: u32,
 }
 
@@ -163,7 +163,7 @@
     }
 }
 
-/// All open jobs and what lies between them.
+/// All open jobs and their dependencies.
 #[derive(Debug)]
 pub struct DependencyGraph<K> {
     nodes: HashMap<K, Node<K>>,
@@ -180,8 +180,7 @@
 }
 
 impl<K: Clone + Eq + Hash + Ord> DependencyGraph<K> {
-    /// Takes an open job in, with how those that it awaits stand by their
-    /// records.
+    /// Adds an open job with the recorded states of the jobs that it awaits.
     pub fn open(
         &mut self,
         id: K,
@@ -209,7 +208,7 @@
             }
         }
         if cancelled {
-            // It needs nobody any more.
+            // A cancelled job awaits no others.
             open.clear();
         }
         for awaited in &open {
@@ -229,7 +228,7 @@
         }
     }
 
-    /// A job's record says that it is done, since then.
+    /// Handles a record that shows a job as done at that time.
     pub fn done(&mut self, id: &K, at: Duration) {
         let Some(node) = self.nodes.remove(id) else {
             return;
@@ -246,7 +245,7 @@
         }
     }
 
-    /// A job's record says that it is cancelled.
+    /// Handles a record that shows a job as cancelled.
     pub fn cancelled(&mut self, id: &K) {
         if self.nodes.contains_key(id) {
             self.cancel(vec![id.clone()]);
@@ -254,7 +253,7 @@
         self.nodes.remove(id);
     }
 
-    /// Cancels jobs with all that need them.
+    /// Cancels jobs with all their dependents.
     fn cancel(&mut self, mut next: Vec<K>) {
         let mut affected = Vec::new();
         while let Some(id) = next.pop() {
@@ -281,8 +280,8 @@
         self.propagate(affected);
     }
 
-    /// What these jobs claim may have changed: those that they await inherit
-    /// it. The deepest go first, so that each is looked at once.
+    /// Propagates changed priorities and latest starts of these jobs to the jobs that they
+    /// await. The deepest jobs go first, so that each is visited once.
     fn propagate(&mut self, ids: Vec<K>) {
         let depth_of = |nodes: &HashMap<K, Node<K>>, id: &K| nodes.get(id).map_or(0, |n| n.depth);
         let mut next: BinaryHeap<(u32, K)> = ids
@@ -317,18 +316,18 @@
         }
     }
 
-    /// Open jobs whose standing has changed since this was asked last.
+    /// Open jobs whose readiness has changed since the last call.
     pub fn take_changed(&mut self) -> Vec<K> {
         std::mem::take(&mut self.changed)
     }
 
-    /// How an open job stands.
+    /// Readiness of an open job.
     pub fn readiness(&self, id: &K) -> Option<Readiness> {
         let node = self.nodes.get(id).filter(|n| n.own.is_some())?;
         Some(node.readiness())
     }
 
-    /// What an open job may claim; none if it is cancelled.
+    /// Effective priority of an open job; none if it is cancelled.
     pub fn effective_priority(&self, id: &K) -> Option<EffectivePriority> {
         self.nodes.get(id)?.propagated
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,11 +1,10 @@
-//! What goes where, as pure functions: no clock, no I/O, no hidden state.
+//! Scheduling policy as pure functions: no clock, no I/O, no hidden state.
 //!
-//! [`score`] holds the paper's image score, load gate and base score;
-//! [`ranking`] the top scorers for many tasks that are alike;
-//! [`queue`] teams' shares and who may be stopped for whom; [`triage`] the order
-//! in which waiting work is served; [`share`] how too little is divided; [`graph`] what follows
-//! for jobs that await others; [`fleet`] how many machines of which kind the
-//! waiting work asks for.
+//! [`score`] holds the image score, load gate and base score of the LRScheduler paper;
+//! [`ranking`] ranks machines for many identical tasks; [`quota`] holds teams' guarantees
+//! and limits and the rule for preemption; [`triage`] orders the waiting jobs;
+//! [`fair_share`] divides scarce capacity; [`graph`] resolves dependencies between jobs;
+//! [`fleet`] decides which machines to rent for the waiting tasks.
 
 pub mod fair_share;
 pub mod fleet;
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,5 +1,5 @@
-//! Teams' shares, and who may be stopped for whom. The order in which waiting
-//! jobs are served is in [`triage`](crate::triage).
+//! Teams' guarantees and limits, and which tasks may be preempted. The order in which
+//! waiting jobs are served is in [`triage`](crate::triage).
 
 use oliveshift_wire::job::{Amounts, Priority};
 
@@ -8,26 +8,26 @@
 pub struct Quota {
     /// Guaranteed processors and accelerators.
     pub guarantee: (f64, f64),
-    /// Most processors and accelerators; 0: no limit.
+    /// Maximum processors and accelerators; 0: no limit.
     pub limit: (f64, f64),
 }
 
 impl Quota {
-    /// Whether `used` keeps to the limit.
+    /// Whether `used` is within the limit.
     pub fn allows(&self, used: &Amounts) -> bool {
         let within = |used: f64, limit: f64| limit <= 0.0 || used <= limit + 1e-6;
         within(used.cpus, self.limit.0) && within(used.gpus, self.limit.1)
     }
 
-    /// Whether `wanted` lies within the guarantee.
+    /// Whether `wanted` is within the guarantee.
     pub fn guarantees(&self, wanted: &Amounts) -> bool {
         wanted.cpus <= self.guarantee.0 + 1e-6 && wanted.gpus <= self.guarantee.1 + 1e-6
     }
 }
 
-/// Whether `victim` may be stopped to make room for `wanting`: for a higher
-/// priority, or because it was lent beyond its own team's guarantee while the
-/// other team claims what it is guaranteed.
+/// Whether a task of priority `victim` may be stopped for one of priority `wanting`: for a
+/// higher priority, or because the victim was started beyond its own team's guarantee while
+/// the other team claims what it is guaranteed.
 pub fn may_preempt(
     wanting: Priority,
     wanting_guaranteed: bool,
--- a/crates/policy/src/ranking.rs
+++ b/crates/policy/src/ranking.rs
@@ -1,12 +1,12 @@
-//! The top scorers of many machines for many tasks that are alike.
+//! Ranks machines by score for many identical tasks.
 
 use std::{cmp::Ordering, collections::BinaryHeap};
 
 use crate::score::{Candidate, Task, Weights, score};
 
-/// The machines that a task fits on, the top scorer first; of equals, the one
-/// with the smallest number. All tasks of a job score alike, so after each
-/// choice only the chosen machine has to be scored again.
+/// The machines that a task fits on, the highest score first; of equal ones, the lowest
+/// index first. All tasks of a job score alike, so after each choice only the chosen
+/// machine has to be scored again.
 #[derive(Debug)]
 pub struct Ranking {
     task: Task,
@@ -20,7 +20,7 @@
 }
 
 impl Ranking {
-    /// Scores the machines, which are numbered.
+    /// Scores the machines, which are given with their indices.
     pub fn new(
         task: Task,
         machines: impl Iterator<Item = (usize, Candidate)>,
@@ -39,12 +39,13 @@
         self.heap.is_empty()
     }
 
-    /// Takes the top scorer out.
+    /// Removes the machine with the highest score and returns its index.
     pub fn pop(&mut self) -> Option<usize> {
         self.heap.pop().map(|scored| scored.at)
     }
 
-    /// Puts a machine back, with the room that it has now.
+    /// Adds a machine again, scored with its present capacity; leaves it out if the task
+    /// does not fit any more.
     pub fn put(&mut self, at: usize, candidate: &Candidate, weights: &Weights) {
         if let Some(sum) = score(&self.task, candidate, weights) {
             self.heap.push(Scored { sum, at });
--- a/crates/policy/src/score.rs
+++ b/crates/policy/src/score.rs
@@ -1,33 +1,35 @@
-//! LRScheduler's node score: cached image bytes, weighted by a load gate,
-//! plus a base score for free room.
+//! The node score of the LRScheduler paper: cached image bytes, weighted by a load gate,
+//! plus a base score for free capacity.
 
 use oliveshift_wire::job::{Amounts, JobSpec, Shape};
 
-/// Rounding left over from sums of decimal amounts.
+/// Tolerance for rounding errors in sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
 
-/// The tunable numbers of the score; the defaults are the paper's.
+/// Parameters of the score. The gate thresholds and the weight with an open gate default to
+/// the paper's values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Weights {
     /// Weight of the image score while the gate is open.
     pub gate_open: f64,
-    /// Weight of the image score while it is shut.
+    /// Weight of the image score while the gate is closed.
     pub gate_closed: f64,
-    /// Cached bytes above which the gate can open, in MB (the paper names no
-    /// unit).
+    /// Cached bytes above which the gate can open, in MB; the paper names no unit.
     pub gate_min_cached_mb: f64,
-    /// Processor share below which it can open.
+    /// Used share of processors below which the gate can open.
     pub gate_max_cpu: f64,
-    /// Half the gap between processor and memory share below which it can.
+    /// Half the difference between processor and memory share below which the gate can
+    /// open.
     pub gate_max_gap: f64,
-    /// Ours: what a spot machine is worth to a task that may use it. Ordinary
-    /// room is left to those who need it.
+    /// Bonus, not in the paper, of a spot machine for a task that may use it. It leaves
+    /// ordinary machines to tasks that need them.
     pub spot_bonus: f64,
-    /// Ours: what it is worth that a task fills a machine's processors. Large
-    /// machines are left to large tasks.
+    /// Bonus, not in the paper, for the share of a machine's processors that a task uses.
+    /// It leaves large machines to large tasks.
     pub cpu_fill_bonus: f64,
-    /// Ours: what it is worth to a service to be where services fill the
-    /// machine. Whole machines become free to be returned.
+    /// Bonus, not in the paper, of a machine for a service, by the share that services use
+    /// there. It packs services together, so that whole machines become free and can be
+    /// returned.
     pub service_packing_bonus: f64,
 }
 
@@ -46,31 +48,31 @@
     }
 }
 
-/// A machine that a task might be put on.
+/// A machine that a task might be placed on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// All that the machine has.
+    /// Total capacity of the machine.
     pub total: Amounts,
-    /// What no task takes.
+    /// Capacity that no task uses.
     pub free: Amounts,
-    /// Bytes of the task's image that it most likely has, in GB.
+    /// Bytes of the task's image that the machine most likely has cached, in GB.
     pub cached_gb: f64,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Share of its processors taken by services, which stay.
+    /// Share of its processors that services use, which run until they are cancelled.
     pub service_share: f64,
 }
 
-/// What the score needs to know of a task.
+/// Properties of a task that the score depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Task {
-    /// What it takes.
+    /// Resources that it needs.
     pub need: Amounts,
     /// The size of its image.
     pub image_gb: f64,
     /// Whether it may run on a spot machine.
     pub spot: bool,
-    /// Whether it stays until it is cancelled.
+    /// Whether it is a service, which runs until it is cancelled.
     pub service: bool,
 }
 
@@ -85,14 +87,14 @@
     }
 }
 
-/// Whether `free` has room for `need`.
+/// Whether `need` fits into `free`.
 pub fn fits(need: &Amounts, free: &Amounts) -> bool {
     need.cpus <= free.cpus + EPSILON
         && need.gpus <= free.gpus + EPSILON
         && need.memory_gb <= free.memory_gb + EPSILON
 }
 
-/// `from` less `what`.
+/// `from` minus `what`.
 pub fn minus(from: &Amounts, what: &Amounts) -> Amounts {
     Amounts {
         cpus: from.cpus - what.cpus,
@@ -101,7 +103,7 @@
     }
 }
 
-/// `from` and `what` together.
+/// `from` plus `what`.
 pub fn plus(from: &Amounts, what: &Amounts) -> Amounts {
     Amounts {
         cpus: from.cpus + what.cpus,
@@ -118,8 +120,8 @@
     }
 }
 
-/// The paper's sum for one machine, and the scores that we add to it; none
-/// where the task does not fit.
+/// The paper's score of one machine plus the bonuses that are not in the paper; none if the
+/// task does not fit.
 pub fn score(task: &Task, on: &Candidate, weights: &Weights) -> Option<f64> {
     let Task { need, image_gb, .. } = task;
     if !fits(need, &on.free) {
@@ -151,7 +153,7 @@
     Some(weight * layers + base + spot + place)
 }
 
-/// The top scorer; of equals, the first.
+/// The candidate with the highest score; of equal ones, the first.
 pub fn best<'a, K>(
     task: &Task,
     candidates: impl IntoIterator<Item = (K, &'a Candidate)>,
@@ -216,15 +218,15 @@
     #[test]
     fn follows_the_papers_numbers() {
         let of = |m: &Candidate| score(&TASK, m, &papers());
-        // Light and balanced: the gate is open.
+        // Low and balanced load: the gate is open.
         assert_eq!(of(&machine(16.0, 8.0, 32.0, 2.0)), Some(250.0));
-        // No image: only free room counts.
+        // No cached image: only free capacity counts.
         assert_eq!(of(&machine(16.0, 8.0, 32.0, 0.0)), Some(50.0));
-        // Busy: shut.
+        // High load: the gate is closed.
         assert_eq!(of(&machine(16.0, 12.0, 48.0, 2.0)), Some(75.0));
-        // Out of balance by more than 0.32: shut.
+        // Processor and memory shares differ by more than 0.32: the gate is closed.
         assert_eq!(of(&machine(16.0, 8.0, 0.0, 2.0)), Some(125.0));
-        // Full.
+        // The task does not fit.
         assert_eq!(of(&machine(16.0, 15.0, 0.0, 2.0)), None);
     }
 
--- a/crates/policy/src/triage.rs
+++ b/crates/policy/src/triage.rs
@@ -1,15 +1,14 @@
-//! The order in which waiting jobs are served, also when not all can be served
-//! in time.
+//! The order in which waiting jobs are served, also when not all can be served in time.
 //!
-//! Whatever waits is looked at in the order of serving, as if it started bit by
-//! bit as room gets free: how long until the last task of each job would start?
-//! If that is too late for the next of its aims, the largest job before it (or
-//! itself) is taken out, and tries for its aim after that behind all others.
-//! This is Moore's and Hodgson's algorithm ("An n job, one machine sequencing
-//! algorithm for minimizing the number of late jobs", 1968), aim by aim: with
-//! one kind of room no order keeps more first aims. Those that keep an aim go in the
-//! order that ends them soonest on average without being late. What can keep none goes
-//! last, the least work first, as that leaves the fewest open.
+//! Waiting jobs are examined in serving order as if they started gradually as capacity is
+//! freed: when would the last task of each job start? If that is too late for the job's
+//! next objective, the largest job before it (or the job itself) is removed and tries for
+//! its next objective after that, behind all others. This is the algorithm of Moore and
+//! Hodgson ("An n job, one machine sequencing algorithm for minimizing the number of late
+//! jobs", 1968), applied objective by objective: with one kind of capacity, no order meets
+//! more first objectives. Jobs that meet an objective go in the order that ends them
+//! soonest on average without any being late. Jobs that can meet none go last, the least
+//! work first, as that leaves the fewest open.
 
 use std::{
     cmp::Ordering,
@@ -20,61 +19,60 @@
 
 mod backward;
 
-/// Starts are taken to come later by this factor than they would if all went as
-/// reckoned: a job that is served just in time is late if anything goes wrong,
-/// and has taken the room of one that would not have been.
+/// Safety factor on estimated start times. A job served only just in time is late if
+/// anything goes wrong, and has then used capacity of a job that would not have been late.
 const MARGIN: f64 = 1.2;
-/// What sums of floating-point numbers may be off by, in seconds.
+/// Tolerance for sums of floating-point numbers, in seconds.
 const ROUNDING_S: f64 = 1e-6;
 
-/// Something that jobs share and that can run out: the machines that they fit
-/// on, or what their team may use.
+/// A resource that jobs share and that can run out: the machines that they fit on, or their
+/// team's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedResource {
     /// The share of it that is free now, 0 to 1.
     pub free: f64,
 }
 
-/// Why a job goes ahead of other borrowers. Ordered: the smallest first.
+/// Why a job goes ahead of other borrowing jobs. Ordered: the smallest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Turn {
     /// It is starved and gets a few tasks, which cost the others little.
     Starved,
-    /// It has its turn by its flow's floor, with all of its tasks.
+    /// It has the turn of its flow's minimum share, with all of its tasks.
     MinimumShare,
-    /// It does not.
+    /// It has no turn.
     None,
 }
 
-/// What comes before all that is said of time. Ordered: the smallest first.
+/// What takes precedence over all time constraints. Ordered: the smallest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PriorityBand {
-    /// Services in production come first, as people look at them.
+    /// Production services come first, as users wait for them.
     pub behind_production: bool,
-    /// Then work within a guarantee, which must not wait for borrowers.
+    /// Then work within a team's guarantee, which must not wait for borrowing jobs.
     pub borrowed: bool,
-    /// Then what has a turn ahead of others.
+    /// Then jobs with a turn.
     pub turn: Turn,
     /// Then by priority.
     pub priority: Priority,
 }
 
-/// A job with tasks that wait.
+/// A job with waiting tasks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WaitingJob {
-    /// What comes before all else.
+    /// Its priority band.
     pub band: PriorityBand,
-    /// Its place by arrival, or by the latest start that a deadline allows.
+    /// Its place in the order of arrival, or of the latest start that its deadline allows.
     pub order_ms: u64,
-    /// The latest starts that its aims allow, in seconds from now, ascending;
-    /// below 0: missed.
+    /// The latest starts that its objectives allow, in seconds from now, ascending; below
+    /// 0: missed.
     pub latest_starts_s: Vec<f64>,
-    /// Whether some of its tasks are out already.
+    /// Whether some of its tasks are assigned already.
     pub started: bool,
-    /// The lines that it stands in, and what share of each its waiting tasks
-    /// would take if all of them ran at once.
+    /// The shared resources that it needs, and the share of each that its waiting tasks
+    /// would use if all ran at once.
     pub resources: Vec<(usize, f64)>,
-    /// How long a task takes, in seconds.
+    /// Duration of a task, in seconds.
     pub length_s: f64,
 }
 
@@ -83,21 +81,21 @@
         self.latest_starts_s.iter().filter(|at| **at < 0.0).count()
     }
 
-    /// Whether it comes first in a tier and is not taken out for others: what
-    /// has been begun and can still be in time is brought to its end, as the work
-    /// that it has had is of no use to anybody otherwise.
+    /// Whether it goes first in a tier and is not removed for other jobs. Jobs that have
+    /// started and can still be in time are finished, as their work so far would otherwise
+    /// be of no use.
     fn is_held(&self, tier: usize) -> bool {
         self.started && self.latest_starts_s.len() > tier
     }
 
-    /// Its work: of the line of which it takes most.
+    /// Its work, counted on the resource of which it uses the largest share.
     pub fn work(&self) -> f64 {
         let widths = self.resources.iter().map(|(_, width)| *width);
         widths.fold(0.0, f64::max) * self.length_s
     }
 }
 
-/// What has been put into a line.
+/// Load put on a shared resource.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
     width: f64,
@@ -110,8 +108,8 @@
         self.work += width * length_s;
     }
 
-    /// When the last of it starts, in seconds from now: what does not fit into
-    /// the free room waits for its share of all work to be over.
+    /// When the last of the load starts, in seconds from now: what exceeds the free share
+    /// waits until its part of the total work is over.
     fn last_start_s(&self, resource: &SharedResource) -> f64 {
         if self.width <= resource.free + 1e-9 {
             return 0.0;
@@ -119,13 +117,13 @@
         self.work * (1.0 - resource.free / self.width)
     }
 
-    /// Whether the last of it starts too late for an aim.
+    /// Whether the last of the load starts too late for an objective.
     fn is_too_late(&self, resource: &SharedResource, latest_starts_s: f64) -> bool {
         self.last_start_s(resource) * MARGIN > latest_starts_s + ROUNDING_S
     }
 }
 
-/// A job that may still be taken out again, the largest first.
+/// A job in a heap with the largest work on top.
 #[derive(Debug)]
 struct Chosen {
     work: f64,
@@ -153,8 +151,8 @@
 
 impl Eq for Chosen {}
 
-/// The order in which `jobs` are served, as their numbers. Of jobs that are
-/// alike, the one with the smallest number goes first.
+/// The order in which `jobs` are served, as indices. Of equal jobs, the one with the
+/// smallest index goes first.
 pub fn order(jobs: &[WaitingJob], resources: &[SharedResource]) -> Vec<usize> {
     let mut loads = vec![Load::default(); resources.len()];
     let mut all: Vec<usize> = (0..jobs.len()).collect();
@@ -205,7 +203,7 @@
     }
     for tier in 0..tiers {
         let mut candidates = std::mem::take(&mut by_tier[tier]);
-        // Those taken out of the tier before come in their place.
+        // Jobs removed from the previous tier are sorted into their places.
         candidates.sort_by_key(|at| (!jobs[*at].is_held(tier), jobs[*at].order_ms, *at));
         let out = keep(jobs, resources, loads, tier, &candidates);
         let kept = candidates.iter().copied().filter(|at| !out.contains(at));
@@ -231,8 +229,8 @@
     order.extend(late);
 }
 
-/// Which of the candidates can't keep the aim of this tier, so that as many as
-/// possible can.
+/// The candidates that are left out in this tier, so that as many as possible meet its
+/// objective.
 fn keep(
     jobs: &[WaitingJob],
     resources: &[SharedResource],
--- a/crates/policy/src/triage/backward.rs
+++ b/crates/policy/src/triage/backward.rs
@@ -1,18 +1,18 @@
-//! Smith's backward rule: of the orders in which all jobs keep their aims, the one that
-//! ends them soonest on average (Smith, "Various optimizers for single-stage
+//! Smith's backward rule: of the orders in which all jobs meet their objectives, the one
+//! with the smallest average end time (Smith, "Various optimizers for single-stage
 //! production", 1956).
 //!
-//! The last place goes to the largest of the jobs whose aim allows it, then the last
-//! but one, and so on. With one kind of room no order that keeps all aims has a smaller
-//! sum of ends.
+//! The last place goes to the largest of the jobs whose objective allows it, then the last
+//! but one is filled, and so on. With one kind of capacity, no order that meets all
+//! objectives has a smaller sum of end times.
 
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
 use super::{Chosen, Load, SharedResource, WaitingJob, take_out};
 
-/// Orders jobs that all keep their aim of a tier in the order of `kept`. `loads` holds
-/// them and all that goes before them. A job without an aim in this tier keeps its
-/// place.
+/// Orders jobs that all meet their objective of a tier in the order of `kept`. `loads`
+/// holds these jobs and all that go before them. A job without an objective in this tier
+/// keeps its place.
 pub(super) fn order(
     jobs: &[WaitingJob],
     resources: &[SharedResource],
@@ -31,19 +31,19 @@
     kept.into_iter().filter_map(place).collect()
 }
 
-/// Gives places, the last first.
+/// Fills the places, the last first.
 struct Backward<'a> {
     jobs: &'a [WaitingJob],
     resources: &'a [SharedResource],
     tier: usize,
-    /// What has no place yet, and all that goes before it.
+    /// Load of the jobs without a place and of all jobs that go before them.
     loads: Vec<Load>,
-    /// By line, the jobs that would be too late in the last place, as far as is known;
-    /// the one with most time at the end.
+    /// By resource, the jobs that would be too late in the last free place, as far as is
+    /// known; the one with the latest allowed start at the end.
     too_late: Vec<Vec<usize>>,
-    /// In how many of its lines each job would be too late.
+    /// Number of its resources on which each job would be too late.
     too_late_in: HashMap<usize, usize>,
-    /// The jobs that the last place suits.
+    /// The jobs that may take the last free place.
     suited: BinaryHeap<Chosen>,
 }
 
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The jobs in their order. Those that no place is found for, by rounding, come
-    /// first, as they were.
+    /// Returns the jobs in their order. Jobs for which rounding errors leave no place come
+    /// first, in their former order.
     fn order(mut self, aimed: &[usize]) -> Vec<usize> {
         for resource in 0..self.resources.len() {
             self.look_at(resource);
@@ -96,7 +96,7 @@
         unplaced.chain(from_last.into_iter().rev()).collect()
     }
 
-    /// Finds the jobs of a line that would not be too late in it any more.
+    /// Finds the jobs on a resource that would no longer be too late on it.
     fn look_at(&mut self, resource: usize) {
         while let Some(at) = self.too_late[resource].last().copied() {
             let job = &self.jobs[at];
