--- a/crates/core/src/handout.rs
+++ b/crates/core/src/handout.rs
@@ -578,7 +578,7 @@
         };
         let changes = vec![put];
         let txn = Txn { conds, changes };
-        if !self.write_chunk(id, part, txn, handed, Urgency::Handout) {
+        if !self.write_chunk(id, part, txn, handed, Urgency::Assignment) {
             if let Some(leader) = &mut self.leader {
                 leader.plan_due = true;
             }
--- a/crates/core/src/machine_lists.rs
+++ b/crates/core/src/machine_lists.rs
@@ -31,9 +31,9 @@
 /// The most bytes that a machine takes in a list at the first format level.
 const MAX_FLAT_ENTRY_BYTES: f64 = 200.0;
 
-/// The minimum time between two writes, so that a list is not written anew, at the cost of
-/// a write, for each single machine. New machines wait for the write, so additions skip the interval
-/// while the write budget has room to spare; removals are not urgent.
+/// The minimum time between two writes: without it most writes would change a list for a
+/// single machine. New machines wait for the write, so additions skip the interval while
+/// the write budget has room to spare; removals are not urgent.
 const MIN_ADD_INTERVAL: Duration = Duration::from_millis(400);
 const MIN_REMOVE_INTERVAL: Duration = Duration::from_millis(2000);
 
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -68,8 +68,8 @@
             Self::User(_) => "user",
             Self::Chunk(..) => "chunk",
             Self::LeaderWrite(LeaderWrite::LeaseBlock(_)) => "lease",
-            Self::LeaderWrite(LeaderWrite::CompactJobs(_)) => "tidy",
-            Self::LeaderWrite(LeaderWrite::PublishAdmission) => "admit",
+            Self::LeaderWrite(LeaderWrite::CompactJobs(_)) => "compact",
+            Self::LeaderWrite(LeaderWrite::PublishAdmission) => "admission",
             Self::LeaderWrite(LeaderWrite::Resign) => "resign",
             Self::MachineLists => "machine lists",
             Self::Upgrade(_) => "upgrade",
@@ -114,7 +114,7 @@
     Session,
     Safety,
     User,
-    Handout,
+    Assignment,
     Quota,
     Read,
     Background,
@@ -126,14 +126,14 @@
         match self {
             Self::Session => 0.0,
             // Writes for users may overdraw the budget: they are few, and a user who is
-            // told to repeat a request loses a second.
+            // told to retry loses a second.
             Self::User => -1.0,
             // Reads for users have a rate limit of their own. With a positive reserve
             // they starved for minutes, and users did not learn that their jobs were
             // done.
             Self::Read => -0.5,
             Self::Safety => 0.05,
-            Self::Handout => 0.15,
+            Self::Assignment => 0.15,
             Self::Quota => 0.2,
             Self::Background => 0.5,
             Self::Cleanup => 0.5,
@@ -283,8 +283,8 @@
     /// Divides the rate limits among the members; a controller that is not a member
     /// writes nothing. The leader writes more than the others, so its share is larger.
     pub(crate) fn update_request_budgets(&mut self) {
-        let most = self.settings.peers_and_me();
-        let nodes = self.view.members.len().clamp(most.min(2), most) as f64;
+        let max_nodes = self.settings.peers_and_me();
+        let nodes = self.view.members.len().clamp(max_nodes.min(2), max_nodes) as f64;
         let part = LEADER_REQUEST_WEIGHT / (nodes - 1.0 + LEADER_REQUEST_WEIGHT);
         let (requests, writes) = if nodes < 2.0 {
             (USABLE_LIMIT_SHARE, USABLE_LIMIT_SHARE)
@@ -479,8 +479,8 @@
 
     fn back_off(&mut self) {
         self.store.failures += 1;
-        let most = 150 << self.store.failures.min(3);
-        let wait = Duration::from_millis(self.rng.u64(100..=most));
+        let max_ms = 150 << self.store.failures.min(3);
+        let wait = Duration::from_millis(self.rng.u64(100..=max_ms));
         self.store.next_watch_at = self.now + wait;
     }
 
@@ -588,13 +588,13 @@
     /// Reads the latest changes for user requests that need an answer no older than the
     /// request, after a pause, or to prove that blocks are still held here.
     pub(crate) fn refresh_view(&mut self) {
-        let stood_still = self
+        let was_paused = self
             .store
             .last_contact
             .is_none_or(|at| at < self.store.resumed_at);
-        let doubts = stood_still || self.store.needs_fresh_read;
+        let needs_confirmation = was_paused || self.store.needs_fresh_read;
         if self.store.read_pending
-            || (self.user_requests.awaiting_read.is_empty() && !doubts)
+            || (self.user_requests.awaiting_read.is_empty() && !needs_confirmation)
             || self.now < self.store.next_read_at
             || !self.store.ready
             || !self
@@ -649,9 +649,9 @@
     /// announced lower ones.
     pub(crate) fn txn_fits(&self, txn: &Txn) -> bool {
         let limits = self.limits();
-        let most = limits.value_bytes();
+        let max_bytes = limits.value_bytes();
         let small = |change: &Change| match change {
-            Change::Put { value, .. } => json_len(value) <= most,
+            Change::Put { value, .. } => json_len(value) <= max_bytes,
             Change::Delete { .. } => true,
         };
         txn.changes.len() <= limits.txn_ops
@@ -663,10 +663,10 @@
     /// Sends a transaction if the budget allows. If it returns false, the caller has to
     /// try again later.
     pub(crate) fn send_txn(&mut self, txn: Txn, purpose: Purpose, urgency: Urgency) -> bool {
-        let puts = txn.changes.len() as f64;
+        let changes = txn.changes.len() as f64;
         if urgency == Urgency::Session {
             self.store.requests.charge(self.now, 1.0);
-            self.store.writes.charge(self.now, puts);
+            self.store.writes.charge(self.now, changes);
         } else {
             // Nothing is taken from one budget if the other has too little: failed attempts
             // would use it up for other transactions.
@@ -675,14 +675,14 @@
             if !store.requests.can_take(now, 1.0, reserve) {
                 return false;
             }
-            if !store.writes.take(now, puts, reserve) {
-                store.writes.record_blocked(now, puts, reserve);
+            if !store.writes.take(now, changes, reserve) {
+                store.writes.record_blocked(now, changes, reserve);
                 return false;
             }
             store.requests.take(now, 1.0, reserve);
         }
         log::debug!(
-            "sending transaction: {}, {puts} changes, urgency {urgency:?}",
+            "sending transaction: {}, {changes} changes, urgency {urgency:?}",
             purpose.name()
         );
         let body = encode(&txn);
--- a/crates/core/src/store/tests.rs
+++ b/crates/core/src/store/tests.rs
@@ -210,7 +210,7 @@
     );
 }
 
-/// A revision that goes back means that the state service has lost data. Its answer must
+/// A decreasing revision means that the state service has lost data. Its answer must
 /// not count as contact, as records that the controller relies on may be gone.
 #[test]
 fn a_decreasing_revision_is_a_violation_and_no_contact() {
--- a/crates/core/src/user_writes.rs
+++ b/crates/core/src/user_writes.rs
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Whether some send of it got no answer, so that it may still take effect.
+    /// Whether some send of it got no answer, so that it may still take effect after its
+    /// user has been told that it failed.
     pub fn is_in_doubt(&self) -> bool {
         self.in_doubt
     }
