--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -596,7 +596,7 @@
             self.place();
             self.refresh_own_machines();
         }
-        self.hand_out();
+        self.assign_tasks();
         self.send_orders();
         self.send_due_peer_messages();
     }
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -26,13 +26,13 @@
 };
 
 /// How long a report waits for its machine's record to be written.
-const REPORT_PATIENCE: Duration = Duration::from_millis(2000);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(2000);
 /// How long a leader write without an answer counts as pending before it may be sent again.
-const REDO: Duration = Duration::from_millis(2500);
+const WRITE_RETRY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum number of compaction writes started at a time.
-const MOST_BATCHES: usize = 4;
+const MAX_COMPACTION_WRITES: usize = 4;
 /// Minimum uptime of every controller before blocks are moved between them.
-const STEADY: Duration = Duration::from_secs(8);
+const MIN_MEMBER_UPTIME: Duration = Duration::from_secs(8);
 
 /// Purpose of a write that only the leader makes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,15 +53,15 @@
     /// Version of our `leader` record. Every write of the leader is conditional on it.
     pub version: u64,
     pub plan_due: bool,
-    pub plan_at: Duration,
+    pub last_plan_at: Duration,
     /// Number of jobs with waiting tasks at the last plan.
-    pub waiting: usize,
+    pub waiting_jobs: usize,
     /// Writes in progress, and when each may be sent again.
     pending_writes: BTreeMap<LeaderWrite, Duration>,
     /// Reports of machines that have no record yet, and when each arrived.
     pub reports: Vec<(ConnId, Report, Duration)>,
     /// Incarnation of each member, and since when the leader has seen it.
-    up: BTreeMap<String, (u64, Duration)>,
+    up_since: BTreeMap<String, (u64, Duration)>,
     /// The leader's view of all machines.
     pub inventory: Inventory,
     /// Computes the admission shares.
@@ -69,11 +69,11 @@
     /// State that determines the order in which jobs are served.
     pub queue_order: QueueOrder,
     /// When team usage was last logged.
-    pub usage_logged: Duration,
+    pub usage_logged_at: Duration,
     /// When each task was last asked to stop for another.
-    pub asked: BTreeMap<TaskId, Duration>,
+    pub stop_requested_at: BTreeMap<TaskId, Duration>,
     /// When tasks of each job were last assigned.
-    pub handed_at: BTreeMap<JobId, Duration>,
+    pub last_assigned_at: BTreeMap<JobId, Duration>,
     /// Machine on whose capacity each task was counted when it was assigned.
     pub planned_machines: BTreeMap<TaskId, String>,
     /// Write of machine lists in progress.
@@ -81,8 +81,8 @@
     /// When machine lists were last written.
     pub lists_written_at: Duration,
     /// Blocks that are being created, with their zones.
-    making: BTreeMap<BlockId, String>,
-    tidy_at: Duration,
+    blocks_in_creation: BTreeMap<BlockId, String>,
+    next_cleanup_at: Duration,
     /// Jobs whose tasks are all done but whose records are still open.
     pub complete_jobs: BTreeSet<JobId>,
 }
@@ -135,7 +135,7 @@
         }
         match version {
             Some(version) => {
-                log::info!("we lead now");
+                log::info!("this controller is now the leader");
                 let active = self.view.active.iter();
                 let complete = active.filter(|id| {
                     let job = self.view.jobs.get(*id);
@@ -145,27 +145,27 @@
                 self.leader = Some(Leader {
                     version,
                     plan_due: true,
-                    plan_at: self.now,
-                    waiting: 0,
+                    last_plan_at: self.now,
+                    waiting_jobs: 0,
                     pending_writes: BTreeMap::new(),
                     reports: Vec::new(),
-                    up: BTreeMap::new(),
+                    up_since: BTreeMap::new(),
                     inventory: Inventory::default(),
                     share_planner: SharePlanner::default(),
                     queue_order: QueueOrder::default(),
-                    asked: BTreeMap::new(),
-                    handed_at: BTreeMap::new(),
-                    usage_logged: Duration::ZERO,
+                    stop_requested_at: BTreeMap::new(),
+                    last_assigned_at: BTreeMap::new(),
+                    usage_logged_at: Duration::ZERO,
                     planned_machines: BTreeMap::new(),
                     list_write: None,
                     lists_written_at: Duration::ZERO,
-                    making: BTreeMap::new(),
-                    tidy_at: self.now,
+                    blocks_in_creation: BTreeMap::new(),
+                    next_cleanup_at: self.now,
                     complete_jobs,
                 });
             }
             None => {
-                log::info!("we no longer lead");
+                log::info!("this controller is no longer the leader");
                 let reports = self.leader.take().map(|l| l.reports);
                 for (conn, ..) in reports.into_iter().flatten() {
                     self.redirect(conn, None);
@@ -222,20 +222,20 @@
         };
         let (late, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut leader.reports)
             .into_iter()
-            .partition(|(_, _, since)| now > *since + REPORT_PATIENCE);
+            .partition(|(_, _, since)| now > *since + REPORT_TIMEOUT);
         leader.reports = wait;
         leader.pending_writes.retain(|_, at| *at > now);
         let members = &self.view.members;
         leader
-            .up
+            .up_since
             .retain(|n, (i, _)| members.get(n).is_some_and(|m| m.record.incarnation == *i));
         for (name, member) in members {
             let new = (member.record.incarnation, now);
-            leader.up.entry(name.clone()).or_insert(new);
+            leader.up_since.entry(name.clone()).or_insert(new);
         }
-        let tidy = now >= leader.tidy_at;
-        if tidy {
-            leader.tidy_at = now + Duration::from_millis(500);
+        let cleanup_due = now >= leader.next_cleanup_at;
+        if cleanup_due {
+            leader.next_cleanup_at = now + Duration::from_millis(500);
         }
         for (conn, ..) in late {
             self.refuse(conn, 503, "the machine could not be registered in time");
@@ -243,64 +243,64 @@
         if !self.in_contact() {
             return;
         }
-        self.lease_blocks(tidy);
+        self.lease_blocks(cleanup_due);
         self.move_unreachable_blocks();
         self.update_machine_lists();
-        self.finish();
-        if tidy {
-            self.admit();
-            self.tidy();
+        self.compact_complete_jobs();
+        if cleanup_due {
+            self.publish_admission();
+            self.compact_closed_jobs();
         }
         self.fleet_tick();
     }
 
     pub(crate) fn submit_leader_write(
         &mut self,
-        duty: LeaderWrite,
+        write: LeaderWrite,
         txn: Txn,
         urgency: Urgency,
     ) -> bool {
-        let at = self.now + REDO;
-        let known = |l: &Leader| l.pending_writes.contains_key(&duty);
-        if self.leader.as_ref().is_none_or(known)
-            || !self.send_txn(txn, Purpose::LeaderWrite(duty.clone()), urgency)
+        let retry_at = self.now + WRITE_RETRY_TIMEOUT;
+        let is_pending = |l: &Leader| l.pending_writes.contains_key(&write);
+        if self.leader.as_ref().is_none_or(is_pending)
+            || !self.send_txn(txn, Purpose::LeaderWrite(write.clone()), urgency)
         {
             return false;
         }
         if let Some(leader) = &mut self.leader {
-            leader.pending_writes.insert(duty, at);
+            leader.pending_writes.insert(write, retry_at);
         }
         true
     }
 
-    pub(crate) fn leader_write_done(&mut self, duty: LeaderWrite, outcome: Outcome) {
-        let soon = self.now + Duration::from_millis(300);
+    pub(crate) fn leader_write_done(&mut self, write: LeaderWrite, outcome: Outcome) {
+        let retry_at = self.now + Duration::from_millis(300);
         if let Some(leader) = &mut self.leader
             && !matches!(outcome, Outcome::Unknown)
         {
             // The view shows the outcome within this time.
-            leader.pending_writes.insert(duty, soon);
+            leader.pending_writes.insert(write, retry_at);
         }
     }
 
     /// Leases blocks whose holder is gone. If there are none and `may_move` is set, moves
     /// at most one block to a better holder.
     fn lease_blocks(&mut self, may_move: bool) {
-        let orphans: Vec<_> = self
+        let unheld: Vec<_> = self
             .view
             .blocks
             .iter()
             .filter(|(_, b)| !self.view.holder_is_up(&b.record))
             .map(|(id, b)| (*id, b.version, b.record.zone.clone()))
             .collect();
-        if orphans.is_empty() {
+        if unheld.is_empty() {
             if may_move {
-                self.move_a_block();
+                self.rebalance_one_block();
             }
             return;
         }
         let mut loads = self.loads();
-        for (id, version, zone) in orphans {
+        for (id, version, zone) in unheld {
             if let Some(holder) = self.best_holder(&zone, &loads, None) {
                 let size = self.view.machine_count(&id) + 1;
                 *loads.entry(holder.clone()).or_default() += size;
@@ -326,12 +326,12 @@
             incarnation: member.record.incarnation,
         };
         let key = Key::Block(id).path();
-        let Some(lead) = self.leader_cond() else {
+        let Some(leader_cond) = self.leader_cond() else {
             return false;
         };
         let txn = Txn {
             conds: vec![
-                lead,
+                leader_cond,
                 Cond {
                     key: key.clone(),
                     version,
@@ -393,20 +393,20 @@
             .map(|(name, _)| name.clone())
     }
 
-    fn move_a_block(&mut self) {
+    fn rebalance_one_block(&mut self) {
         let Some(leader) = &self.leader else { return };
-        let steady = |name: &str| {
+        let is_steady = |name: &str| {
             leader
-                .up
+                .up_since
                 .get(name)
-                .is_some_and(|(_, at)| self.now > *at + STEADY)
+                .is_some_and(|(_, at)| self.now > *at + MIN_MEMBER_UPTIME)
         };
         let busy = leader
             .pending_writes
             .keys()
             .any(|d| matches!(d, LeaderWrite::LeaseBlock(_)));
         // While controllers restart one after the other, a block would move twice.
-        let settled = self.view.members.keys().all(|name| steady(name));
+        let settled = self.view.members.keys().all(|name| is_steady(name));
         if busy || !settled {
             return;
         }
@@ -464,53 +464,56 @@
             return;
         };
         let (pending_writes, blocks) = (&leader.pending_writes, &self.view.blocks);
-        leader.making.retain(|id, _| {
+        leader.blocks_in_creation.retain(|id, _| {
             !blocks.contains_key(id) && pending_writes.contains_key(&LeaderWrite::LeaseBlock(*id))
         });
-        if leader.making.values().any(|z| *z == zone) {
+        if leader.blocks_in_creation.values().any(|z| *z == zone) {
             return;
         }
-        let newest = blocks.keys().chain(leader.making.keys()).max();
+        let newest = blocks.keys().chain(leader.blocks_in_creation.keys()).max();
         let id = newest.map_or(0, |id| id + 1);
         if let Some(holder) = self.best_holder(&zone, &self.loads(), None)
             && self.lease_block(id, 0, zone.clone(), &holder, &LeaseReason::NewBlock)
             && let Some(leader) = &mut self.leader
         {
-            leader.making.insert(id, zone);
+            leader.blocks_in_creation.insert(id, zone);
         }
     }
 
     /// Publishes the admission shares when the planner has new ones.
-    fn admit(&mut self) {
+    fn publish_admission(&mut self) {
         let grows = self.is_fleet_growing();
         let Some(leader) = &mut self.leader else {
             return;
         };
         let all = leader.inventory.usable_capacity();
         let fleet = [all.cpus, all.gpus, all.memory_gb];
-        let mut seen =
+        let mut fleet_load =
             FleetLoad::from_view(&self.view, &leader.queue_order, fleet, self.tuning.horizon);
-        seen.is_growing = grows;
+        fleet_load.is_growing = grows;
         #[cfg(feature = "sabotage")]
         {
             leader.share_planner.sabotage = self.sabotage;
         }
-        let present = self.view.admission.as_ref();
-        let version = present.map_or(0, |r| r.version);
-        let present = present.map(|r| (r.version, &r.record));
-        let Some(next) = leader.share_planner.next_record(self.now, present, &seen) else {
+        let current = self.view.admission.as_ref();
+        let version = current.map_or(0, |r| r.version);
+        let current = current.map(|r| (r.version, &r.record));
+        let Some(next) = leader
+            .share_planner
+            .next_record(self.now, current, &fleet_load)
+        else {
             return;
         };
         // Programs of an older format level don't know this record.
         if self.level() < FormatLevel::PIPELINES {
             return;
         }
-        let Some(lead) = self.leader_cond() else {
+        let Some(leader_cond) = self.leader_cond() else {
             return;
         };
         let key = Key::Admission.path();
         let conds = vec![
-            lead,
+            leader_cond,
             Cond {
                 key: key.clone(),
                 version,
@@ -536,7 +539,7 @@
 
     /// Records jobs as done whose last tasks were recorded by controllers that could not
     /// see that they were the last. Users and dependent jobs wait for this record.
-    fn finish(&mut self) {
+    fn compact_complete_jobs(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -600,8 +603,8 @@
         changes: Vec<Change>,
         urgency: Urgency,
     ) {
-        if let Some(lead) = self.leader_cond() {
-            conds.insert(0, lead);
+        if let Some(leader_cond) = self.leader_cond() {
+            conds.insert(0, leader_cond);
             self.submit_leader_write(
                 LeaderWrite::CompactJobs(ids),
                 Txn { conds, changes },
@@ -612,12 +615,12 @@
 
     /// Compacts jobs that are over. Several go into one write, as many jobs may have been
     /// cancelled together.
-    fn tidy(&mut self) {
+    fn compact_closed_jobs(&mut self) {
         let Some(leader) = &self.leader else { return };
         let under_way: BTreeSet<&JobId> = leader
             .pending_writes
             .keys()
-            .filter_map(|duty| match duty {
+            .filter_map(|write| match write {
                 LeaderWrite::CompactJobs(ids) => Some(ids),
                 LeaderWrite::LeaseBlock(_)
                 | LeaderWrite::PublishAdmission
@@ -642,7 +645,7 @@
                     all_conds.extend(conds);
                     all_changes.extend(changes);
                 }
-                None if count >= MOST_BATCHES => break,
+                None if count >= MAX_COMPACTION_WRITES => break,
                 None => batches.push((vec![id.clone()], conds, changes)),
             }
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod admission_shares;
 mod assigned_tasks;
+mod assignment;
 mod attempt;
 mod blocks;
 mod budget;
@@ -18,7 +19,6 @@
 mod fixtures;
 mod fleet;
 mod forwarding;
-mod handout;
 mod invariants;
 mod inventory;
 mod leader;
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    controller::Controller, handout::Plan, inventory::MachineView, queue_order::QueuedJob,
+    assignment::Plan, controller::Controller, inventory::MachineView, queue_order::QueuedJob,
 };
 
 /// Maximum number of searches through all machines for tasks to preempt, per plan.
@@ -76,7 +76,7 @@
                     queued.id
                 );
                 if let Some(leader) = &mut self.leader {
-                    leader.asked.insert(task.clone(), self.now);
+                    leader.stop_requested_at.insert(task.clone(), self.now);
                 }
                 self.request_preemption(&task);
             }
@@ -110,7 +110,7 @@
                 if !may {
                     return None;
                 }
-                let is_asked = self.leader.as_ref()?.asked.contains_key(task);
+                let is_asked = self.leader.as_ref()?.stop_requested_at.contains_key(task);
                 // For production, which users wait for, the tasks that stop most quickly go
                 // first; otherwise those that lose no work.
                 let lost = match (queued.priority, other.saves()) {
--- a/crates/core/src/team_usage.rs
+++ b/crates/core/src/team_usage.rs
@@ -15,8 +15,8 @@
 use oliveshift_wire::{JobId, TaskId, job::JobSpec};
 
 use crate::{
+    assignment::Plan,
     controller::Controller,
-    handout::Plan,
     inventory::Inventory,
     records::{BlockId, TaskStatus},
     view::Job,
@@ -101,9 +101,9 @@
             }
         }
         if let Some(leader) = &mut self.leader
-            && self.now >= leader.usage_logged + LOG_PERIOD
+            && self.now >= leader.usage_logged_at + LOG_PERIOD
         {
-            leader.usage_logged = self.now;
+            leader.usage_logged_at = self.now;
             for (team, usage) in usage {
                 log::debug!("{team}: {usage}");
             }
