--- a/crates/core/src/assigned_tasks.rs
+++ b/crates/core/src/assigned_tasks.rs
@@ -61,7 +61,7 @@
     /// The worker's session in which the attempt was placed or found.
     pub session: u64,
     /// What carried the start: the answer to the report of this number, or direct orders
-    /// (0). None if the start was not sent.
+    /// (0). None if the start was not sent; 0 also if the attempt was found in a report.
     pub start_sent_with: Option<u64>,
     /// A message of the worker has listed the attempt, so the start need not be repeated.
     pub listed: bool,
@@ -265,7 +265,7 @@
             return;
         };
         // Assigned under the current term: no earlier holder can have started it.
-        let under_own_term = assigned_term == held.term;
+        let is_own_term = assigned_term == held.term;
         held.unlocated += 1;
         log::debug!("{task}: assigned to block {block} under term {assigned_term}");
         let assigned = AssignedTask {
@@ -279,7 +279,7 @@
         self.assigned_tasks.insert(task.clone(), assigned);
         if let Some(bound) = self.own_earlier_attempt(&task) {
             self.set_task_state(&task, AssignmentState::Bound(bound));
-        } else if under_own_term {
+        } else if is_own_term {
             self.release_task(&task, AbsenceProof::AssignedUnderOwnTerm, Duration::ZERO);
         }
     }
@@ -298,13 +298,13 @@
         let Some(assigned) = self.assigned_tasks.get_mut(task) else {
             return;
         };
-        let mut touched = Vec::new();
+        let mut changed_machines = Vec::new();
         match &assigned.state {
             AssignmentState::Bound(bound) => {
                 if let Some(machine) = self.machines.get_mut(&bound.machine) {
                     machine.bound_tasks.remove(task);
                 }
-                touched.push(bound.machine.clone());
+                changed_machines.push(bound.machine.clone());
             }
             AssignmentState::Free { .. } => {
                 self.unplaced.remove(task);
@@ -325,7 +325,7 @@
                     machine.bound_tasks.insert(task.clone());
                     machine.idle_since = None;
                 }
-                touched.push(bound.machine.clone());
+                changed_machines.push(bound.machine.clone());
             }
             AssignmentState::Free { .. } => {
                 self.unplaced.insert(task.clone());
@@ -343,7 +343,7 @@
                 }
             }
         }
-        for name in touched {
+        for name in changed_machines {
             self.mark_changed(&name);
         }
     }
@@ -360,15 +360,14 @@
             "{task}: not running in block {}: {evidence}",
             assigned.block
         );
-        let under_own_term =
+        let is_own_term =
             self.held_blocks.get(&assigned.block).map(|h| h.term) == Some(assigned.assigned_term);
-        if !under_own_term && let Some((machine, session, entry)) = self.other_listed_attempt(task)
-        {
+        if !is_own_term && let Some((machine, session, entry)) = self.other_listed_attempt(task) {
             self.set_task_state(task, AssignmentState::Unlocated);
             return self.apply_task_entry(&machine, session, &entry);
         }
         // Assigned under an earlier term, it runs nowhere only if the block is cleared.
-        let evidence = match under_own_term {
+        let evidence = match is_own_term {
             true => Some(evidence),
             false => self.block_clearance(assigned.block),
         };
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -418,7 +418,7 @@
                 return;
             }
             Why::Stopped | Why::Peers | Why::Alone => {
-                // Stopped for another task or with its gang: the leader assigns it again.
+                // Stopped on order or for lack of its gang: the leader decides what follows.
                 self.return_to_leader(task, AbsenceProof::Ended(why));
                 return;
             }
@@ -436,8 +436,8 @@
                 }
                 if let Some(assigned) = self.assigned_tasks.get_mut(task) {
                     assigned.failed_on.push(name.to_owned());
-                    let times = assigned.failed_on.len().min(6) as u32;
-                    wait = TASK_RETRY_DELAY * 2u32.pow(times.saturating_sub(1));
+                    let failures = assigned.failed_on.len().min(6) as u32;
+                    wait = TASK_RETRY_DELAY * 2u32.pow(failures.saturating_sub(1));
                 }
             }
             Why::NoRoom | Why::Busy => {
@@ -507,7 +507,7 @@
         let Some(proof) = self.block_clearance(block) else {
             return;
         };
-        let lost: Vec<_> = self
+        let unlocated: Vec<_> = self
             .assigned_tasks
             .iter()
             .filter(|(_, s)| s.block == block && matches!(s.state, AssignmentState::Unlocated))
@@ -515,9 +515,9 @@
             .collect();
         log::info!(
             "block {block}: cleared, {} tasks that run nowhere are free again",
-            lost.len()
+            unlocated.len()
         );
-        for task in lost {
+        for task in unlocated {
             self.release_task(&task, proof, Duration::ZERO);
         }
     }
@@ -561,8 +561,8 @@
             self.refresh_view();
         }
         // A block without machines gets no report that would trigger this.
-        let lost = self.held_blocks.iter().filter(|(_, h)| h.unlocated > 0);
-        for block in lost.map(|(id, _)| *id).collect::<Vec<_>>() {
+        let unlocated = self.held_blocks.iter().filter(|(_, h)| h.unlocated > 0);
+        for block in unlocated.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.release_unlocated(block);
         }
         let probe: Vec<_> = self
