--- a/crates/core/src/admission_shares.rs
+++ b/crates/core/src/admission_shares.rs
@@ -77,7 +77,7 @@
     pub horizon_s: f64,
     /// Each controller's share, by flow.
     pub flows: Vec<FlowShare>,
-    /// Each controller's share for all flows that are not listed together.
+    /// Each controller's common share for all flows that are not listed.
     pub other_s: f64,
     /// What each controller may admit in addition, of any flow, once a share is
     /// spent and the record is no longer renewed.
@@ -170,8 +170,11 @@
 /// What a controller has spent of its shares, and the retry slots that it has assigned.
 #[derive(Debug, Default)]
 pub struct AdmissionShares {
+    /// Version of the admission record that the shares belong to.
     version: u64,
+    /// When this version was first used.
     since: Duration,
+    /// Work admitted under this version: by flow, of other flows, from the reserve.
     spent: BTreeMap<Flow, f64>,
     other_spent: f64,
     reserve_spent: f64,
@@ -212,8 +215,8 @@
         }
         let work = record.work_s(spec);
         let flow = self.share_flow(record, Flow::of(spec));
-        let mine = self.retry_slots.get(&spec.id).is_some_and(|k| now >= k.at);
-        let held = if mine {
+        let own_slot_due = self.retry_slots.get(&spec.id).is_some_and(|k| now >= k.at);
+        let held = if own_slot_due {
             0.0
         } else {
             self.held_work_s(&flow, now)
@@ -460,13 +463,13 @@
         }
         let before = self.since.as_ref().map(|(_, jobs)| jobs);
         let new = |id: &JobId| before.is_some_and(|jobs| !jobs.contains(id));
-        let mut came: BTreeMap<&Flow, f64> = BTreeMap::new();
+        let mut admitted: BTreeMap<&Flow, f64> = BTreeMap::new();
         let open = seen.open.iter().filter(|(id, _)| new(id));
         for (flow, work) in open.map(|(_, open)| open) {
             // A job that is larger than a share has used up one controller's share:
             // the other controllers still have theirs.
             let share = record.flow(flow).map_or(record.other_s, |f| f.share_s);
-            *came.entry(flow).or_default() += work.min(share);
+            *admitted.entry(flow).or_default() += work.min(share);
         }
         let nodes = record.nodes.len() as f64;
         let mut unspent = Unspent {
@@ -476,11 +479,11 @@
         };
         for share in &record.flows {
             let flow = share.flow();
-            let came = came.remove(&flow).unwrap_or(0.0);
-            let left = (share.share_s * nodes - came).max(0.0);
+            let admitted = admitted.remove(&flow).unwrap_or(0.0);
+            let left = (share.share_s * nodes - admitted).max(0.0);
             unspent.flows.insert(flow, left);
         }
-        let others: f64 = came.values().sum();
+        let others: f64 = admitted.values().sum();
         unspent.other_s = (unspent.other_s - others).max(0.0);
         unspent
     }
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -53,7 +53,7 @@
     /// The submitted job, if it can be accepted after the read or is being written.
     pub spec: Option<Rc<JobSpec>>,
     /// Time of acceptance in the job record that was written for this request.
-    pub at_ms: Option<u64>,
+    pub accepted_ms: Option<u64>,
 }
 
 /// State of the jobs that a submission awaits.
@@ -122,8 +122,8 @@
             return self.refuse_with_retry(conn, "the machine types are not known yet");
         }
         if let Err(why) = self.check_feasible(&spec) {
-            // Only reached for a job that is not in the view: an accepted job is never
-            // refused, even if another controller accepted it under other conditions.
+            // Jobs in the view are not checked again: another controller may have accepted
+            // them under other conditions, and an accepted job is never refused.
             log::debug!("{id}: submission refused: {why}");
             return self.refuse(conn, 422, why);
         }
@@ -245,7 +245,7 @@
             kind: RequestKind::Submit,
             since: self.now,
             spec: Some(spec),
-            at_ms: Some(accepted_ms),
+            accepted_ms: Some(accepted_ms),
         };
         let spec = request.spec.clone();
         if !self.write_for_user(request, txn) {
@@ -352,8 +352,9 @@
         {
             WriteResolution::Nothing => {}
             WriteResolution::Confirmed(request) => self.answer_written(&request),
-            // The record exists already, written through another controller by a retry
-            // of the user or by an earlier request of this write.
+            // Either the job record exists already, written through another controller by
+            // a retry of the user or by an earlier request of this write, or the admission
+            // record has changed. A read decides.
             WriteResolution::Conflict(request, _) if request.kind == RequestKind::Submit => {
                 let since = self.now;
                 self.user_requests
@@ -368,7 +369,7 @@
             WriteResolution::Failed(mut write) => {
                 if !write.is_in_doubt() {
                     // The write was certainly not executed.
-                    write.request.at_ms = None;
+                    write.request.accepted_ms = None;
                 }
                 self.abandon(&write.request, "the state service did not answer");
             }
@@ -382,7 +383,7 @@
     /// peer would answer that the job exists already, and the user would take it for
     /// the job of another user.
     fn abandon(&mut self, request: &UserRequest, why: &str) {
-        match request.at_ms {
+        match request.accepted_ms {
             Some(_) => self.refuse_with_retry(request.conn, why),
             None => self.relay_to_peer(request.conn, why),
         }
@@ -393,9 +394,9 @@
         let Some(job) = self.view.jobs.get(id) else {
             return;
         };
-        let (at_ms, is_cancelled) = (job.accepted_ms, job.phase == Phase::Cancelled);
+        let (accepted_ms, is_cancelled) = (job.accepted_ms, job.phase == Phase::Cancelled);
         let shows = |request: &UserRequest| match request.kind {
-            RequestKind::Submit => request.has_written(at_ms),
+            RequestKind::Submit => request.has_written(accepted_ms),
             RequestKind::Abort => is_cancelled,
             RequestKind::Poll => false,
         };
@@ -485,7 +486,7 @@
                     kind: RequestKind::Abort,
                     since: self.now,
                     spec: None,
-                    at_ms: None,
+                    accepted_ms: None,
                 };
                 self.cancel(request);
             }
@@ -513,7 +514,7 @@
             kind,
             since: self.now,
             spec,
-            at_ms: None,
+            accepted_ms: None,
         });
         self.refresh_view();
     }
@@ -553,8 +554,9 @@
                 (None, _) => self.refuse(request.conn, 404, "no such job"),
                 (Some(true), RequestKind::Abort) => self.cancel(request),
                 (Some(_), _) => {
-                    let at_ms = self.view.jobs.get(&request.job).map(|j| j.accepted_ms);
-                    let is_ours = at_ms.is_some_and(|at_ms| request.has_written(at_ms));
+                    let accepted_ms = self.view.jobs.get(&request.job).map(|j| j.accepted_ms);
+                    let is_ours =
+                        accepted_ms.is_some_and(|accepted_ms| request.has_written(accepted_ms));
                     self.answer_status(request.conn, &request.job, if is_ours { 201 } else { 200 });
                 }
             }
--- a/crates/core/src/user_writes.rs
+++ b/crates/core/src/user_writes.rs
@@ -146,8 +146,8 @@
 
 impl UserRequest {
     /// Whether a job record with this time of acceptance was written by this request.
-    pub fn has_written(&self, at_ms: u64) -> bool {
-        self.kind == RequestKind::Submit && self.at_ms == Some(at_ms)
+    pub fn has_written(&self, accepted_ms: u64) -> bool {
+        self.kind == RequestKind::Submit && self.accepted_ms == Some(accepted_ms)
     }
 }
 
--- a/crates/core/src/user_writes/tests.rs
+++ b/crates/core/src/user_writes/tests.rs
@@ -13,14 +13,14 @@
 }
 
 /// A submission first sent at 1000 ms.
-fn submission(conn: ConnId, at_ms: u64) -> UserWrite {
+fn submission(conn: ConnId, accepted_ms: u64) -> UserWrite {
     let request = UserRequest {
         conn,
         job: job(),
         kind: RequestKind::Submit,
         since: ms(1000),
         spec: None,
-        at_ms: Some(at_ms),
+        accepted_ms: Some(accepted_ms),
     };
     let txn = Txn {
         conds: Vec::new(),
