--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -63,10 +63,10 @@
     /// Offers that the cloud has refused, and when to try them again.
     refused_offers: BTreeMap<Offer, Duration>,
     rent_requests: u64,
-    wants: Vec<CapacityRequest>,
+    capacity_requests: Vec<CapacityRequest>,
     /// Recent jobs and when they were first seen.
     recent_jobs: BTreeMap<JobId, (Duration, Rc<JobSpec>)>,
-    wanting_since: Option<Duration>,
+    capacity_requested_since: Option<Duration>,
     /// Machines to be returned, and whether the call has been sent.
     pending_returns: BTreeMap<String, bool>,
     /// Times at which machines were returned before their lease had expired.
@@ -98,11 +98,11 @@
             pending_rentals: BTreeMap::new(),
             refused_offers: BTreeMap::new(),
             rent_requests: 0,
-            wants: Vec::new(),
+            capacity_requests: Vec::new(),
             returns_at: Duration::ZERO,
             logged_at: Duration::ZERO,
             recent_jobs: BTreeMap::new(),
-            wanting_since: None,
+            capacity_requested_since: None,
             pending_returns: BTreeMap::new(),
             early_returns: Vec::new(),
             returned_machines: BTreeMap::new(),
@@ -127,13 +127,17 @@
     }
 
     /// Takes the capacity requests of the last plan.
-    pub fn set_capacity_requests(&mut self, now: Duration, wants: Vec<CapacityRequest>) {
-        if wants.is_empty() {
-            self.wanting_since = None;
-        } else if self.wanting_since.is_none() {
-            self.wanting_since = Some(now);
-        }
-        self.wants = wants;
+    pub fn set_capacity_requests(
+        &mut self,
+        now: Duration,
+        capacity_requests: Vec<CapacityRequest>,
+    ) {
+        if capacity_requests.is_empty() {
+            self.capacity_requested_since = None;
+        } else if self.capacity_requested_since.is_none() {
+            self.capacity_requested_since = Some(now);
+        }
+        self.capacity_requests = capacity_requests;
     }
 }
 
@@ -157,15 +161,15 @@
     /// Logs a summary of the fleet.
     fn log_fleet(&self) {
         let mut kinds: BTreeMap<(&str, bool), [f64; 6]> = BTreeMap::new();
-        for room in self.leader.iter().flat_map(|l| &l.inventory.list) {
-            let sums = kinds.entry((&room.kind, room.spot)).or_default();
-            let services = room.service_share * room.candidate.total.cpus;
+        for machine in self.leader.iter().flat_map(|l| &l.inventory.list) {
+            let sums = kinds.entry((&machine.kind, machine.spot)).or_default();
+            let services = machine.service_share * machine.candidate.total.cpus;
             sums[0] += 1.0;
-            sums[1] += room.candidate.total.cpus;
-            sums[2] += room.candidate.total.cpus - room.free.cpus;
+            sums[1] += machine.candidate.total.cpus;
+            sums[2] += machine.candidate.total.cpus - machine.free.cpus;
             sums[3] += services;
-            sums[4] += f64::from(room.idle_since.is_some());
-            sums[5] += f64::from(!room.usable);
+            sums[4] += f64::from(machine.idle_since.is_some());
+            sums[5] += f64::from(!machine.usable);
         }
         for ((kind, spot), [machines, total, used, services, idle, unusable]) in kinds {
             let spot = if spot { "spot" } else { "ordinary" };
@@ -174,9 +178,11 @@
                  {services} by services; {idle} idle, {unusable} not usable"
             );
         }
-        let coming = self.rented_offers().len();
-        let wants: u32 = self.fleet.wants.iter().map(|w| w.tasks).sum();
-        log::debug!("fleet: {coming} coming, {wants} tasks without room");
+        let rented = self.rented_offers().len();
+        let tasks: u32 = self.fleet.capacity_requests.iter().map(|w| w.tasks).sum();
+        log::debug!(
+            "fleet: {rented} machines rented and not up yet, {tasks} tasks without capacity"
+        );
     }
 
     fn read_list(&mut self) {
@@ -227,10 +233,10 @@
 
     /// Offers that are rented or requested and whose machines are not up yet.
     fn rented_offers(&self) -> Vec<Offer> {
-        let mut coming = Vec::new();
+        let mut rented = Vec::new();
         let mut add = |offer: Offer, count: u32| {
             if self.machine_types.contains_key(&offer.kind) {
-                coming.extend((0..count).map(|_| offer.clone()));
+                rented.extend((0..count).map(|_| offer.clone()));
             }
         };
         for (name, machine) in &self.fleet.list {
@@ -252,7 +258,7 @@
         for (offer, count, _) in self.fleet.pending_rentals.values() {
             add(offer.clone(), *count);
         }
-        coming
+        rented
     }
 
     /// Whether enough machines are still booting that the fleet counts as growing.
@@ -292,7 +298,7 @@
     /// all the time.
     fn reserve(&self) -> Vec<CapacityRequest> {
         let zones = &self.settings.params.zones;
-        let mut wants = Vec::new();
+        let mut capacity_requests = Vec::new();
         for aim in &self.settings.params.objectives {
             let within = aim.within_s.filter(|_| aim.kind == "wait");
             let (Some(class), Some(within)) = (&aim.class, within) else {
@@ -309,7 +315,7 @@
             if within >= self.fresh_start_s(spec) {
                 continue;
             }
-            wants.push(CapacityRequest {
+            capacity_requests.push(CapacityRequest {
                 need: spec.amounts(),
                 tasks: spec.tasks,
                 spot: spec.spot,
@@ -318,18 +324,18 @@
                 zones: zones.clone(),
             });
         }
-        wants
+        capacity_requests
     }
 
     /// Whether waiting work without capacity could use the machine if it were empty.
-    fn is_wanted(&self, room: &MachineView) -> bool {
-        let offer = room.offer();
-        let total = &room.candidate.total;
-        let mut wants = self.fleet.wants.iter();
-        wants.any(|w| w.tasks > 0 && fits(&w.need, total) && offer_allowed(w, &offer))
+    fn is_wanted(&self, machine: &MachineView) -> bool {
+        let offer = machine.offer();
+        let total = &machine.candidate.total;
+        let mut capacity_requests = self.fleet.capacity_requests.iter();
+        capacity_requests.any(|w| w.tasks > 0 && fits(&w.need, total) && offer_allowed(w, &offer))
     }
 
-    fn usable_rooms(&self) -> impl Iterator<Item = &MachineView> {
+    fn usable_machines(&self) -> impl Iterator<Item = &MachineView> {
         let rooms = self.leader.iter().flat_map(|l| &l.inventory.list);
         rooms.filter(|r| r.usable && !r.closed)
     }
@@ -340,10 +346,13 @@
             return true;
         }
         let mut stock = FreeCapacity::default();
-        for room in self.usable_rooms().filter(|r| !without.contains(&r.name)) {
-            room.add_free_to(&mut stock, false);
+        for machine in self
+            .usable_machines()
+            .filter(|r| !without.contains(&r.name))
+        {
+            machine.add_free_to(&mut stock, false);
         }
-        reserve.iter().all(|want| stock.allocate(want) == 0)
+        reserve.iter().all(|request| stock.allocate(request) == 0)
     }
 
     /// How long a machine may be idle. On-demand machines cost more than spot machines.
@@ -368,8 +377,8 @@
     /// Free capacity of the usable machines and the machines that are rented.
     fn stock(&self, rented: &[Offer], with_freed_soon: bool) -> FreeCapacity {
         let mut stock = FreeCapacity::default();
-        for room in self.usable_rooms() {
-            room.add_free_to(&mut stock, with_freed_soon);
+        for machine in self.usable_machines() {
+            machine.add_free_to(&mut stock, with_freed_soon);
         }
         for offer in rented {
             self.add_whole(&mut stock, offer);
@@ -400,9 +409,9 @@
             .is_some_and(|at| now < at + LIST_INTERVAL * 4);
         let waiting = self
             .fleet
-            .wanting_since
+            .capacity_requested_since
             .is_some_and(|at| now > at + Duration::from_millis(600));
-        let waiting = waiting || self.fleet.wanting_since.is_none();
+        let waiting = waiting || self.fleet.capacity_requested_since.is_none();
         if !fresh_list
             || !waiting
             || now < self.fleet.rent_at
@@ -420,24 +429,25 @@
             *loads.entry(&machine.zone).or_default() += 1;
         }
         let load = |zone: &str| loads.get(zone).copied().unwrap_or(0);
-        let wants = std::mem::take(&mut self.fleet.wants);
+        let capacity_requests = std::mem::take(&mut self.fleet.capacity_requests);
         let most = self.tuning.max_rent_batch;
-        let mut offers = machines_to_rent(&wants, &mut stock, &types, closed, load, most);
+        let mut offers =
+            machines_to_rent(&capacity_requests, &mut stock, &types, closed, load, most);
         let reserve = self.reserve();
         if !reserve.is_empty() {
             let mut stock = self.stock(&rented, false);
             for offer in &offers {
                 self.add_whole(&mut stock, offer);
             }
-            for want in &wants {
-                stock.allocate(want);
+            for request in &capacity_requests {
+                stock.allocate(request);
             }
             let most = most.saturating_sub(offers.len());
             offers.extend(machines_to_rent(
                 &reserve, &mut stock, &types, closed, load, most,
             ));
         }
-        self.fleet.wants = wants;
+        self.fleet.capacity_requests = capacity_requests;
         let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
         for offer in offers {
             *counts.entry(offer).or_default() += 1;
@@ -545,12 +555,12 @@
         }
         let mut idle = Vec::new();
         let mut early = Vec::new();
-        for room in self.leader.iter().flat_map(|l| &l.inventory.list) {
-            let name = &room.name;
-            if !room.fresh {
+        for machine in self.leader.iter().flat_map(|l| &l.inventory.list) {
+            let name = &machine.name;
+            if !machine.fresh {
                 continue;
             }
-            let silent = room
+            let silent = machine
                 .silent_since
                 .map_or(Duration::ZERO, |at| now.saturating_sub(at));
             let lost = self.settings.lease_limit() + Duration::from_secs(2);
@@ -566,9 +576,9 @@
             if silent > lost {
                 returns.push((name.clone(), "it has been silent longer than its lease"));
             } else if silent > self.early_return_limit()
-                && !room.tasks.is_empty()
+                && !machine.tasks.is_empty()
                 // A controller hears none of the block's workers: a network cut, which may end.
-                && !self.reachability.is_reported_unheard(room.block)
+                && !self.reachability.is_reported_unheard(machine.block)
                 // The machine reported to other controllers, so its tasks are alive.
                 && !self.reported_to_non_holder(name)
             {
@@ -578,12 +588,12 @@
                     name.clone(),
                     "it is silent and no longer in the cloud's list",
                 ));
-            } else if room.faulty {
+            } else if machine.faulty {
                 returns.push((name.clone(), "its tasks fail repeatedly"));
-            } else if let Some(since) = room.idle_since
-                && now.saturating_sub(since) > self.idle_limit(room.spot)
-                && room.usable
-                && !self.is_wanted(room)
+            } else if let Some(since) = machine.idle_since
+                && now.saturating_sub(since) > self.idle_limit(machine.spot)
+                && machine.usable
+                && !self.is_wanted(machine)
             {
                 idle.push((now.saturating_sub(since), name.clone()));
             }
@@ -620,8 +630,8 @@
             if spare.len() >= most {
                 break;
             }
-            let room = self.leader.as_ref().and_then(|l| l.inventory.get(&name));
-            if room.is_some_and(|room| unplaced.may_be_on(room)) {
+            let machine = self.leader.as_ref().and_then(|l| l.inventory.get(&name));
+            if machine.is_some_and(|machine| unplaced.may_be_on(machine)) {
                 continue;
             }
             spare.push(name);
--- a/crates/core/src/queue_order.rs
+++ b/crates/core/src/queue_order.rs
@@ -156,11 +156,11 @@
     pub fn order(
         &mut self,
         now: Duration,
-        rooms: &[MachineView],
+        machine_views: &[MachineView],
         used: &BTreeMap<String, Amounts>,
         mut queue: Vec<QueuedJob>,
     ) -> Vec<QueuedJob> {
-        let mut lines = Lines::new(rooms, used);
+        let mut shared = SharedResources::new(machine_views, used);
         let waiting = queue.iter().map(|queued| triage::WaitingJob {
             band: triage::PriorityBand {
                 behind_production: queued.priority != Priority::Production,
@@ -171,13 +171,13 @@
             order_ms: queued.order_ms,
             latest_starts_s: queued.latest_starts_s.clone(),
             started: queued.started,
-            resources: lines.places(queued),
+            resources: shared.demands(queued),
             length_s: queued.length_s,
         });
         let mut jobs: Vec<_> = waiting.collect();
-        let order = triage::order(&jobs, &lines.lines);
-        let order = if self.mark_turns(now, (rooms, used), &mut queue, &mut jobs, &order) {
-            triage::order(&jobs, &lines.lines)
+        let order = triage::order(&jobs, &shared.resources);
+        let order = if self.mark_turns(now, (machine_views, used), &mut queue, &mut jobs, &order) {
+            triage::order(&jobs, &shared.resources)
         } else {
             order
         };
@@ -192,7 +192,7 @@
     fn mark_turns(
         &mut self,
         now: Duration,
-        (rooms, used): (&[MachineView], &BTreeMap<String, Amounts>),
+        (machine_views, used): (&[MachineView], &BTreeMap<String, Amounts>),
         queue: &mut [QueuedJob],
         jobs: &mut [triage::WaitingJob],
         order: &[usize],
@@ -224,7 +224,7 @@
         let mut short =
             self.minimum_shares
                 .flows_below_share(now, &long, &self.throughput.assigned);
-        let waiting = limit_blocked_jobs(&self.starvation, now, queue, rooms, used);
+        let waiting = limit_blocked_jobs(&self.starvation, now, queue, machine_views, used);
         let starved = self.starvation.turns(now, waiting);
         let mut ahead = false;
         for at in order {
@@ -253,7 +253,7 @@
     starvation: &Starvation,
     now: Duration,
     queue: &[QueuedJob],
-    rooms: &[MachineView],
+    machine_views: &[MachineView],
     used: &BTreeMap<String, Amounts>,
 ) -> Vec<starvation::Candidate> {
     let waiting = queue
@@ -270,33 +270,34 @@
             team_limit: queued.limit_cpus,
         };
         let need = queued.spec.amounts();
-        let has_room = |room: &MachineView| {
-            room.accepts(&queued.spec)
-                && fits(&need, &room.candidate.free)
-                && !queued.avoid.contains(&room.kind)
+        let has_capacity = |machine: &MachineView| {
+            machine.accepts(&queued.spec)
+                && fits(&need, &machine.candidate.free)
+                && !queued.avoid.contains(&machine.kind)
         };
-        (starvation.is_starved(now, &candidate) && rooms.iter().any(has_room)).then_some(candidate)
+        (starvation.is_starved(now, &candidate) && machine_views.iter().any(has_capacity))
+            .then_some(candidate)
     });
     candidates.collect()
 }
 
 /// The resources that jobs compete for, and the ones that each job needs: machines by
 /// the types that a job may use, and the limits of teams.
-struct Lines<'a> {
-    rooms: &'a [MachineView],
+struct SharedResources<'a> {
+    machine_views: &'a [MachineView],
     used: &'a BTreeMap<String, Amounts>,
-    lines: Vec<triage::SharedResource>,
+    resources: Vec<triage::SharedResource>,
     /// Total capacity of the machines of a set of types, without services.
     machines: BTreeMap<Rc<BTreeSet<String>>, (usize, Amounts)>,
     teams: BTreeMap<String, usize>,
 }
 
-impl<'a> Lines<'a> {
-    fn new(rooms: &'a [MachineView], used: &'a BTreeMap<String, Amounts>) -> Self {
+impl<'a> SharedResources<'a> {
+    fn new(machine_views: &'a [MachineView], used: &'a BTreeMap<String, Amounts>) -> Self {
         Self {
-            rooms,
+            machine_views,
             used,
-            lines: Vec::new(),
+            resources: Vec::new(),
             machines: BTreeMap::new(),
             teams: BTreeMap::new(),
         }
@@ -304,49 +305,51 @@
 
     /// The resources that a job needs, with the fraction of each that its waiting tasks
     /// would use.
-    fn places(&mut self, queued: &QueuedJob) -> Vec<(usize, f64)> {
+    fn demands(&mut self, queued: &QueuedJob) -> Vec<(usize, f64)> {
         let need = queued.spec.amounts();
         let tasks = f64::from(queued.tasks);
-        let (rooms, lines) = (self.rooms, &mut self.lines);
+        let (machine_views, resources) = (self.machine_views, &mut self.resources);
         let machines = self.machines.entry(queued.types.clone());
-        let (line, all) = machines.or_insert_with(|| {
-            let (free, all) = machines_of(rooms, &queued.types);
-            lines.push(triage::SharedResource {
+        let (resource, all) = machines.or_insert_with(|| {
+            let (free, all) = machines_of(machine_views, &queued.types);
+            resources.push(triage::SharedResource {
                 free: smallest_share(&free, &all),
             });
-            (lines.len() - 1, all)
+            (resources.len() - 1, all)
         });
-        let mut places = vec![(*line, dominant_share(&need, all) * tasks)];
+        let mut demands = vec![(*resource, dominant_share(&need, all) * tasks)];
         let limit = queued.limit_cpus;
         if limit > 0.0 {
             let team = &queued.spec.team;
             let used = self.used.get(team).map_or(0.0, |u| u.cpus);
-            let line = *self.teams.entry(team.clone()).or_insert_with(|| {
-                lines.push(triage::SharedResource {
+            let resource = *self.teams.entry(team.clone()).or_insert_with(|| {
+                resources.push(triage::SharedResource {
                     free: (1.0 - used / limit).max(0.0),
                 });
-                lines.len() - 1
+                resources.len() - 1
             });
-            places.push((line, need.cpus * tasks / limit));
+            demands.push((resource, need.cpus * tasks / limit));
         }
-        places
+        demands
     }
 }
 
 /// Free and total capacity of the usable machines of some types, without the part that
 /// services use.
-fn machines_of(rooms: &[MachineView], types: &BTreeSet<String>) -> (Amounts, Amounts) {
-    let usable = rooms.iter().filter(|r| r.usable && types.contains(&r.kind));
+fn machines_of(machine_views: &[MachineView], types: &BTreeSet<String>) -> (Amounts, Amounts) {
+    let usable = machine_views
+        .iter()
+        .filter(|r| r.usable && types.contains(&r.kind));
     let mut sums = (Amounts::default(), Amounts::default());
-    for room in usable {
-        let total = &room.candidate.total;
-        let rest = (1.0 - room.candidate.service_share).max(0.0);
+    for machine in usable {
+        let total = &machine.candidate.total;
+        let rest = (1.0 - machine.candidate.service_share).max(0.0);
         let all = Amounts {
             cpus: total.cpus * rest,
             gpus: total.gpus * rest,
             memory_gb: total.memory_gb * rest,
         };
-        sums = (plus(&sums.0, &room.candidate.free), plus(&sums.1, &all));
+        sums = (plus(&sums.0, &machine.candidate.free), plus(&sums.1, &all));
     }
     sums
 }
