--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -645,8 +645,8 @@
         self.store.writes.is_mostly_full(self.now)
     }
 
-    /// Whether a transaction keeps to the size limits of the state service, including
-    /// announced lower ones.
+    /// Whether a transaction keeps to the size limits of the state service; from the
+    /// second format level on, also to announced lower limits.
     pub(crate) fn txn_fits(&self, txn: &Txn) -> bool {
         let limits = self.limits();
         let max_bytes = limits.value_bytes();
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -423,8 +423,8 @@
                 spot: machine.spot,
                 addr: machine.addr,
             };
-            let machines_by_block = self.machines_by_block.entry(id).or_default();
-            if machines_by_block.insert(machine.name.clone()) {
+            let block_machines = self.machines_by_block.entry(id).or_default();
+            if block_machines.insert(machine.name.clone()) {
                 self.changed_machines.push(machine.name.clone());
             }
             self.machines.insert(machine.name, record);
@@ -439,8 +439,8 @@
             let is_listed_here = |m: &MachineRecord| (m.block, m.list_number) == (id, list_number);
             if self.machines.get(name).is_some_and(is_listed_here) {
                 self.machines.remove(name);
-                if let Some(machines_by_block) = self.machines_by_block.get_mut(&id) {
-                    machines_by_block.remove(name);
+                if let Some(block_machines) = self.machines_by_block.get_mut(&id) {
+                    block_machines.remove(name);
                 }
                 self.changed_machines.push(name.clone());
             }
