--- a/crates/core/src/failed_placements.rs
+++ b/crates/core/src/failed_placements.rs
@@ -14,7 +14,7 @@
 use crate::records::BlockId;
 
 /// A failed attempt is repeated after this time, for changes that come with time alone.
-const AGAIN: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Placement attempts that found no machine and would still find none.
 #[derive(Debug, Default)]
@@ -30,13 +30,13 @@
     /// the block has gained capacity since.
     pub fn has_failed_recently(&self, now: Duration, block: BlockId, job: &JobId) -> bool {
         let attempts = self.attempts.get(&block).and_then(|jobs| jobs.get(job));
-        attempts.is_some_and(|at| now < *at + AGAIN)
+        attempts.is_some_and(|at| now < *at + RETRY_INTERVAL)
     }
 
     /// Records that a task of this job found no machine in the block.
     pub fn record(&mut self, now: Duration, block: BlockId, job: &JobId) {
         let jobs = self.attempts.entry(block).or_default();
-        jobs.retain(|_, at| now < *at + AGAIN);
+        jobs.retain(|_, at| now < *at + RETRY_INTERVAL);
         jobs.insert(job.clone(), now);
     }
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -389,7 +389,7 @@
     /// Adds the whole capacity of a machine that is not up yet.
     fn add_whole(&self, stock: &mut FreeCapacity, offer: &Offer) {
         if let Some(kind) = self.machine_types.get(&offer.kind) {
-            stock.add(&offer.kind, &offer.zone, offer.spot, kind.amounts());
+            stock.add_machine(&offer.kind, &offer.zone, offer.spot, kind.amounts());
         }
     }
 
--- a/crates/core/src/inventory.rs
+++ b/crates/core/src/inventory.rs
@@ -25,7 +25,7 @@
 };
 
 /// Interval at which the whole inventory is rebuilt, for changes that come with time alone.
-const PERIOD: Duration = Duration::from_millis(1000);
+const REBUILD_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// A machine as the leader knows it.
 #[derive(Clone, Debug)]
@@ -92,7 +92,7 @@
             true => plus(free, &self.freed_soon),
             false => *free,
         };
-        stock.add(&self.kind, &self.zone, self.spot, free);
+        stock.add_machine(&self.kind, &self.zone, self.spot, free);
     }
 
     pub fn reserve(&mut self, spec: &JobSpec) {
@@ -109,10 +109,10 @@
 pub(crate) struct Inventory {
     pub list: Vec<MachineView>,
     /// Number of machines that have each task.
-    bound: HashMap<TaskId, u32>,
+    machine_counts: HashMap<TaskId, u32>,
     /// Machines whose views are outdated.
     stale: BTreeSet<String>,
-    all_at: Option<Duration>,
+    rebuilt_at: Option<Duration>,
 }
 
 impl Inventory {
@@ -138,35 +138,35 @@
 
     /// Whether any machine has the task.
     pub fn has_task(&self, task: &TaskId) -> bool {
-        self.bound.contains_key(task)
+        self.machine_counts.contains_key(task)
     }
 
     /// Adds a machine's tasks to the counts of machines by task.
-    fn count(&mut self, room: &MachineView) {
-        for (task, _) in &room.tasks {
-            *self.bound.entry(task.clone()).or_default() += 1;
+    fn count(&mut self, machine: &MachineView) {
+        for (task, _) in &machine.tasks {
+            *self.machine_counts.entry(task.clone()).or_default() += 1;
         }
     }
 
-    fn set(&mut self, name: &str, room: Option<MachineView>) {
+    fn set(&mut self, name: &str, machine: Option<MachineView>) {
         let at = self.search(name);
-        if let Some(room) = &room {
-            self.count(room);
+        if let Some(machine) = &machine {
+            self.count(machine);
         }
-        let old = match (at, room) {
-            (Ok(at), Some(room)) => Some(std::mem::replace(&mut self.list[at], room)),
+        let old = match (at, machine) {
+            (Ok(at), Some(machine)) => Some(std::mem::replace(&mut self.list[at], machine)),
             (Ok(at), None) => Some(self.list.remove(at)),
-            (Err(at), Some(room)) => {
-                self.list.insert(at, room);
+            (Err(at), Some(machine)) => {
+                self.list.insert(at, machine);
                 None
             }
             (Err(_), None) => None,
         };
         for (task, _) in old.iter().flat_map(|r| &r.tasks) {
-            if let Some(n) = self.bound.get_mut(task) {
+            if let Some(n) = self.machine_counts.get_mut(task) {
                 *n -= 1;
                 if *n == 0 {
-                    self.bound.remove(task);
+                    self.machine_counts.remove(task);
                 }
             }
         }
@@ -185,25 +185,28 @@
     /// Updates the views of machines that may have changed.
     pub(crate) fn refresh_inventory(&self, inventory: &mut Inventory) {
         let now = self.now;
-        if inventory.all_at.is_none_or(|at| now >= at + PERIOD) {
+        if inventory
+            .rebuilt_at
+            .is_none_or(|at| now >= at + REBUILD_INTERVAL)
+        {
             *inventory = Inventory {
-                all_at: Some(now),
+                rebuilt_at: Some(now),
                 ..Inventory::default()
             };
             for name in self.view.machines.keys() {
-                if let Some(room) = self.room(name) {
-                    inventory.count(&room);
-                    inventory.list.push(room);
+                if let Some(machine) = self.machine(name) {
+                    inventory.count(&machine);
+                    inventory.list.push(machine);
                 }
             }
             return;
         }
         for name in std::mem::take(&mut inventory.stale) {
-            inventory.set(&name, self.room(&name));
+            inventory.set(&name, self.machine(&name));
         }
     }
 
-    fn room(&self, name: &str) -> Option<MachineView> {
+    fn machine(&self, name: &str) -> Option<MachineView> {
         let record = self.view.machines.get(name)?;
         let block = self.view.blocks.get(&record.block)?;
         let kind = self.machine_types.get(&record.kind)?;
@@ -253,12 +256,12 @@
         block: BlockId,
         fresh: bool,
     ) -> Vec<(TaskId, Rc<JobSpec>)> {
-        let here = |task: &&TaskId| {
+        let is_here = |task: &&TaskId| {
             let job = self.view.jobs.get(&task.job);
             let place = job.map(|j| j.task_status(task.index));
             fresh || matches!(place, Some(TaskStatus::Assigned { block: b, .. }) if b == block)
         };
-        let tasks = seen.tasks.iter().filter(here);
+        let tasks = seen.tasks.iter().filter(is_here);
         tasks
             .filter_map(|t| Some((t.clone(), self.view.spec(&t.job)?.clone())))
             .collect()
--- a/crates/core/src/minimum_shares.rs
+++ b/crates/core/src/minimum_shares.rs
@@ -21,7 +21,7 @@
 pub const LONG_WAITING_FLOWS_SHARE: f64 = 0.35;
 /// Window over which an unused entitlement accumulates, and over which use beyond it is
 /// counted against the flow.
-const MEMORY: Duration = Duration::from_secs(10);
+const CREDIT_WINDOW: Duration = Duration::from_secs(10);
 
 /// A team's jobs of one class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,19 +55,19 @@
 /// one.
 #[derive(Debug, Default)]
 pub struct MinimumShares {
-    lanes: BTreeMap<Flow, Lane>,
+    flows: BTreeMap<Flow, FlowCredit>,
     at: Duration,
     /// Remaining entitlement of each flow that has waited for long, in seconds of all
     /// machines.
-    entitled: BTreeMap<Flow, f64>,
-    entitled_at: Duration,
+    entitlements: BTreeMap<Flow, f64>,
+    entitlements_at: Duration,
     /// The fault injected by a test.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<crate::Sabotage>,
 }
 
 #[derive(Debug, Default)]
-struct Lane {
+struct FlowCredit {
     /// Work that the flow may still get; below 0 if it got work in advance. Credit is never
     /// accumulated above 0.
     credit: f64,
@@ -82,24 +82,27 @@
         &mut self,
         now: Duration,
         waiting: &BTreeSet<Flow>,
-        given: &BTreeMap<Flow, f64>,
+        received_by_flow: &BTreeMap<Flow, f64>,
     ) -> BTreeSet<Flow> {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoMinimumShares) {
             return BTreeSet::new();
         }
-        let passed = now.saturating_sub(self.entitled_at).as_secs_f64();
-        self.entitled_at = now;
-        let each = LONG_WAITING_FLOWS_SHARE / waiting.len().max(1) as f64;
-        let most = each * MEMORY.as_secs_f64();
-        self.entitled.retain(|flow, _| waiting.contains(flow));
+        let passed = now.saturating_sub(self.entitlements_at).as_secs_f64();
+        self.entitlements_at = now;
+        let share = LONG_WAITING_FLOWS_SHARE / waiting.len().max(1) as f64;
+        let max_credit = share * CREDIT_WINDOW.as_secs_f64();
+        self.entitlements.retain(|flow, _| waiting.contains(flow));
         for flow in waiting {
-            let credit = self.entitled.entry(flow.clone()).or_default();
-            let had = given.get(flow).copied().unwrap_or(0.0);
-            *credit = (*credit + each * passed - had).clamp(-most, most);
+            let credit = self.entitlements.entry(flow.clone()).or_default();
+            let received = received_by_flow.get(flow).copied().unwrap_or(0.0);
+            *credit = (*credit + share * passed - received).clamp(-max_credit, max_credit);
         }
-        let short = self.entitled.iter().filter(|(_, credit)| **credit > 0.0);
-        short.map(|(flow, _)| flow.clone()).collect()
+        let below_share = self
+            .entitlements
+            .iter()
+            .filter(|(_, credit)| **credit > 0.0);
+        below_share.map(|(flow, _)| flow.clone()).collect()
     }
 
     /// The jobs that have a turn, at most one for each late flow. `waits` returns whether a
@@ -117,24 +120,24 @@
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
         for flow in late.keys() {
-            self.lanes.entry(flow.clone()).or_default();
+            self.flows.entry(flow.clone()).or_default();
         }
         // The share is divided by the number of late flows only: flows in debt that are not
         // late do not reduce it.
-        let each = LATE_FLOWS_SHARE * passed / late.len().max(1) as f64;
-        for (flow, lane) in &mut self.lanes {
-            lane.credit = (lane.credit + each).min(0.0);
-            lane.turn = lane.turn.take().filter(&waits);
+        let share = LATE_FLOWS_SHARE * passed / late.len().max(1) as f64;
+        for (flow, flow_credit) in &mut self.flows {
+            flow_credit.credit = (flow_credit.credit + share).min(0.0);
+            flow_credit.turn = flow_credit.turn.take().filter(&waits);
             let Some(oldest) = late.get(flow) else {
                 continue;
             };
-            if lane.turn.is_none() && lane.credit >= 0.0 {
-                lane.credit -= oldest.work;
-                lane.turn = Some(oldest.id.clone());
+            if flow_credit.turn.is_none() && flow_credit.credit >= 0.0 {
+                flow_credit.credit -= oldest.work;
+                flow_credit.turn = Some(oldest.id.clone());
             }
         }
-        self.lanes
-            .retain(|_, lane| lane.turn.is_some() || lane.credit < 0.0);
-        self.lanes.values().filter_map(|l| l.turn.clone()).collect()
+        self.flows
+            .retain(|_, flow_credit| flow_credit.turn.is_some() || flow_credit.credit < 0.0);
+        self.flows.values().filter_map(|l| l.turn.clone()).collect()
     }
 }
--- a/crates/core/src/near_limit.rs
+++ b/crates/core/src/near_limit.rs
@@ -14,7 +14,7 @@
 use crate::view::View;
 
 /// Interval at which the records are evaluated.
-const PERIOD: Duration = Duration::from_millis(500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 /// Share of its limit from which a team counts as near it: tasks that ended within the last
 /// seconds still count as used.
 pub(crate) const NEAR_LIMIT: f64 = 0.8;
@@ -22,17 +22,20 @@
 /// The teams that were near their limit at the last evaluation.
 #[derive(Debug, Default)]
 pub(crate) struct NearLimitTeams {
-    looked_at: Option<Duration>,
+    refreshed_at: Option<Duration>,
     near_limit: BTreeSet<String>,
 }
 
 impl NearLimitTeams {
     /// Evaluates the records again if the interval has passed.
     pub fn refresh(&mut self, now: Duration, view: &View, teams: &[Team]) {
-        if self.looked_at.is_some_and(|at| now < at + PERIOD) {
+        if self
+            .refreshed_at
+            .is_some_and(|at| now < at + REFRESH_INTERVAL)
+        {
             return;
         }
-        self.looked_at = Some(now);
+        self.refreshed_at = Some(now);
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         for id in &view.active {
             let Some(job) = view.jobs.get(id) else {
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -23,10 +23,10 @@
 
 /// A worker whose report got no answer reports to the next controller within this time. The
 /// leader learns of that at the latest after the same time again.
-const ROUND_PAUSE: Duration = Duration::from_secs(2);
+const NEXT_CONTROLLER_DELAY: Duration = Duration::from_secs(2);
 /// A report to a controller that is not the holder may appear this much later than an
 /// answer that the holder gave through a peer.
-const FORWARDING_LAG: Duration = Duration::from_secs(1);
+const MAX_FORWARDING_DELAY: Duration = Duration::from_secs(1);
 /// Attempt numbers are the term times this value plus a counter below it.
 const ATTEMPTS_PER_TERM: u64 = 1 << 20;
 
@@ -50,32 +50,32 @@
             .collect();
         ready.sort();
         for (_, task) in ready {
-            self.place_one(&task);
+            self.place_task(&task);
         }
     }
 
-    fn place_one(&mut self, task: &TaskId) {
+    fn place_task(&mut self, task: &TaskId) {
         let Some(assigned) = self.assigned_tasks.get(task) else {
             return;
         };
         let (block, job) = (assigned.block, &task.job);
         // A task that failed on some machine avoids it, so it may fail to fit where the
         // other tasks of its job do.
-        let alike = assigned.failed_on.is_empty();
-        if alike
+        let has_no_failures = assigned.failed_on.is_empty();
+        if has_no_failures
             && self
                 .failed_placements
                 .has_failed_recently(self.now, block, job)
         {
             return;
         }
-        let Some((name, session, term)) = self.choose(assigned) else {
-            if alike {
+        let Some((name, session, term)) = self.choose_machine(assigned) else {
+            if has_no_failures {
                 self.failed_placements.record(self.now, block, job);
             }
-            let patience = self.tuning.placement_timeout;
+            let timeout = self.tuning.placement_timeout;
             if let AssignmentState::Free { since, .. } = assigned.state
-                && self.now > since + patience
+                && self.now > since + timeout
             {
                 log::debug!(
                     "{task}: no capacity in block {}, given back to the leader",
@@ -118,7 +118,7 @@
         term * ATTEMPTS_PER_TERM + self.attempts
     }
 
-    fn choose(&self, assigned: &AssignedTask) -> Option<(String, u64, u64)> {
+    fn choose_machine(&self, assigned: &AssignedTask) -> Option<(String, u64, u64)> {
         let names = self.view.machines_by_block.get(&assigned.block)?;
         let spec = &assigned.spec;
         let candidates: Vec<_> = names
@@ -134,9 +134,9 @@
                 Some((name, candidate))
             })
             .collect();
-        let with_keys = candidates.iter().map(|(name, c)| (*name, c));
+        let keyed = candidates.iter().map(|(name, c)| (*name, c));
         let task = Task::from(&**spec);
-        let (name, _) = best(&task, with_keys, &self.tuning.weights)?;
+        let (name, _) = best(&task, keyed, &self.tuning.weights)?;
         let machine = self.machines.get(name)?;
         Some((name.clone(), machine.session, machine.term))
     }
@@ -160,11 +160,11 @@
     /// of it. Until it reports here again its lease runs out, even if direct orders reach
     /// it.
     fn reports_to_others(&self, name: &str, machine: &Machine) -> bool {
-        let strayed = self.reachability.last_stray_at(self.now, name);
-        strayed.is_some_and(|at| {
+        let stray_at = self.reachability.last_stray_at(self.now, name);
+        stray_at.is_some_and(|at| {
             machine
                 .last_answer_at
-                .is_none_or(|answered| at > answered + FORWARDING_LAG)
+                .is_none_or(|answered| at > answered + MAX_FORWARDING_DELAY)
         })
     }
 
@@ -178,8 +178,9 @@
     /// long enough for a worker that is cut off only from its holder to report to another
     /// controller, after its timeout and a pause, and for the leader to learn of this.
     pub(crate) fn early_return_limit(&self) -> Duration {
-        let comes_round = self.settings.report_period() * 5 / 4 + REPORT_TIMEOUT + ROUND_PAUSE;
-        comes_round.max(self.silence_limit() * 3 / 2)
+        let max_detour =
+            self.settings.report_period() * 5 / 4 + REPORT_TIMEOUT + NEXT_CONTROLLER_DELAY;
+        max_detour.max(self.silence_limit() * 3 / 2)
     }
 
     /// Resources that a machine's tasks use, including tasks that run there but are not
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -17,7 +17,7 @@
 };
 
 /// Maximum number of searches through all machines for tasks to preempt, per plan.
-const MOST_SEARCHES: u32 = 12;
+const MAX_SEARCHES: u32 = 12;
 
 impl Controller {
     /// Asks tasks to stop for tasks of a job that have no capacity: tasks of lower
@@ -31,45 +31,45 @@
         tasks: u32,
         mut zones: BTreeMap<String, u32>,
     ) {
-        let production = queued.priority == Priority::Production;
-        if !production && !queued.guaranteed || plan.searches >= MOST_SEARCHES {
+        let is_production = queued.priority == Priority::Production;
+        if !is_production && !queued.guaranteed || plan.searches >= MAX_SEARCHES {
             return;
         }
         plan.searches += 1;
         // Users wait for all replicas of a production service. For other work, tasks are
         // stopped for one task at a time, as capacity is also freed without preemption.
-        let mut left = if production { tasks } else { 1 };
+        let mut left = if is_production { tasks } else { 1 };
         let need = spec.amounts();
-        let mut inventory = Vec::new();
-        for (at, room) in plan.inventory.list.iter().enumerate() {
-            if room.tasks.is_empty()
-                || !fits(&need, &room.candidate.total)
-                || !room.accepts(spec)
-                || !zones.contains_key(&room.zone)
+        let mut options = Vec::new();
+        for (at, machine) in plan.inventory.list.iter().enumerate() {
+            if machine.tasks.is_empty()
+                || !fits(&need, &machine.candidate.total)
+                || !machine.accepts(spec)
+                || !zones.contains_key(&machine.zone)
             {
                 continue;
             }
-            if let Some((free, victims)) = self.victims(plan, room, queued, &need) {
-                inventory.push((victims.len(), at, count_fitting(&need, &free), victims));
+            if let Some((free, victims)) = self.victims(plan, machine, queued, &need) {
+                options.push((victims.len(), at, count_fitting(&need, &free), victims));
             }
         }
         // Machines on which the fewest tasks have to be asked come first. Tasks that were
         // asked before don't count.
-        inventory.sort_by_key(|(victims, at, ..)| (*victims, *at));
-        for (_, at, fit, victims) in inventory {
+        options.sort_by_key(|(victims, at, ..)| (*victims, *at));
+        for (_, at, fit, victims) in options {
             if left == 0 {
                 break;
             }
-            let room = &mut plan.inventory.list[at];
-            let Some(open) = zones.get_mut(&room.zone).filter(|open| **open > 0) else {
+            let machine = &mut plan.inventory.list[at];
+            let Some(open) = zones.get_mut(&machine.zone).filter(|open| **open > 0) else {
                 continue;
             };
             let taken = fit.min(left).min(*open);
             left -= taken;
             *open -= taken;
             // No other task of this plan is assigned to this machine.
-            room.closed = true;
-            let name = room.name.clone();
+            machine.closed = true;
+            let name = machine.name.clone();
             for task in victims {
                 log::info!(
                     "{task}: asked to stop on {name} to free capacity for {}",
@@ -88,26 +88,26 @@
     fn victims(
         &self,
         plan: &Plan,
-        room: &MachineView,
+        machine: &MachineView,
         queued: &QueuedJob,
         need: &Amounts,
     ) -> Option<(Amounts, Vec<TaskId>)> {
-        let mut free = room.candidate.free;
+        let mut free = machine.candidate.free;
         let mut victims = Vec::new();
-        let mut asked = 0;
-        let mut options: Vec<_> = room
+        let mut already_asked = 0;
+        let mut preemptable_tasks: Vec<_> = machine
             .tasks
             .iter()
             .filter_map(|(task, other)| {
-                let theirs = self.view.priority(&task.job, other);
-                let may = may_preempt(
+                let victim_priority = self.view.priority(&task.job, other);
+                let may_stop = may_preempt(
                     queued.priority,
                     queued.guaranteed,
-                    theirs,
+                    victim_priority,
                     plan.borrowed.contains(&task.job),
                     other.team == queued.spec.team,
                 );
-                if !may {
+                if !may_stop {
                     return None;
                 }
                 let is_asked = self.leader.as_ref()?.stop_requested_at.contains_key(task);
@@ -118,23 +118,23 @@
                     (Priority::Production, false) | (_, true) => Duration::ZERO,
                     (_, false) => Duration::from_secs(1),
                 };
-                let priority = std::cmp::Reverse(theirs);
+                let priority = std::cmp::Reverse(victim_priority);
                 Some((!is_asked, priority, lost, task, other))
             })
             .collect();
-        options.sort_by(|a, b| (a.0, a.1, a.2, a.3).cmp(&(b.0, b.1, b.2, b.3)));
-        for (new, _, _, task, other) in options {
+        preemptable_tasks.sort_by(|a, b| (a.0, a.1, a.2, a.3).cmp(&(b.0, b.1, b.2, b.3)));
+        for (is_new, _, _, task, other) in preemptable_tasks {
             if fits(need, &free) {
                 break;
             }
             free = plus(&free, &other.amounts());
-            if new {
+            if is_new {
                 victims.push(task.clone());
             } else {
-                asked += 1;
+                already_asked += 1;
             }
         }
-        let possible = fits(need, &free) && (!victims.is_empty() || asked > 0);
+        let possible = fits(need, &free) && (!victims.is_empty() || already_asked > 0);
         possible.then_some((free, victims))
     }
 }
--- a/crates/core/src/team_usage.rs
+++ b/crates/core/src/team_usage.rs
@@ -23,7 +23,7 @@
 };
 
 /// Minimum interval between two logs of team usage.
-const LOG_PERIOD: Duration = Duration::from_secs(1);
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Parts of a team's usage, in processors.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -31,7 +31,7 @@
     /// Placed on machines.
     placed: f64,
     /// Assigned to blocks and not yet placed.
-    handed: f64,
+    assigned: f64,
     /// Ended, as reported by a holder, and not yet recorded.
     ended: f64,
     /// Assigned by writes that may still take effect.
@@ -43,7 +43,7 @@
         write!(
             f,
             "{:.1} processors placed, {:.1} assigned, {:.1} ended and not recorded, {:.1} in doubt",
-            self.placed, self.handed, self.ended, self.in_doubt
+            self.placed, self.assigned, self.ended, self.in_doubt
         )
     }
 }
@@ -60,7 +60,7 @@
     /// machine yet.
     pub(crate) fn count_team_usage(&mut self, plan: &mut Plan) {
         let unplaced = self.count_tasks(plan);
-        self.take_room(&mut plan.inventory, unplaced);
+        self.reserve_capacity(&mut plan.inventory, unplaced);
     }
 
     /// Counts what teams use. Returns the tasks that count and are on no machine.
@@ -83,7 +83,7 @@
                 } else if over.contains(&task) {
                     team.ended += spec.cpus;
                 } else {
-                    team.handed += spec.cpus;
+                    team.assigned += spec.cpus;
                     let spec = spec.clone();
                     unplaced.push(Unplaced { task, block, spec });
                 }
@@ -101,7 +101,7 @@
             }
         }
         if let Some(leader) = &mut self.leader
-            && self.now >= leader.usage_logged_at + LOG_PERIOD
+            && self.now >= leader.usage_logged_at + MIN_LOG_INTERVAL
         {
             leader.usage_logged_at = self.now;
             for (team, usage) in usage {
@@ -114,14 +114,14 @@
     /// Reserves capacity for tasks that are on no machine yet: on the machine that they
     /// were planned for, or else on any machine of their block, one with enough free
     /// capacity if there is one.
-    fn take_room(&mut self, inventory: &mut Inventory, unplaced: Vec<Unplaced>) {
+    fn reserve_capacity(&mut self, inventory: &mut Inventory, unplaced: Vec<Unplaced>) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         let mut by_block: HashMap<BlockId, Vec<usize>> = HashMap::new();
         if !unplaced.is_empty() {
-            for (at, room) in inventory.list.iter().enumerate() {
-                by_block.entry(room.block).or_default().push(at);
+            for (at, machine) in inventory.list.iter().enumerate() {
+                by_block.entry(machine.block).or_default().push(at);
             }
         }
         let mut planned = BTreeMap::new();
--- a/crates/policy/src/fair_share.rs
+++ b/crates/policy/src/fair_share.rs
@@ -5,13 +5,13 @@
 pub fn max_min(asked: &[f64], whole: f64) -> Vec<f64> {
     let mut by_size: Vec<usize> = (0..asked.len()).collect();
     by_size.sort_by(|a, b| asked[*a].total_cmp(&asked[*b]));
-    let mut given = vec![0.0; asked.len()];
-    let mut left = whole.max(0.0);
-    for (before, at) in by_size.iter().enumerate() {
+    let mut allocated = vec![0.0; asked.len()];
+    let mut remaining = whole.max(0.0);
+    for (position, index) in by_size.iter().enumerate() {
         // Smaller requests are already met; the others share the rest equally.
-        let alike = left / (by_size.len() - before) as f64;
-        given[*at] = asked[*at].clamp(0.0, alike);
-        left -= given[*at];
+        let equal_share = remaining / (by_size.len() - position) as f64;
+        allocated[*index] = asked[*index].clamp(0.0, equal_share);
+        remaining -= allocated[*index];
     }
-    given
+    allocated
 }
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -34,20 +34,20 @@
 
 /// How many tasks that each need `need` fit into `free`.
 pub fn count_fitting(need: &Amounts, free: &Amounts) -> u32 {
-    let by = |need: f64, room: f64| {
+    let fitting_by = |need: f64, room: f64| {
         if need > 0.0 {
             (room / need + 1e-6).floor().max(0.0)
         } else {
             f64::INFINITY
         }
     };
-    let most = by(need.cpus, free.cpus)
-        .min(by(need.gpus, free.gpus))
-        .min(by(need.memory_gb, free.memory_gb));
-    if most >= f64::from(u32::MAX) {
+    let count = fitting_by(need.cpus, free.cpus)
+        .min(fitting_by(need.gpus, free.gpus))
+        .min(fitting_by(need.memory_gb, free.memory_gb));
+    if count >= f64::from(u32::MAX) {
         u32::MAX
     } else {
-        most as u32
+        count as u32
     }
 }
 
@@ -63,7 +63,7 @@
     kinds: Vec<Kind>,
     /// How often a machine was examined.
     #[cfg(test)]
-    looks: usize,
+    examined: usize,
 }
 
 /// Properties that equivalent requests share.
@@ -80,7 +80,7 @@
 }
 
 impl Kind {
-    fn is_of(&self, request: &CapacityRequest) -> bool {
+    fn matches(&self, request: &CapacityRequest) -> bool {
         self.need == request.need
             && self.spot == request.spot
             && self.types == request.types
@@ -90,7 +90,7 @@
 
 impl FreeCapacity {
     /// Adds a machine with its free capacity.
-    pub fn add(&mut self, kind: &str, zone: &str, spot: bool, free: Amounts) {
+    pub fn add_machine(&mut self, kind: &str, zone: &str, spot: bool, free: Amounts) {
         let same = |o: &Offer| o.spot == spot && o.zone == zone && o.kind == kind;
         let offer = self.offers.iter().position(same).unwrap_or_else(|| {
             self.offers.push(Offer {
@@ -105,8 +105,8 @@
 
     /// Index of a request's kind, which is added if it is new.
     fn kind(&mut self, request: &CapacityRequest) -> usize {
-        let known = self.kinds.iter().position(|k| k.is_of(request));
-        let at = known.unwrap_or_else(|| {
+        let known = self.kinds.iter().position(|k| k.matches(request));
+        let index = known.unwrap_or_else(|| {
             self.kinds.push(Kind {
                 need: request.need,
                 spot: request.spot,
@@ -117,39 +117,39 @@
             });
             self.kinds.len() - 1
         });
-        let kind = &mut self.kinds[at];
+        let kind = &mut self.kinds[index];
         let new = self.offers.iter().skip(kind.allowed_offers.len());
         kind.allowed_offers
             .extend(new.map(|offer| offer_allowed(request, offer)));
-        at
+        index
     }
 
     /// Allocates a request on the free capacity and returns how many of its tasks are left.
     pub fn allocate(&mut self, request: &CapacityRequest) -> u32 {
-        let at = self.kind(request);
-        let kind = &mut self.kinds[at];
-        let mut left = request.tasks;
-        while left > 0
+        let index = self.kind(request);
+        let kind = &mut self.kinds[index];
+        let mut remaining = request.tasks;
+        while remaining > 0
             && let Some((offer, free)) = self.machines.get_mut(kind.first_candidate)
         {
             #[cfg(test)]
             {
-                self.looks += 1;
+                self.examined += 1;
             }
             if kind.allowed_offers[*offer] {
-                left -= put(&request.need, left, free);
+                remaining -= place(&request.need, remaining, free);
                 if fits(&request.need, free) {
                     break;
                 }
             }
             kind.first_candidate += 1;
         }
-        left
+        remaining
     }
 }
 
 /// Allocates `requests`, first come, first served, on the free capacity and returns which
-/// machines to rent besides, at most `most`. `closed` returns whether an offer was refused
+/// machines to rent besides, at most `max_rentals`. `closed` returns whether an offer was refused
 /// lately; `load` how much there is in a zone already, so that machines of equal price are
 /// spread over the zones.
 pub fn machines_to_rent(
@@ -158,30 +158,31 @@
     types: &[MachineType],
     closed: impl Fn(&Offer) -> bool,
     load: impl Fn(&str) -> u32,
-    most: usize,
+    max_rentals: usize,
 ) -> Vec<Offer> {
-    let mut rent = Vec::new();
+    let mut rented = Vec::new();
     // Kinds of requests for which no offer is available.
     let mut unavailable: Vec<(usize, bool)> = Vec::new();
     for request in requests {
-        let mut left = free_capacity.allocate(request);
+        let mut remaining = free_capacity.allocate(request);
         let kind = (free_capacity.kind(request), request.spot_only);
-        while left > 0 && rent.len() < most && !unavailable.contains(&kind) {
-            let Some((offer, total)) = cheapest(request, left, types, &closed, &load, &rent) else {
+        while remaining > 0 && rented.len() < max_rentals && !unavailable.contains(&kind) {
+            let Some((offer, total)) = cheapest(request, remaining, types, &closed, &load, &rented)
+            else {
                 unavailable.push(kind);
                 break;
             };
             let mut free = total;
-            let placed = put(&request.need, left, &mut free);
+            let placed = place(&request.need, remaining, &mut free);
             if placed == 0 {
                 break;
             }
-            left -= placed;
-            free_capacity.add(&offer.kind, &offer.zone, offer.spot, free);
-            rent.push(offer);
+            remaining -= placed;
+            free_capacity.add_machine(&offer.kind, &offer.zone, offer.spot, free);
+            rented.push(offer);
         }
     }
-    rent
+    rented
 }
 
 /// Whether an offer may be used for a request's tasks.
@@ -195,7 +196,7 @@
 }
 
 /// Takes capacity for as many of the tasks as fit and returns their number.
-fn put(need: &Amounts, tasks: u32, free: &mut Amounts) -> u32 {
+fn place(need: &Amounts, tasks: u32, free: &mut Amounts) -> u32 {
     let mut placed = 0;
     while placed < tasks && fits(need, free) && placed < 10_000 {
         *free = minus(free, need);
@@ -208,15 +209,15 @@
 /// equal ones, that in the zone with the lowest load.
 fn cheapest(
     request: &CapacityRequest,
-    left: u32,
+    remaining: u32,
     types: &[MachineType],
     closed: &impl Fn(&Offer) -> bool,
     load: &impl Fn(&str) -> u32,
-    rent: &[Offer],
+    rented: &[Offer],
 ) -> Option<(Offer, Amounts)> {
-    let mut top: Option<((f64, u32), Offer, Amounts)> = None;
+    let mut best: Option<((f64, u32), Offer, Amounts)> = None;
     for kind in types {
-        let room = count_fitting(&request.need, &kind.amounts()).min(left);
+        let room = count_fitting(&request.need, &kind.amounts()).min(remaining);
         if room == 0 {
             continue;
         }
@@ -232,15 +233,15 @@
                     continue;
                 }
                 let price = if spot { kind.spot_price } else { kind.price };
-                let chosen = rent.iter().filter(|o| o.zone == offer.zone).count() as u32;
+                let chosen = rented.iter().filter(|o| o.zone == offer.zone).count() as u32;
                 let rank = (price / f64::from(room), load(zone) + chosen);
-                if top.as_ref().is_none_or(|(least, ..)| rank < *least) {
-                    top = Some((rank, offer, kind.amounts()));
+                if best.as_ref().is_none_or(|(least, ..)| rank < *least) {
+                    best = Some((rank, offer, kind.amounts()));
                 }
             }
         }
     }
-    top.map(|(_, offer, total)| (offer, total))
+    best.map(|(_, offer, total)| (offer, total))
 }
 
 #[cfg(test)]
@@ -286,7 +287,7 @@
             spot,
         };
         let mut free_capacity = FreeCapacity::default();
-        free_capacity.add("s", "a", true, types[0].amounts());
+        free_capacity.add_machine("s", "a", true, types[0].amounts());
         let requests = [request(3, 4.0, true)];
         let got = machines_to_rent(&requests, &mut free_capacity, &types, |_| false, |_| 0, 9);
         assert_eq!(got, [offer("s", "a", true), offer("s", "b", true)]);
@@ -321,21 +322,21 @@
     fn machines_without_room_are_not_looked_at_again() {
         let types = [kind("s", 4.0, 0.3)];
         let mut free_capacity = FreeCapacity::default();
-        for at in 0..1000 {
-            let free = if at % 2 == 0 { 0.0 } else { 4.0 };
+        for index in 0..1000 {
+            let free = if index % 2 == 0 { 0.0 } else { 4.0 };
             let free = Amounts {
                 cpus: free,
                 gpus: 0.0,
                 memory_gb: 16.0,
             };
-            free_capacity.add("s", "a", true, free);
+            free_capacity.add_machine("s", "a", true, free);
         }
         let requests: Vec<_> = (0..2000)
             .map(|i| request(1, [2.0, 4.0][i % 2], true))
             .collect();
         let got = machines_to_rent(&requests, &mut free_capacity, &types, |_| true, |_| 0, 9);
         assert_eq!(got, []);
-        let looks = free_capacity.looks;
-        assert!(looks < 2 * 1000 + 2000, "{looks}");
+        let examined = free_capacity.examined;
+        assert!(examined < 2 * 1000 + 2000, "{examined}");
     }
 }
--- a/crates/policy/src/graph.rs
+++ b/crates/policy/src/graph.rs
@@ -68,17 +68,17 @@
 }
 
 impl DependentPriorities {
-    fn add(&mut self, claim: &EffectivePriority) {
-        self.priorities[claim.priority as usize] += 1;
-        if let Some(at) = claim.latest_start {
+    fn add(&mut self, effective: &EffectivePriority) {
+        self.priorities[effective.priority as usize] += 1;
+        if let Some(at) = effective.latest_start {
             *self.latest.entry(at).or_default() += 1;
         }
     }
 
-    fn remove(&mut self, claim: &EffectivePriority) {
-        let count = &mut self.priorities[claim.priority as usize];
+    fn remove(&mut self, effective: &EffectivePriority) {
+        let count = &mut self.priorities[effective.priority as usize];
         *count = count.saturating_sub(1);
-        if let Some(at) = claim.latest_start
+        if let Some(at) = effective.latest_start
             && let Some(count) = self.latest.get_mut(&at)
         {
             *count -= 1;
@@ -89,14 +89,14 @@
     }
 
     fn priority(&self) -> Option<Priority> {
-        const PASSED_ON: [Priority; 4] = [
+        const INHERITED: [Priority; 4] = [
             Priority::High,
             Priority::High,
             Priority::Normal,
             Priority::Low,
         ];
-        let most = self.priorities.iter().position(|n| *n > 0)?;
-        Some(PASSED_ON[most])
+        let highest = self.priorities.iter().position(|n| *n > 0)?;
+        Some(INHERITED[highest])
     }
 
     fn latest_start(&self) -> Option<Duration> {
@@ -111,7 +111,7 @@
     /// Jobs that it awaits and that were open when it was added.
     awaits: Vec<K>,
     /// Number of them that are not done.
-    missing: usize,
+    unfinished: usize,
     /// When the last of its awaited jobs was done, or the job itself arrived.
     ready_since: Duration,
     cancelled: bool,
@@ -129,7 +129,7 @@
         Self {
             own: None,
             awaits: Vec::new(),
-            missing: 0,
+            unfinished: 0,
             ready_since: Duration::ZERO,
             cancelled: false,
             dependents: BTreeSet::new(),
@@ -155,7 +155,7 @@
     fn readiness(&self) -> Readiness {
         if self.cancelled {
             Readiness::Cancelled
-        } else if self.missing > 0 {
+        } else if self.unfinished > 0 {
             Readiness::Waiting
         } else {
             Readiness::Ready(self.ready_since)
@@ -217,7 +217,7 @@
         }
         let node = self.nodes.entry(id.clone()).or_default();
         node.own = Some(own);
-        node.missing = open.len();
+        node.unfinished = open.len();
         node.awaits = open;
         node.ready_since = since;
         node.depth = node.depth.max(depth);
@@ -237,9 +237,9 @@
             let Some(node) = self.nodes.get_mut(&dependent) else {
                 continue;
             };
-            node.missing = node.missing.saturating_sub(1);
+            node.unfinished = node.unfinished.saturating_sub(1);
             node.ready_since = node.ready_since.max(at);
-            if node.missing == 0 && !node.cancelled {
+            if node.unfinished == 0 && !node.cancelled {
                 self.changed.push(dependent);
             }
         }
@@ -254,9 +254,9 @@
     }
 
     /// Cancels jobs with all their dependents.
-    fn cancel(&mut self, mut next: Vec<K>) {
+    fn cancel(&mut self, mut pending: Vec<K>) {
         let mut affected = Vec::new();
-        while let Some(id) = next.pop() {
+        while let Some(id) = pending.pop() {
             let Some(node) = self.nodes.get_mut(&id) else {
                 continue;
             };
@@ -264,15 +264,15 @@
                 continue;
             }
             self.changed.push(id.clone());
-            next.extend(node.dependents.iter().cloned());
-            let given = node.propagated.take();
+            pending.extend(node.dependents.iter().cloned());
+            let propagated = node.propagated.take();
             for awaited in std::mem::take(&mut node.awaits) {
                 let Some(node) = self.nodes.get_mut(&awaited) else {
                     continue;
                 };
                 node.dependents.remove(&id);
-                if let Some(given) = &given {
-                    node.dependent_priorities.remove(given);
+                if let Some(propagated) = &propagated {
+                    node.dependent_priorities.remove(propagated);
                     affected.push(awaited);
                 }
             }
@@ -284,19 +284,19 @@
     /// await. The deepest jobs go first, so that each is visited once.
     fn propagate(&mut self, ids: Vec<K>) {
         let depth_of = |nodes: &HashMap<K, Node<K>>, id: &K| nodes.get(id).map_or(0, |n| n.depth);
-        let mut next: BinaryHeap<(u32, K)> = ids
+        let mut pending: BinaryHeap<(u32, K)> = ids
             .into_iter()
             .map(|id| (depth_of(&self.nodes, &id), id))
             .collect();
-        while let Some((_, id)) = next.pop() {
+        while let Some((_, id)) = pending.pop() {
             let Some(node) = self.nodes.get_mut(&id) else {
                 continue;
             };
-            let claim = node.effective_priority();
-            if claim == node.propagated {
+            let effective = node.effective_priority();
+            if effective == node.propagated {
                 continue;
             }
-            let before = std::mem::replace(&mut node.propagated, claim);
+            let before = std::mem::replace(&mut node.propagated, effective);
             let awaits = std::mem::take(&mut node.awaits);
             for awaited in &awaits {
                 let Some(node) = self.nodes.get_mut(awaited) else {
@@ -305,10 +305,10 @@
                 if let Some(before) = &before {
                     node.dependent_priorities.remove(before);
                 }
-                if let Some(claim) = &claim {
-                    node.dependent_priorities.add(claim);
+                if let Some(effective) = &effective {
+                    node.dependent_priorities.add(effective);
                 }
-                next.push((node.depth, awaited.clone()));
+                pending.push((node.depth, awaited.clone()));
             }
             if let Some(node) = self.nodes.get_mut(&id) {
                 node.awaits = awaits;
--- a/crates/policy/src/ranking.rs
+++ b/crates/policy/src/ranking.rs
@@ -15,7 +15,7 @@
 
 #[derive(Debug)]
 struct Scored {
-    sum: f64,
+    score: f64,
     at: usize,
 }
 
@@ -27,8 +27,8 @@
         weights: &Weights,
     ) -> Self {
         let scored = machines.filter_map(|(at, candidate)| {
-            let sum = score(&task, &candidate, weights)?;
-            Some(Scored { sum, at })
+            let score = score(&task, &candidate, weights)?;
+            Some(Scored { score, at })
         });
         let heap = scored.collect();
         Self { task, heap }
@@ -47,16 +47,16 @@
     /// Adds a machine again, scored with its present capacity; leaves it out if the task
     /// does not fit any more.
     pub fn put(&mut self, at: usize, candidate: &Candidate, weights: &Weights) {
-        if let Some(sum) = score(&self.task, candidate, weights) {
-            self.heap.push(Scored { sum, at });
+        if let Some(score) = score(&self.task, candidate, weights) {
+            self.heap.push(Scored { score, at });
         }
     }
 }
 
 impl Ord for Scored {
     fn cmp(&self, other: &Self) -> Ordering {
-        let by_sum = self.sum.total_cmp(&other.sum);
-        by_sum.then_with(|| other.at.cmp(&self.at))
+        let by_score = self.score.total_cmp(&other.score);
+        by_score.then_with(|| other.at.cmp(&self.at))
     }
 }
 
--- a/crates/policy/src/score.rs
+++ b/crates/policy/src/score.rs
@@ -159,15 +159,15 @@
     candidates: impl IntoIterator<Item = (K, &'a Candidate)>,
     weights: &Weights,
 ) -> Option<(K, f64)> {
-    let mut top: Option<(K, f64)> = None;
+    let mut best_candidate: Option<(K, f64)> = None;
     for (key, candidate) in candidates {
         if let Some(sum) = score(task, candidate, weights)
-            && top.as_ref().is_none_or(|(_, most)| sum > *most)
+            && best_candidate.as_ref().is_none_or(|(_, most)| sum > *most)
         {
-            top = Some((key, sum));
+            best_candidate = Some((key, sum));
         }
     }
-    top
+    best_candidate
 }
 
 #[cfg(test)]
@@ -205,7 +205,7 @@
         service: false,
     };
 
-    fn papers() -> Weights {
+    fn paper_weights() -> Weights {
         Weights {
             gate_closed: 0.5,
             spot_bonus: 0.0,
@@ -217,7 +217,7 @@
 
     #[test]
     fn follows_the_papers_numbers() {
-        let of = |m: &Candidate| score(&TASK, m, &papers());
+        let of = |m: &Candidate| score(&TASK, m, &paper_weights());
         // Low and balanced load: the gate is open.
         assert_eq!(of(&machine(16.0, 8.0, 32.0, 2.0)), Some(250.0));
         // No cached image: only free capacity counts.
@@ -233,8 +233,8 @@
     #[test]
     fn ties_go_to_the_first() {
         let m = machine(16.0, 0.0, 0.0, 0.0);
-        let top = best(&TASK, [("a", &m), ("b", &m)], &Weights::default());
-        assert_eq!(top.map(|t| t.0), Some("a"));
+        let best_candidate = best(&TASK, [("a", &m), ("b", &m)], &Weights::default());
+        assert_eq!(best_candidate.map(|t| t.0), Some("a"));
     }
 
     #[test]
--- a/crates/policy/src/triage.rs
+++ b/crates/policy/src/triage.rs
@@ -21,9 +21,9 @@
 
 /// Safety factor on estimated start times. A job served only just in time is late if
 /// anything goes wrong, and has then used capacity of a job that would not have been late.
-const MARGIN: f64 = 1.2;
+const START_TIME_MARGIN: f64 = 1.2;
 /// Tolerance for sums of floating-point numbers, in seconds.
-const ROUNDING_S: f64 = 1e-6;
+const ROUNDING_TOLERANCE_S: f64 = 1e-6;
 
 /// A resource that jobs share and that can run out: the machines that they fit on, or their
 /// team's limit.
@@ -84,72 +84,72 @@
     /// Whether it goes first in a tier and is not removed for other jobs. Jobs that have
     /// started and can still be in time are finished, as their work so far would otherwise
     /// be of no use.
-    fn is_held(&self, tier: usize) -> bool {
+    fn is_protected(&self, tier: usize) -> bool {
         self.started && self.latest_starts_s.len() > tier
     }
 
     /// Its work, counted on the resource of which it uses the largest share.
     pub fn work(&self) -> f64 {
-        let widths = self.resources.iter().map(|(_, width)| *width);
-        widths.fold(0.0, f64::max) * self.length_s
+        let shares = self.resources.iter().map(|(_, share)| *share);
+        shares.fold(0.0, f64::max) * self.length_s
     }
 }
 
 /// Load put on a shared resource.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
-    width: f64,
+    share: f64,
     work: f64,
 }
 
 impl Load {
-    fn add(&mut self, width: f64, length_s: f64) {
-        self.width += width;
-        self.work += width * length_s;
+    fn add(&mut self, share: f64, length_s: f64) {
+        self.share += share;
+        self.work += share * length_s;
     }
 
     /// When the last of the load starts, in seconds from now: what exceeds the free share
     /// waits until its part of the total work is over.
     fn last_start_s(&self, resource: &SharedResource) -> f64 {
-        if self.width <= resource.free + 1e-9 {
+        if self.share <= resource.free + 1e-9 {
             return 0.0;
         }
-        self.work * (1.0 - resource.free / self.width)
+        self.work * (1.0 - resource.free / self.share)
     }
 
     /// Whether the last of the load starts too late for an objective.
-    fn is_too_late(&self, resource: &SharedResource, latest_starts_s: f64) -> bool {
-        self.last_start_s(resource) * MARGIN > latest_starts_s + ROUNDING_S
+    fn is_too_late(&self, resource: &SharedResource, latest_start_s: f64) -> bool {
+        self.last_start_s(resource) * START_TIME_MARGIN > latest_start_s + ROUNDING_TOLERANCE_S
     }
 }
 
 /// A job in a heap with the largest work on top.
 #[derive(Debug)]
-struct Chosen {
+struct JobByWork {
     work: f64,
     job: usize,
 }
 
-impl Ord for Chosen {
+impl Ord for JobByWork {
     fn cmp(&self, other: &Self) -> Ordering {
         let by_work = self.work.total_cmp(&other.work);
         by_work.then_with(|| self.job.cmp(&other.job))
     }
 }
 
-impl PartialOrd for Chosen {
+impl PartialOrd for JobByWork {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Chosen {
+impl PartialEq for JobByWork {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Chosen {}
+impl Eq for JobByWork {}
 
 /// The order in which `jobs` are served, as indices. Of equal jobs, the one with the
 /// smallest index goes first.
@@ -160,30 +160,32 @@
     let mut order = Vec::with_capacity(all.len());
     for band in all.chunk_by(|a, b| jobs[*a].band == jobs[*b].band) {
         if jobs[band[0]].band.behind_production {
-            in_tiers(jobs, resources, &mut loads, band, &mut order);
+            order_by_tiers(jobs, resources, &mut loads, band, &mut order);
         } else {
             order.extend_from_slice(band);
             for at in band {
-                put(&mut loads, &jobs[*at]);
+                add_load(&mut loads, &jobs[*at]);
             }
         }
     }
     order
 }
 
-fn put(loads: &mut [Load], job: &WaitingJob) {
-    for (resource, width) in &job.resources {
-        loads[*resource].add(*width, job.length_s);
+fn add_load(loads: &mut [Load], job: &WaitingJob) {
+    for (resource, share) in &job.resources {
+        loads[*resource].add(*share, job.length_s);
     }
 }
 
-fn take_out(loads: &mut [Load], job: &WaitingJob) {
-    for (resource, width) in &job.resources {
-        loads[*resource].add(-*width, job.length_s);
+fn remove_load(loads: &mut [Load], job: &WaitingJob) {
+    for (resource, share) in &job.resources {
+        loads[*resource].add(-*share, job.length_s);
     }
 }
 
-fn in_tiers(
+/// Orders the jobs of a band. A tier stands for one objective of each job: its first one, its
+/// second one, and so on. Jobs that miss the objective of a tier are tried in the next one.
+fn order_by_tiers(
     jobs: &[WaitingJob],
     resources: &[SharedResource],
     loads: &mut [Load],
@@ -195,22 +197,26 @@
     let mut by_tier: Vec<Vec<usize>> = vec![Vec::new(); tiers];
     let mut late = Vec::new();
     for at in band {
-        let aims = jobs[*at].latest_starts_s.len().max(1);
+        let objectives = jobs[*at].latest_starts_s.len().max(1);
         match jobs[*at].missed() {
-            missed if missed < aims => by_tier[missed].push(*at),
+            missed if missed < objectives => by_tier[missed].push(*at),
             _ => late.push(*at),
         }
     }
     for tier in 0..tiers {
         let mut candidates = std::mem::take(&mut by_tier[tier]);
         // Jobs removed from the previous tier are sorted into their places.
-        candidates.sort_by_key(|at| (!jobs[*at].is_held(tier), jobs[*at].order_ms, *at));
-        let out = keep(jobs, resources, loads, tier, &candidates);
-        let kept = candidates.iter().copied().filter(|at| !out.contains(at));
-        let (held, kept): (Vec<usize>, Vec<usize>) = kept.partition(|at| jobs[*at].is_held(tier));
-        order.extend(held);
+        candidates.sort_by_key(|at| (!jobs[*at].is_protected(tier), jobs[*at].order_ms, *at));
+        let left_out_jobs = left_out(jobs, resources, loads, tier, &candidates);
+        let kept = candidates
+            .iter()
+            .copied()
+            .filter(|at| !left_out_jobs.contains(at));
+        let (protected, kept): (Vec<usize>, Vec<usize>) =
+            kept.partition(|at| jobs[*at].is_protected(tier));
+        order.extend(protected);
         order.extend(backward::order(jobs, resources, loads, tier, kept));
-        for at in out {
+        for at in left_out_jobs {
             if tier + 1 < jobs[at].latest_starts_s.len() {
                 by_tier[tier + 1].push(at);
             } else {
@@ -224,43 +230,44 @@
         by_work.then_with(|| key(a).cmp(&key(b)))
     });
     for at in &late {
-        put(loads, &jobs[*at]);
+        add_load(loads, &jobs[*at]);
     }
     order.extend(late);
 }
 
 /// The candidates that are left out in this tier, so that as many as possible meet its
 /// objective.
-fn keep(
+fn left_out(
     jobs: &[WaitingJob],
     resources: &[SharedResource],
     loads: &mut [Load],
     tier: usize,
     candidates: &[usize],
 ) -> BTreeSet<usize> {
-    let mut out = BTreeSet::new();
-    let mut chosen: Vec<BinaryHeap<Chosen>> = resources.iter().map(|_| BinaryHeap::new()).collect();
+    let mut left_out_jobs = BTreeSet::new();
+    let mut removable: Vec<BinaryHeap<JobByWork>> =
+        resources.iter().map(|_| BinaryHeap::new()).collect();
     for at in candidates {
         let job = &jobs[*at];
-        put(loads, job);
-        for (resource, width) in job.resources.iter().filter(|_| !job.is_held(tier)) {
-            let work = width * job.length_s;
-            chosen[*resource].push(Chosen { work, job: *at });
+        add_load(loads, job);
+        for (resource, share) in job.resources.iter().filter(|_| !job.is_protected(tier)) {
+            let work = share * job.length_s;
+            removable[*resource].push(JobByWork { work, job: *at });
         }
         let Some(latest) = job.latest_starts_s.get(tier) else {
             continue;
         };
-        while !out.contains(at) {
-            let mut mine = job.resources.iter().map(|(resource, _)| *resource);
-            let crowded =
-                mine.find(|resource| loads[*resource].is_too_late(&resources[*resource], *latest));
-            let Some(resource) = crowded else { break };
-            let largest = std::iter::from_fn(|| chosen[resource].pop());
-            let largest = largest.map(|c| c.job).find(|j| !out.contains(j));
+        while !left_out_jobs.contains(at) {
+            let mut own = job.resources.iter().map(|(resource, _)| *resource);
+            let overloaded =
+                own.find(|resource| loads[*resource].is_too_late(&resources[*resource], *latest));
+            let Some(resource) = overloaded else { break };
+            let largest = std::iter::from_fn(|| removable[resource].pop());
+            let largest = largest.map(|c| c.job).find(|j| !left_out_jobs.contains(j));
             let largest = largest.unwrap_or(*at);
-            take_out(loads, &jobs[largest]);
-            out.insert(largest);
+            remove_load(loads, &jobs[largest]);
+            left_out_jobs.insert(largest);
         }
     }
-    out
+    left_out_jobs
 }
--- a/crates/policy/src/triage/backward.rs
+++ b/crates/policy/src/triage/backward.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-use super::{Chosen, Load, SharedResource, WaitingJob, take_out};
+use super::{JobByWork, Load, SharedResource, WaitingJob, remove_load};
 
 /// Orders jobs that all meet their objective of a tier in the order of `kept`. `loads`
 /// holds these jobs and all that go before them. A job without an objective in this tier
@@ -20,11 +20,11 @@
     tier: usize,
     kept: Vec<usize>,
 ) -> Vec<usize> {
-    let has_aim = |at: &usize| jobs[*at].latest_starts_s.len() > tier;
-    let aimed: Vec<usize> = kept.iter().copied().filter(has_aim).collect();
-    let backward = Backward::new(jobs, resources, loads, tier, &aimed);
-    let mut ordered = backward.order(&aimed).into_iter();
-    let place = |at: usize| match has_aim(&at) {
+    let has_objective = |at: &usize| jobs[*at].latest_starts_s.len() > tier;
+    let with_objective: Vec<usize> = kept.iter().copied().filter(has_objective).collect();
+    let backward = Backward::new(jobs, resources, loads, tier, &with_objective);
+    let mut ordered = backward.order(&with_objective).into_iter();
+    let place = |at: usize| match has_objective(&at) {
         true => ordered.next(),
         false => Some(at),
     };
@@ -44,7 +44,7 @@
     /// Number of its resources on which each job would be too late.
     too_late_in: HashMap<usize, usize>,
     /// The jobs that may take the last free place.
-    suited: BinaryHeap<Chosen>,
+    eligible: BinaryHeap<JobByWork>,
 }
 
 impl<'a> Backward<'a> {
@@ -53,9 +53,9 @@
         resources: &'a [SharedResource],
         loads: &[Load],
         tier: usize,
-        aimed: &[usize],
+        with_objective: &[usize],
     ) -> Self {
-        let mut by_latest = aimed.to_vec();
+        let mut by_latest = with_objective.to_vec();
         by_latest.sort_by(|a, b| {
             jobs[*a].latest_starts_s[tier].total_cmp(&jobs[*b].latest_starts_s[tier])
         });
@@ -65,7 +65,9 @@
                 too_late[*resource].push(*at);
             }
         }
-        let too_late_in = aimed.iter().map(|at| (*at, jobs[*at].resources.len()));
+        let too_late_in = with_objective
+            .iter()
+            .map(|at| (*at, jobs[*at].resources.len()));
         Self {
             jobs,
             resources,
@@ -73,31 +75,34 @@
             loads: loads.to_vec(),
             too_late,
             too_late_in: too_late_in.collect(),
-            suited: BinaryHeap::new(),
+            eligible: BinaryHeap::new(),
         }
     }
 
     /// Returns the jobs in their order. Jobs for which rounding errors leave no place come
     /// first, in their former order.
-    fn order(mut self, aimed: &[usize]) -> Vec<usize> {
+    fn order(mut self, with_objective: &[usize]) -> Vec<usize> {
         for resource in 0..self.resources.len() {
-            self.look_at(resource);
+            self.update_resource(resource);
         }
-        let mut from_last = Vec::with_capacity(aimed.len());
-        while let Some(Chosen { job, .. }) = self.suited.pop() {
-            from_last.push(job);
-            take_out(&mut self.loads, &self.jobs[job]);
+        let mut last_to_first = Vec::with_capacity(with_objective.len());
+        while let Some(JobByWork { job, .. }) = self.eligible.pop() {
+            last_to_first.push(job);
+            remove_load(&mut self.loads, &self.jobs[job]);
             for (resource, _) in &self.jobs[job].resources {
-                self.look_at(*resource);
+                self.update_resource(*resource);
             }
         }
-        let placed: HashSet<usize> = from_last.iter().copied().collect();
-        let unplaced = aimed.iter().copied().filter(|at| !placed.contains(at));
-        unplaced.chain(from_last.into_iter().rev()).collect()
+        let placed: HashSet<usize> = last_to_first.iter().copied().collect();
+        let unplaced = with_objective
+            .iter()
+            .copied()
+            .filter(|at| !placed.contains(at));
+        unplaced.chain(last_to_first.into_iter().rev()).collect()
     }
 
     /// Finds the jobs on a resource that would no longer be too late on it.
-    fn look_at(&mut self, resource: usize) {
+    fn update_resource(&mut self, resource: usize) {
         while let Some(at) = self.too_late[resource].last().copied() {
             let job = &self.jobs[at];
             if self.loads[resource]
@@ -112,7 +117,7 @@
             *resources -= 1;
             if *resources == 0 {
                 let work = job.work();
-                self.suited.push(Chosen { work, job: at });
+                self.eligible.push(JobByWork { work, job: at });
             }
         }
     }
--- a/crates/testkit/tests/policy.rs
+++ b/crates/testkit/tests/policy.rs
@@ -478,7 +478,7 @@
                 gpus: 0.0,
                 memory_gb: cpus * 4.0,
             };
-            stock.add(&offer.kind, &offer.zone, offer.spot, free);
+            stock.add_machine(&offer.kind, &offer.zone, offer.spot, free);
             rooms.push((offer, free));
         }
         let closed: Vec<_> = (0..rng.usize(0..8)).map(|_| offer(&mut rng)).collect();
