--- a/crates/core/src/assignment.rs
+++ b/crates/core/src/assignment.rs
@@ -41,8 +41,9 @@
 const PLAN_INTERVAL_PER_ITEM: Duration = Duration::from_micros(100);
 /// Interval after which a plan is made even without changes.
 const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(500);
-/// Minimum interval between two assignments of a job that is not in production. Each is a
-/// write, and delays the writes that record finished tasks.
+/// Minimum interval between two assignments of a job that is not in production, while
+/// writes are scarce. Each assignment is a write, and delays the writes that record
+/// finished tasks.
 const MIN_ASSIGNMENT_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a task that was asked to stop is expected to do so. After that it may be asked
 /// again.
@@ -57,7 +58,8 @@
     pub used: BTreeMap<String, Amounts>,
     pub borrowed: HashSet<JobId>,
     capacity_requests: Vec<CapacityRequest>,
-    /// Machine types reserved for waiting tasks that fit no other type.
+    /// Machine types that are left to jobs that have waited for long and can't use all
+    /// types.
     scarce_types: Rc<BTreeSet<String>>,
     /// Machine types that fit, by task requirements.
     fitting_types: HashMap<FittingKey, Rc<BTreeSet<String>>>,
@@ -78,7 +80,7 @@
     avoids: bool,
 }
 
-/// What determines which machine types a task fits, and whether the reserved types are left
+/// What determines which machine types a task fits, and whether the scarce types are left
 /// out.
 type FittingKey = ([u64; 3], Option<Vec<String>>, bool);
 
@@ -306,15 +308,15 @@
         types.clone()
     }
 
-    /// Machine types that are the only ones for some job that has waited longer than
-    /// `scarce_after`. Without this, small tasks take all capacity that is freed on a large
-    /// machine, and a large task never finds enough of it.
+    /// Machine types that a job fits which can't use all types and has waited longer than
+    /// `scarce_type_wait`. Without this, small tasks take all capacity that is freed on a
+    /// large machine, and a large task never finds enough of it.
     fn scarce_types(&self, plan: &mut Plan, queue: &[QueuedJob]) -> BTreeSet<String> {
         let max_wait_s = self.tuning.scarce_type_wait.as_secs_f64();
         let mut scarce_types = BTreeSet::new();
         for queued in queue {
-            // A job held back by its team's limit would reserve machines that it can't use,
-            // while others wait beside free capacity.
+            // A job held back by its team's limit could not use the machines reserved for
+            // it, while others would wait beside free capacity.
             let team = &queued.spec.team;
             let used = plan.used.get(team).copied().unwrap_or_default();
             let more = plus(&used, &queued.spec.amounts());
--- a/crates/core/src/inventory.rs
+++ b/crates/core/src/inventory.rs
@@ -86,13 +86,13 @@
     /// Adds its free capacity after the last plan, for sizing the fleet. With
     /// `with_freed_soon` this includes the capacity that running tasks will probably free
     /// by the time a machine rented now would be up.
-    pub fn add_free_to(&self, stock: &mut FreeCapacity, with_freed_soon: bool) {
+    pub fn add_free_to(&self, free_capacity: &mut FreeCapacity, with_freed_soon: bool) {
         let free = &self.candidate.free;
         let free = match with_freed_soon {
             true => plus(free, &self.freed_soon),
             false => *free,
         };
-        stock.add_machine(&self.kind, &self.zone, self.spot, free);
+        free_capacity.add_machine(&self.kind, &self.zone, self.spot, free);
     }
 
     pub fn reserve(&mut self, spec: &JobSpec) {
@@ -194,7 +194,7 @@
                 ..Inventory::default()
             };
             for name in self.view.machines.keys() {
-                if let Some(machine) = self.machine(name) {
+                if let Some(machine) = self.machine_view(name) {
                     inventory.count(&machine);
                     inventory.list.push(machine);
                 }
@@ -202,19 +202,19 @@
             return;
         }
         for name in std::mem::take(&mut inventory.stale) {
-            inventory.set(&name, self.machine(&name));
+            inventory.set(&name, self.machine_view(&name));
         }
     }
 
-    fn machine(&self, name: &str) -> Option<MachineView> {
+    fn machine_view(&self, name: &str) -> Option<MachineView> {
         let record = self.view.machines.get(name)?;
         let block = self.view.blocks.get(&record.block)?;
         let kind = self.machine_types.get(&record.kind)?;
-        let (seen, fresh) = self.machine_status(name, block)?;
+        let (status, fresh) = self.machine_status(name, block)?;
         let total = kind.amounts();
-        let tasks = self.tasks_on(seen, record.block, fresh);
+        let tasks = self.tasks_on(status, record.block, fresh);
         let free = if fresh {
-            seen.free
+            status.free
         } else {
             // Without recent messages from the holder, the records decide: tasks recorded
             // as done or given back use no capacity any more.
@@ -229,11 +229,11 @@
             zone: record.zone.clone(),
             kind: record.kind.clone(),
             spot: record.spot,
-            usable: seen.usable && !self.draining.contains(name),
+            usable: status.usable && !self.draining.contains(name),
             fresh,
-            faulty: seen.faulty,
-            silent_since: seen.silent_since,
-            idle_since: seen.idle_since,
+            faulty: status.faulty,
+            silent_since: status.silent_since,
+            idle_since: status.idle_since,
             free,
             service_share,
             candidate: Candidate {
@@ -244,7 +244,7 @@
                 service_share,
             },
             freed_soon: self.freed_soon(&tasks),
-            images: seen.images.clone(),
+            images: status.images.clone(),
             tasks,
             closed: false,
         })
@@ -252,7 +252,7 @@
 
     fn tasks_on(
         &self,
-        seen: &MachineStatus,
+        status: &MachineStatus,
         block: BlockId,
         fresh: bool,
     ) -> Vec<(TaskId, Rc<JobSpec>)> {
@@ -261,17 +261,17 @@
             let place = job.map(|j| j.task_status(task.index));
             fresh || matches!(place, Some(TaskStatus::Assigned { block: b, .. }) if b == block)
         };
-        let tasks = seen.tasks.iter().filter(is_here);
+        let tasks = status.tasks.iter().filter(is_here);
         tasks
             .filter_map(|t| Some((t.clone(), self.view.spec(&t.job)?.clone())))
             .collect()
     }
 
     fn freed_soon(&self, tasks: &[(TaskId, Rc<JobSpec>)]) -> Amounts {
-        let horizon = self.tuning.rent_horizon_boots * self.shortest_boot_s();
+        let horizon_s = self.tuning.rent_horizon_boots * self.shortest_boot_s();
         let mut ending = Amounts::default();
         for (_, spec) in tasks.iter().filter(|(_, s)| s.shape != Shape::Service) {
-            let part = (horizon / spec.estimate_s.max(1.0)).min(1.0);
+            let part = (horizon_s / spec.estimate_s.max(1.0)).min(1.0);
             ending.cpus += spec.cpus * part;
             ending.gpus += spec.gpus * part;
             ending.memory_gb += spec.memory_gb * part;
--- a/crates/core/src/minimum_shares.rs
+++ b/crates/core/src/minimum_shares.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 pub struct MinimumShares {
     flows: BTreeMap<Flow, FlowCredit>,
-    at: Duration,
+    updated_at: Duration,
     /// Remaining entitlement of each flow that has waited for long, in seconds of all
     /// machines.
     entitlements: BTreeMap<Flow, f64>,
@@ -77,7 +77,7 @@
 
 impl MinimumShares {
     /// The flows that got less than their share. `waiting` are the flows that have waited
-    /// for long, `given` is what each flow got since the last call.
+    /// for long, `received_by_flow` is what each flow got since the last call.
     pub fn flows_below_share(
         &mut self,
         now: Duration,
@@ -117,8 +117,8 @@
         if self.sabotage == Some(crate::Sabotage::NoMinimumShares) {
             return BTreeSet::new();
         }
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = now;
+        let passed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = now;
         for flow in late.keys() {
             self.flows.entry(flow.clone()).or_default();
         }
--- a/crates/core/src/queue_order.rs
+++ b/crates/core/src/queue_order.rs
@@ -141,13 +141,13 @@
         ended: impl Fn(&JobId) -> Option<u32>,
     ) {
         let tasks = open.iter().map(|(id, seen)| {
-            let tasks = starvation::Tasks {
-                any_out: seen.assigned_count > 0,
+            let tasks = starvation::JobTasks {
+                any_assigned: seen.assigned_count > 0,
                 done: seen.done,
             };
             (id, tasks)
         });
-        self.starvation.look(now, tasks);
+        self.starvation.update(now, tasks);
         self.throughput.update(now, open, ended);
     }
 
--- a/crates/core/src/starvation.rs
+++ b/crates/core/src/starvation.rs
@@ -23,14 +23,14 @@
 const STARVED_AFTER_S: f64 = 45.0;
 /// Share of a team's limit that starved jobs may use. With a share of 0.1, and jobs starved
 /// after 40 s, 2% fewer jobs were completed on crowded days.
-const SHARE: f64 = 0.06;
+const STARVED_JOBS_SHARE: f64 = 0.06;
 /// Time over which a team's unused share accumulates.
-const SAVED_S: f64 = 1.0;
+const CREDIT_WINDOW_S: f64 = 1.0;
 /// Duration of a turn while the team's limit leaves enough for its task. It ends because
 /// there may be no machine that fits.
-const TURN: Duration = Duration::from_secs(3);
+const TURN_DURATION: Duration = Duration::from_secs(3);
 /// Maximum duration of a turn, including the time in which it waits for its team's limit.
-const LONGEST_TURN: Duration = Duration::from_secs(30);
+const MAX_TURN_DURATION: Duration = Duration::from_secs(30);
 
 /// A waiting job that may be starved.
 #[derive(Clone, Debug)]
@@ -73,37 +73,41 @@
 
 /// Tasks of an open job that are assigned and done, as the leader sees them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tasks {
+pub struct JobTasks {
     /// Whether any are assigned.
-    pub any_out: bool,
+    pub any_assigned: bool,
     /// Number of tasks done.
     pub done: u32,
 }
 
 /// Service that a job has received.
 #[derive(Clone, Copy, Debug)]
-struct Had {
-    tasks: Tasks,
+struct ReceivedService {
+    tasks: JobTasks,
     /// Since when it has been without a task; none: since it could first be started.
-    without_since: Option<Duration>,
+    without_task_since: Option<Duration>,
 }
 
-impl Had {
+impl ReceivedService {
     /// Updates the record with the job's present tasks. A task that was lost before it was
     /// done does not count as service: the job keeps its earlier waiting time, but at most
     /// the time after which a job is starved. Otherwise a job whose tasks always fail would
     /// always come first.
-    fn then(self, now: Duration, tasks: Tasks) -> Self {
-        let lost = self.tasks.any_out && !tasks.any_out && tasks.done == self.tasks.done;
+    fn updated(self, now: Duration, tasks: JobTasks) -> Self {
+        let lost = self.tasks.any_assigned && !tasks.any_assigned && tasks.done == self.tasks.done;
         let just_starved = now.saturating_sub(Duration::from_secs_f64(STARVED_AFTER_S));
-        let without_since = match lost {
-            true => Some(self.without_since.unwrap_or_default().max(just_starved)),
+        let without_task_since = match lost {
+            true => Some(
+                self.without_task_since
+                    .unwrap_or_default()
+                    .max(just_starved),
+            ),
             false if tasks.done > self.tasks.done => Some(now),
-            false => self.without_since,
+            false => self.without_task_since,
         };
         Self {
             tasks,
-            without_since,
+            without_task_since,
         }
     }
 }
@@ -112,22 +116,22 @@
 #[derive(Debug)]
 struct Turn {
     task_work: f64,
-    until: Duration,
-    at_most_until: Duration,
+    ends_at: Duration,
+    latest_end: Duration,
 }
 
 impl Turn {
     fn new(now: Duration, task_work: f64) -> Self {
         Self {
             task_work,
-            until: now + TURN,
-            at_most_until: now + LONGEST_TURN,
+            ends_at: now + TURN_DURATION,
+            latest_end: now + MAX_TURN_DURATION,
         }
     }
 
     /// Extends the turn by time in which the team's limit left no room for the task.
     fn extend(&mut self, passed: Duration) {
-        self.until = (self.until + passed).min(self.at_most_until);
+        self.ends_at = (self.ends_at + passed).min(self.latest_end);
     }
 }
 
@@ -140,7 +144,7 @@
     team_limit: f64,
     turns: BTreeMap<JobId, Turn>,
     /// When jobs last had a turn that they could not use.
-    unused: BTreeMap<JobId, Duration>,
+    unused_turns: BTreeMap<JobId, Duration>,
 }
 
 /// Accounts of all teams.
@@ -148,8 +152,8 @@
 pub struct Starvation {
     accounts: BTreeMap<String, Account>,
     /// Service that open jobs have received.
-    had: BTreeMap<JobId, Had>,
-    at: Duration,
+    received: BTreeMap<JobId, ReceivedService>,
+    updated_at: Duration,
     /// The fault injected by a test.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<crate::Sabotage>,
@@ -157,17 +161,19 @@
 
 impl Starvation {
     /// Updates the service records from the present tasks of all open jobs.
-    pub fn look<'a>(&mut self, now: Duration, open: impl Iterator<Item = (&'a JobId, Tasks)>) {
-        let before = std::mem::take(&mut self.had);
-        let had = open.map(|(id, tasks)| {
-            let new = Had {
+    pub fn update<'a>(&mut self, now: Duration, open: impl Iterator<Item = (&'a JobId, JobTasks)>) {
+        let before = std::mem::take(&mut self.received);
+        let received = open.map(|(id, tasks)| {
+            let first_seen = ReceivedService {
                 tasks,
-                without_since: None,
+                without_task_since: None,
             };
-            let had = before.get(id).map_or(new, |had| had.then(now, tasks));
-            (id.clone(), had)
+            let received = before
+                .get(id)
+                .map_or(first_seen, |received| received.updated(now, tasks));
+            (id.clone(), received)
         });
-        self.had = had.collect();
+        self.received = received.collect();
     }
 
     /// Time that a job has been without a task although it could have had one.
@@ -177,9 +183,9 @@
             return candidate.waited_s;
         }
         let since = self
-            .had
+            .received
             .get(&candidate.id)
-            .and_then(|had| had.without_since);
+            .and_then(|received| received.without_task_since);
         let since_s = since.map(|at| now.saturating_sub(at).as_secs_f64());
         since_s.unwrap_or(f64::INFINITY).min(candidate.waited_s)
     }
@@ -196,8 +202,8 @@
         if self.sabotage == Some(crate::Sabotage::NoStarvationGuard) {
             return BTreeSet::new();
         }
-        let passed = now.saturating_sub(self.at);
-        self.at = now;
+        let passed = now.saturating_sub(self.updated_at);
+        self.updated_at = now;
         let waited = passed;
         #[cfg(feature = "sabotage")]
         let waited = match self.sabotage {
@@ -221,7 +227,7 @@
         for (team, account) in &mut self.accounts {
             let jobs = starved.get(team).map_or(&[][..], Vec::as_slice);
             account.extend_turns(waited, jobs);
-            account.end_turns(now, &self.had);
+            account.end_turns(now, &self.received);
             account.give_turns(now, passed.as_secs_f64(), jobs);
         }
         self.accounts
@@ -251,18 +257,22 @@
 
     /// Ends the turns that have been used, and those whose time is over. The latter are
     /// refunded.
-    fn end_turns(&mut self, now: Duration, had: &BTreeMap<JobId, Had>) {
-        let any_out = |id: &JobId| had.get(id).is_some_and(|had| had.tasks.any_out);
-        self.unused
-            .retain(|id, _| had.contains_key(id) && !any_out(id));
-        let (credit, unused) = (&mut self.credit, &mut self.unused);
+    fn end_turns(&mut self, now: Duration, received: &BTreeMap<JobId, ReceivedService>) {
+        let any_assigned = |id: &JobId| {
+            received
+                .get(id)
+                .is_some_and(|received| received.tasks.any_assigned)
+        };
+        self.unused_turns
+            .retain(|id, _| received.contains_key(id) && !any_assigned(id));
+        let (credit, unused_turns) = (&mut self.credit, &mut self.unused_turns);
         self.turns.retain(|id, turn| {
-            let is_used = any_out(id);
-            let is_over = now >= turn.until;
+            let is_used = any_assigned(id);
+            let is_over = now >= turn.ends_at;
             if !is_used && is_over {
                 log::debug!("{id}: starvation turn ended unused");
                 *credit += turn.task_work;
-                unused.insert(id.clone(), now);
+                unused_turns.insert(id.clone(), now);
             }
             !is_used && !is_over
         });
@@ -274,17 +284,20 @@
         if let Some(job) = jobs.first() {
             self.team_limit = job.candidate.team_limit;
         }
-        let rate = SHARE * self.team_limit;
-        self.credit = (self.credit + rate * passed_s).min(rate * SAVED_S);
+        let rate = STARVED_JOBS_SHARE * self.team_limit;
+        self.credit = (self.credit + rate * passed_s).min(rate * CREDIT_WINDOW_S);
         let mut next: Vec<&Starved> = jobs
             .iter()
             .filter(|job| !self.turns.contains_key(&job.candidate.id))
             .collect();
         next.sort_by(|a, b| {
-            let unused = |job: &Starved| self.unused.get(&job.candidate.id).copied();
+            let unused_turns = |job: &Starved| self.unused_turns.get(&job.candidate.id).copied();
             let longest = b.without_task_s.total_cmp(&a.without_task_s);
             let by_id = a.candidate.id.cmp(&b.candidate.id);
-            unused(a).cmp(&unused(b)).then(longest).then(by_id)
+            unused_turns(a)
+                .cmp(&unused_turns(b))
+                .then(longest)
+                .then(by_id)
         });
         for job in next {
             if self.credit < 0.0 {
--- a/crates/core/src/starvation/tests.rs
+++ b/crates/core/src/starvation/tests.rs
@@ -17,19 +17,19 @@
 }
 
 /// Updates the service records; each job is given with its tasks assigned and done.
-fn look(starvation: &mut Starvation, now: Duration, jobs: &[(&str, u32, u32)]) {
+fn update(starvation: &mut Starvation, now: Duration, jobs: &[(&str, u32, u32)]) {
     let ids: Vec<JobId> = jobs
         .iter()
         .map(|(id, ..)| id.parse().expect("an id"))
         .collect();
     let tasks = ids.iter().zip(jobs).map(|(id, (_, out, done))| {
-        let tasks = Tasks {
-            any_out: *out > 0,
+        let tasks = JobTasks {
+            any_assigned: *out > 0,
             done: *done,
         };
         (id, tasks)
     });
-    starvation.look(now, tasks);
+    starvation.update(now, tasks);
 }
 
 #[test]
@@ -40,7 +40,7 @@
     assert_eq!(ids(starvation.turns(ms(10_000), all())), ["j-2"]);
     let later = starvation.turns(ms(10_500), all());
     assert_eq!(ids(later), ["j-2"], "it lasts until a task is assigned");
-    look(&mut starvation, ms(10_600), &[("j-1", 0, 0), ("j-2", 1, 0)]);
+    update(&mut starvation, ms(10_600), &[("j-1", 0, 0), ("j-2", 1, 0)]);
     let only = || vec![candidate("j-1", 70.0, 99.0)];
     let unpaid = starvation.turns(ms(10_600), only());
     assert!(
@@ -56,8 +56,8 @@
 fn who_has_been_without_a_task_for_longest_goes_first() {
     let s = Duration::from_secs;
     let mut starvation = Starvation::default();
-    look(&mut starvation, s(100), &[("j-1", 0, 0), ("j-2", 1, 0)]);
-    look(&mut starvation, s(102), &[("j-1", 0, 0), ("j-2", 0, 1)]);
+    update(&mut starvation, s(100), &[("j-1", 0, 0), ("j-2", 1, 0)]);
+    update(&mut starvation, s(102), &[("j-1", 0, 0), ("j-2", 0, 1)]);
     let waiting = |later: f64| {
         vec![
             candidate("j-1", 50.0 + later, 99.0),
@@ -65,7 +65,7 @@
         ]
     };
     assert_eq!(ids(starvation.turns(s(102), waiting(2.0))), ["j-1"]);
-    look(&mut starvation, s(103), &[("j-1", 1, 0), ("j-2", 0, 1)]);
+    update(&mut starvation, s(103), &[("j-1", 1, 0), ("j-2", 0, 1)]);
     let only = || vec![candidate("j-2", 350.0, 99.0)];
     assert!(starvation.turns(s(146), only()).is_empty());
     assert_eq!(ids(starvation.turns(s(147), only())), ["j-2"]);
@@ -77,14 +77,14 @@
 fn a_task_that_was_lost_is_no_service() {
     let s = Duration::from_secs;
     let mut starvation = Starvation::default();
-    look(&mut starvation, s(100), &[("j-1", 1, 3), ("j-2", 0, 0)]);
-    look(&mut starvation, s(101), &[("j-1", 0, 3), ("j-2", 0, 0)]);
+    update(&mut starvation, s(100), &[("j-1", 1, 3), ("j-2", 0, 0)]);
+    update(&mut starvation, s(101), &[("j-1", 0, 3), ("j-2", 0, 0)]);
     let lost = || candidate("j-1", 300.0, 99.0);
     let alone = Starvation::turns(&mut starvation, s(101), vec![lost()]);
     assert_eq!(ids(alone), ["j-1"]);
     let mut starvation = Starvation::default();
-    look(&mut starvation, s(100), &[("j-1", 1, 3), ("j-2", 0, 0)]);
-    look(&mut starvation, s(101), &[("j-1", 0, 3), ("j-2", 0, 0)]);
+    update(&mut starvation, s(100), &[("j-1", 1, 3), ("j-2", 0, 0)]);
+    update(&mut starvation, s(101), &[("j-1", 0, 3), ("j-2", 0, 0)]);
     let both = vec![lost(), candidate("j-2", 50.0, 99.0)];
     assert_eq!(ids(starvation.turns(s(101), both)), ["j-2"]);
 }
@@ -130,7 +130,7 @@
 #[test]
 fn a_turn_waits_for_its_teams_limit() {
     let turn = turn_beside_a_full_limit(Starvation::default());
-    assert_eq!(turn, LONGEST_TURN);
+    assert_eq!(turn, MAX_TURN_DURATION);
 }
 
 #[cfg(feature = "sabotage")]
@@ -140,7 +140,7 @@
         sabotage: Some(crate::Sabotage::ShortTurns),
         ..Starvation::default()
     };
-    assert_eq!(turn_beside_a_full_limit(broken), TURN);
+    assert_eq!(turn_beside_a_full_limit(broken), TURN_DURATION);
 }
 
 /// Guards against a job that fits no machine keeping the turn: the other jobs of its team
