--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -577,7 +577,7 @@
 
     /// The priority and latest start of an open job, with the needs of the jobs that
     /// await it; `None` if it is not in the dependency graph.
-    pub fn claim(&self, id: &JobId) -> Option<EffectivePriority> {
+    pub fn effective_priority(&self, id: &JobId) -> Option<EffectivePriority> {
         self.graph.effective_priority(id)
     }
 
