--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -3,7 +3,7 @@
 mod admin;
 mod client;
 mod cwl;
-mod lanes;
+mod executor;
 mod logging;
 mod runtime;
 mod server;
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -19,7 +19,7 @@
 };
 use oliveshift_wire::settings::Settings;
 
-use crate::{client::Client, lanes::Lanes, server, stream};
+use crate::{client::Client, executor::PriorityExecutor, server, stream};
 
 /// How often the state machine hears that time has passed.
 const TICK: Duration = Duration::from_millis(50);
@@ -28,7 +28,7 @@
 
 /// The process around the state machine.
 pub struct Runtime {
-    lanes: Lanes,
+    executor: PriorityExecutor,
     controller: RefCell<Controller>,
     client: Client,
     started: Instant,
@@ -77,7 +77,7 @@
     let (urgent, is_urgent) = async_channel::bounded(1);
     let (due, is_due) = async_channel::bounded(1);
     let runtime = Rc::new(Runtime {
-        lanes: Lanes::default(),
+        executor: PriorityExecutor::default(),
         client: Client::default(),
         started: Instant::now(),
         waiting: RefCell::default(),
@@ -95,12 +95,16 @@
     });
     log::info!("{node}: starting, users and workers on {public}, controllers on {internal}");
     let tasks = runtime.clone();
-    block_on(tasks.lanes.run(async move {
+    block_on(tasks.executor.run(async move {
         runtime.spawn_listener(public, Listener::Public);
         runtime.spawn_listener(internal, Listener::Internal);
-        let lanes = &runtime.lanes;
-        lanes.urgent(runtime.clone().turns(is_urgent)).detach();
-        lanes.other(runtime.clone().turns(is_due)).detach();
+        let executor = &runtime.executor;
+        executor
+            .spawn_urgent(runtime.clone().turns(is_urgent))
+            .detach();
+        executor
+            .spawn_background(runtime.clone().turns(is_due))
+            .detach();
         let mut ticks = 0u32;
         loop {
             runtime.input(Input::Tick);
@@ -206,8 +210,8 @@
                     let is_order = matches!(call.to, Target::Worker(_));
                     let make = self.clone().make(call);
                     match is_order {
-                        true => self.lanes.other(make).detach(),
-                        false => self.lanes.urgent(make).detach(),
+                        true => self.executor.spawn_background(make).detach(),
+                        false => self.executor.spawn_urgent(make).detach(),
                     }
                 }
                 Output::ReadFrom(id) => {
@@ -243,7 +247,7 @@
 
     /// Goes on with a connection among what can wait.
     pub fn serve_later(&self, id: SocketId, serve: impl Future<Output = ()> + 'static) {
-        let serve = self.lanes.other(serve);
+        let serve = self.executor.spawn_background(serve);
         // The one that calls this ends with this call.
         if let Some(before) = self.serving.borrow_mut().insert(id, serve) {
             before.detach();
@@ -295,7 +299,9 @@
 
     fn spawn_listener(self: &Rc<Self>, addr: SocketAddrV4, listener: Listener) {
         let runtime = self.clone();
-        self.lanes.urgent(runtime.listen(addr, listener)).detach();
+        self.executor
+            .spawn_urgent(runtime.listen(addr, listener))
+            .detach();
     }
 
     async fn listen(self: Rc<Self>, addr: SocketAddrV4, listener: Listener) {
@@ -305,7 +311,7 @@
             let id = SocketId(self.next_socket.get());
             self.next_socket.set(id.0 + 1);
             let serve = server::begin(self.clone(), id, tcp, listener);
-            let serve = self.lanes.urgent(serve);
+            let serve = self.executor.spawn_urgent(serve);
             self.serving.borrow_mut().insert(id, serve);
             self.input(Input::Opened(id, listener));
         }
--- a/crates/daemon/src/workflows.rs
+++ b/crates/daemon/src/workflows.rs
@@ -2,8 +2,8 @@
 //! Service, and runs them by the users' API.
 
 mod config;
-mod front;
-mod objects;
+mod object_store;
+mod server;
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -36,5 +36,5 @@
         return ExitCode::SUCCESS;
     }
     crate::logging::start();
-    front::run(config)
+    server::run(config)
 }
--- a/crates/daemon/src/workflows/objects.rs
+++ b/crates/daemon/src/workflows/object_store.rs
@@ -12,9 +12,9 @@
 
 /// The directory.
 #[derive(Clone, Debug)]
-pub struct Objects(pub PathBuf);
+pub struct ObjectStore(pub PathBuf);
 
-impl Objects {
+impl ObjectStore {
     /// What all tasks of a job have left behind; none: not all of it is there.
     pub fn results(&self, job: &JobId, tasks: u32) -> Option<Vec<TaskResult>> {
         let dir = self.0.join("results").join(job.as_str());
--- a/crates/daemon/src/workflows/front.rs
+++ b/crates/daemon/src/workflows/server.rs
@@ -25,7 +25,7 @@
 };
 use serde::Serialize;
 
-use super::{config::Config, objects::Objects};
+use super::{config::Config, object_store::ObjectStore};
 use crate::{
     client::Client,
     stream::{self, Stream},
@@ -42,11 +42,11 @@
 /// The most partners at a time.
 const MOST_PARTNERS: usize = 256;
 
-struct Front {
+struct WesServer {
     executor: LocalExecutor<'static>,
     service: RefCell<Service>,
     client: Client,
-    objects: Objects,
+    object_store: ObjectStore,
     config: Config,
     started: Instant,
     waiting: RefCell<HashMap<AskId, Sender<Answer>>>,
@@ -57,11 +57,11 @@
 /// Runs until the process is killed.
 pub fn run(config: Config) -> ExitCode {
     let seed = fastrand::u64(..);
-    let front = Rc::new(Front {
+    let server = Rc::new(WesServer {
         executor: LocalExecutor::new(),
         service: RefCell::new(Service::new(config.settings(), seed)),
         client: Client::default(),
-        objects: Objects(config.objects.clone()),
+        object_store: ObjectStore(config.objects.clone()),
         started: Instant::now(),
         waiting: RefCell::default(),
         next: Cell::new(0),
@@ -70,25 +70,25 @@
     });
     log::info!(
         "{}: serving workflows on {}",
-        front.config.name,
-        front.config.listen
+        server.config.name,
+        server.config.listen
     );
-    let tasks = front.clone();
+    let tasks = server.clone();
     block_on(tasks.executor.run(async move {
-        front.executor.spawn(front.clone().listen()).detach();
+        server.executor.spawn(server.clone().listen()).detach();
         let mut ticks = 0u32;
         loop {
-            front.input(Input::Tick);
+            server.input(Input::Tick);
             Timer::after(TICK).await;
             ticks = ticks.wrapping_add(1);
             if ticks.is_multiple_of(100) {
-                front.client.prune();
+                server.client.prune();
             }
         }
     }))
 }
 
-impl Front {
+impl WesServer {
     fn input(self: &Rc<Self>, input: Input) {
         let day = SystemTime::now().duration_since(UNIX_EPOCH);
         let day_s = day.unwrap_or_default().as_secs();
@@ -102,8 +102,8 @@
                     }
                 }
                 other => {
-                    let front = self.clone();
-                    self.executor.spawn(front.carry_out(other)).detach();
+                    let server = self.clone();
+                    self.executor.spawn(server.carry_out(other)).detach();
                 }
             }
         }
@@ -133,9 +133,9 @@
                 Input::Job(call, self.ask_users("POST", path, Vec::new()).await)
             }
             Output::Results(call, id, tasks) => {
-                Input::Results(call, self.objects.results(&id, tasks))
+                Input::Results(call, self.object_store.results(&id, tasks))
             }
-            Output::Text(call, location) => Input::Text(call, self.objects.text(&location)),
+            Output::Text(call, location) => Input::Text(call, self.object_store.text(&location)),
             Output::Answer(..) => return,
         };
         self.input(input);
@@ -189,10 +189,10 @@
                 continue;
             }
             self.partners.set(self.partners.get() + 1);
-            let front = self.clone();
+            let server = self.clone();
             let serve = async move {
-                front.serve(Stream::new(tcp)).await;
-                front.partners.set(front.partners.get() - 1);
+                server.serve(Stream::new(tcp)).await;
+                server.partners.set(server.partners.get() - 1);
             };
             self.executor.spawn(serve).detach();
         }
