--- a/crates/core/src/assignment.rs
+++ b/crates/core/src/assignment.rs
@@ -236,7 +236,10 @@
                 continue;
             }
             if job.waiting() > 0 {
-                let latest = self.view.effective_priority(id).and_then(|c| c.latest_start);
+                let latest = self
+                    .view
+                    .effective_priority(id)
+                    .and_then(|c| c.latest_start);
                 let length_s = spec.estimate_s / speed;
                 let takes_s = length_s + self.image_fetch_s(spec);
                 let aims = self.settings.params.aims_of(&spec.class);
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -214,6 +214,7 @@
         }
     }
 
+    /// Does the periodic work of the leader.
     pub(crate) fn leader_tick(&mut self) {
         self.advance_chunk_writes();
         let now = self.now;
@@ -254,6 +255,7 @@
         self.fleet_tick();
     }
 
+    /// Sends a leader write unless the same one is pending. Returns whether it was sent.
     pub(crate) fn submit_leader_write(
         &mut self,
         write: LeaderWrite,
@@ -273,6 +275,7 @@
         true
     }
 
+    /// Handles the outcome of a leader write.
     pub(crate) fn leader_write_done(&mut self, write: LeaderWrite, outcome: Outcome) {
         let retry_at = self.now + Duration::from_millis(300);
         if let Some(leader) = &mut self.leader
@@ -367,8 +370,8 @@
 
     /// The best holder for a block of a zone. Controllers that reach the workers of the
     /// zone come first, then those not suspected of being unreachable, those in the zone,
-    /// and those with the fewest machines. With `instead_of`, only controllers other than
-    /// that one qualify that reach the workers.
+    /// and those with the fewest machines. With `instead_of`, only other controllers that
+    /// reach the workers qualify.
     pub(crate) fn best_holder(
         &self,
         zone: &str,
@@ -393,9 +396,11 @@
             .map(|(name, _)| name.clone())
     }
 
+    /// Moves a block into its own zone or to a controller with fewer machines, if one
+    /// needs it and all members have been up for long enough.
     fn rebalance_one_block(&mut self) {
         let Some(leader) = &self.leader else { return };
-        let is_steady = |name: &str| {
+        let up_long_enough = |name: &str| {
             leader
                 .up_since
                 .get(name)
@@ -406,7 +411,7 @@
             .keys()
             .any(|d| matches!(d, LeaderWrite::LeaseBlock(_)));
         // While controllers restart one after the other, a block would move twice.
-        let settled = self.view.members.keys().all(|name| is_steady(name));
+        let settled = self.view.members.keys().all(|name| up_long_enough(name));
         if busy || !settled {
             return;
         }
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -21,14 +21,14 @@
     pub zones: Vec<String>,
 }
 
-/// A machine type that can be rented in a zone, as a spot or an ordinary machine.
+/// A machine type that can be rented in a zone, as a spot or an on-demand machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Offer {
     /// The machine type.
     pub kind: String,
     /// The zone.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Spot or on-demand.
     pub spot: bool,
 }
 
@@ -54,13 +54,13 @@
 /// Free capacity that requests are allocated on, first come, first served.
 ///
 /// Under heavy load there are thousands of requests and machines, but few distinct ones of
-/// either. Whether a kind of request may use an offer is therefore computed once, and
-/// machines without enough capacity for a kind are not looked at again for it.
+/// either. Whether a request profile may use an offer is therefore computed once, and
+/// machines without enough capacity for a profile are not looked at again for it.
 #[derive(Clone, Debug, Default)]
 pub struct FreeCapacity {
     offers: Vec<Offer>,
     machines: Vec<(usize, Amounts)>,
-    kinds: Vec<Kind>,
+    profiles: Vec<RequestProfile>,
     /// How often a machine was examined.
     #[cfg(test)]
     examined: usize,
@@ -68,18 +68,18 @@
 
 /// Properties that equivalent requests share.
 #[derive(Clone, Debug)]
-struct Kind {
+struct RequestProfile {
     need: Amounts,
     spot: bool,
     types: Option<Vec<String>>,
     zones: Vec<String>,
     /// Whether each offer is allowed, for the offers examined so far.
     allowed_offers: Vec<bool>,
-    /// Index of the first machine that may have capacity for this kind.
+    /// Index of the first machine that may have capacity for this profile.
     first_candidate: usize,
 }
 
-impl Kind {
+impl RequestProfile {
     fn matches(&self, request: &CapacityRequest) -> bool {
         self.need == request.need
             && self.spot == request.spot
@@ -103,11 +103,11 @@
         self.machines.push((offer, free));
     }
 
-    /// Index of a request's kind, which is added if it is new.
-    fn kind(&mut self, request: &CapacityRequest) -> usize {
-        let known = self.kinds.iter().position(|k| k.matches(request));
+    /// Index of a request's profile, which is added if it is new.
+    fn profile_index(&mut self, request: &CapacityRequest) -> usize {
+        let known = self.profiles.iter().position(|k| k.matches(request));
         let index = known.unwrap_or_else(|| {
-            self.kinds.push(Kind {
+            self.profiles.push(RequestProfile {
                 need: request.need,
                 spot: request.spot,
                 types: request.types.clone(),
@@ -115,9 +115,9 @@
                 allowed_offers: Vec::new(),
                 first_candidate: 0,
             });
-            self.kinds.len() - 1
+            self.profiles.len() - 1
         });
-        let kind = &mut self.kinds[index];
+        let kind = &mut self.profiles[index];
         let new = self.offers.iter().skip(kind.allowed_offers.len());
         kind.allowed_offers
             .extend(new.map(|offer| offer_allowed(request, offer)));
@@ -126,8 +126,8 @@
 
     /// Allocates a request on the free capacity and returns how many of its tasks are left.
     pub fn allocate(&mut self, request: &CapacityRequest) -> u32 {
-        let index = self.kind(request);
-        let kind = &mut self.kinds[index];
+        let index = self.profile_index(request);
+        let kind = &mut self.profiles[index];
         let mut remaining = request.tasks;
         while remaining > 0
             && let Some((offer, free)) = self.machines.get_mut(kind.first_candidate)
@@ -161,11 +161,11 @@
     max_rentals: usize,
 ) -> Vec<Offer> {
     let mut rented = Vec::new();
-    // Kinds of requests for which no offer is available.
+    // request profiles for which no offer is available.
     let mut unavailable: Vec<(usize, bool)> = Vec::new();
     for request in requests {
         let mut remaining = free_capacity.allocate(request);
-        let kind = (free_capacity.kind(request), request.spot_only);
+        let kind = (free_capacity.profile_index(request), request.spot_only);
         while remaining > 0 && rented.len() < max_rentals && !unavailable.contains(&kind) {
             let Some((offer, total)) = cheapest(request, remaining, types, &closed, &load, &rented)
             else {
--- a/crates/policy/src/score.rs
+++ b/crates/policy/src/score.rs
@@ -22,7 +22,7 @@
     /// open.
     pub gate_max_gap: f64,
     /// Bonus, not in the paper, of a spot machine for a task that may use it. It leaves
-    /// ordinary machines to tasks that need them.
+    /// on-demand machines to tasks that need them.
     pub spot_bonus: f64,
     /// Bonus, not in the paper, for the share of a machine's processors that a task uses.
     /// It leaves large machines to large tasks.
--- a/crates/policy/src/triage.rs
+++ b/crates/policy/src/triage.rs
@@ -192,8 +192,8 @@
     band: &[usize],
     order: &mut Vec<usize>,
 ) {
-    let most = band.iter().map(|at| jobs[*at].latest_starts_s.len());
-    let tiers = most.max().unwrap_or(0).max(1);
+    let objective_counts = band.iter().map(|at| jobs[*at].latest_starts_s.len());
+    let tiers = objective_counts.max().unwrap_or(0).max(1);
     let mut by_tier: Vec<Vec<usize>> = vec![Vec::new(); tiers];
     let mut late = Vec::new();
     for at in band {
@@ -258,9 +258,9 @@
             continue;
         };
         while !left_out_jobs.contains(at) {
-            let mut own = job.resources.iter().map(|(resource, _)| *resource);
-            let overloaded =
-                own.find(|resource| loads[*resource].is_too_late(&resources[*resource], *latest));
+            let mut job_resources = job.resources.iter().map(|(resource, _)| *resource);
+            let overloaded = job_resources
+                .find(|resource| loads[*resource].is_too_late(&resources[*resource], *latest));
             let Some(resource) = overloaded else { break };
             let largest = std::iter::from_fn(|| removable[resource].pop());
             let largest = largest.map(|c| c.job).find(|j| !left_out_jobs.contains(j));
