--- a/crates/core/src/assignment.rs
+++ b/crates/core/src/assignment.rs
@@ -242,7 +242,7 @@
                     .and_then(|c| c.latest_start);
                 let length_s = spec.estimate_s / speed;
                 let takes_s = length_s + self.image_fetch_s(spec);
-                let aims = self.settings.params.aims_of(&spec.class);
+                let objectives = self.settings.params.aims_of(&spec.class);
                 queue.push(QueuedJob {
                     id: id.clone(),
                     spec: spec.clone(),
@@ -255,7 +255,7 @@
                     priority: self.view.priority(id, spec),
                     order_ms: latest.map_or(at, |at| at.as_millis() as u64),
                     waited_s: waited_s(self.wall_clock, job.ready_ms),
-                    latest_starts_s: latest_starts(aims, job, spec, self.wall_clock, takes_s),
+                    latest_starts_s: latest_starts(objectives, job, spec, self.wall_clock, takes_s),
                     started: job.assigned_total() > 0,
                     length_s,
                     starved_turn: false,
--- a/crates/core/src/near_limit.rs
+++ b/crates/core/src/near_limit.rs
@@ -17,7 +17,7 @@
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 /// Share of its limit from which a team counts as near it: tasks that ended within the last
 /// seconds still count as used.
-pub(crate) const NEAR_LIMIT: f64 = 0.8;
+pub(crate) const NEAR_LIMIT_SHARE: f64 = 0.8;
 
 /// The teams that were near their limit at the last evaluation.
 #[derive(Debug, Default)]
@@ -46,7 +46,7 @@
         }
         let is_near = |team: &&Team| {
             let used = used.get(team.name.as_str()).copied().unwrap_or(0.0);
-            team.cpus_max > 0.0 && used >= NEAR_LIMIT * team.cpus_max
+            team.cpus_max > 0.0 && used >= NEAR_LIMIT_SHARE * team.cpus_max
         };
         let near = teams.iter().filter(is_near);
         self.near_limit = near.map(|team| team.name.clone()).collect();
--- a/crates/core/src/starvation.rs
+++ b/crates/core/src/starvation.rs
@@ -17,7 +17,7 @@
 
 use oliveshift_wire::JobId;
 
-use crate::near_limit::NEAR_LIMIT;
+use crate::near_limit::NEAR_LIMIT_SHARE;
 
 /// Time without a task after which a job counts as starved.
 const STARVED_AFTER_S: f64 = 45.0;
@@ -54,7 +54,7 @@
 impl Candidate {
     /// Whether its team is near its limit.
     fn is_held_back(&self) -> bool {
-        self.team_limit > 0.0 && self.team_used >= NEAR_LIMIT * self.team_limit
+        self.team_limit > 0.0 && self.team_used >= NEAR_LIMIT_SHARE * self.team_limit
     }
 
     /// Whether one more of its tasks would exceed its team's limit.
--- a/crates/core/src/starvation/tests.rs
+++ b/crates/core/src/starvation/tests.rs
@@ -22,9 +22,9 @@
         .iter()
         .map(|(id, ..)| id.parse().expect("an id"))
         .collect();
-    let tasks = ids.iter().zip(jobs).map(|(id, (_, out, done))| {
+    let tasks = ids.iter().zip(jobs).map(|(id, (_, assigned, done))| {
         let tasks = JobTasks {
-            any_assigned: *out > 0,
+            any_assigned: *assigned > 0,
             done: *done,
         };
         (id, tasks)
--- a/crates/core/src/team_usage.rs
+++ b/crates/core/src/team_usage.rs
@@ -65,8 +65,8 @@
 
     /// Counts what teams use. Returns the tasks that count and are on no machine.
     fn count_tasks(&mut self, plan: &mut Plan) -> Vec<Unplaced> {
-        let over = self.peers.values().flat_map(|p| &p.over);
-        let over: HashSet<&TaskId> = over.chain(&self.unrecorded).collect();
+        let unrecorded = self.peers.values().flat_map(|p| &p.over);
+        let unrecorded: HashSet<&TaskId> = unrecorded.chain(&self.unrecorded).collect();
         let mut unplaced = Vec::new();
         let mut usage: BTreeMap<&str, TeamUsage> = BTreeMap::new();
         for id in &self.view.active {
@@ -76,11 +76,11 @@
             let Some(spec) = &job.spec else { continue };
             let team = usage.entry(&spec.team).or_default();
             let mut count = 0;
-            for (task, block) in handed_tasks(id, job) {
+            for (task, block) in assigned_tasks_of(id, job) {
                 count += 1;
                 if plan.inventory.has_task(&task) {
                     team.placed += spec.cpus;
-                } else if over.contains(&task) {
+                } else if unrecorded.contains(&task) {
                     team.ended += spec.cpus;
                 } else {
                     team.assigned += spec.cpus;
@@ -165,7 +165,10 @@
 }
 
 /// The tasks of a job that the records show as assigned, with their blocks.
-fn handed_tasks<'a>(id: &'a JobId, job: &'a Job) -> impl Iterator<Item = (TaskId, BlockId)> + 'a {
+fn assigned_tasks_of<'a>(
+    id: &'a JobId,
+    job: &'a Job,
+) -> impl Iterator<Item = (TaskId, BlockId)> + 'a {
     let chunks = job.chunks.iter().filter(|_| !job.assigned.is_empty());
     chunks.flat_map(move |(part, chunk)| {
         let (first, _) = job.chunk_span(*part);
