--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,13 +1,14 @@
-//! The program and the examples that are shipped with it.
+//! Support for tests of the program: its path, and the CWL examples in `deploy/examples`.
 
 use std::process::Command;
 
-/// The program.
+/// Path of the program.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_oliveshift");
-/// Where the examples are.
+/// Directory of the CWL examples.
 pub const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/examples/cwl");
 
-/// Exit code, output and error of `oliveshift cwl`, run where the examples are.
+/// Runs `oliveshift cwl` in the directory of the examples and returns its exit code, standard
+/// output and standard error.
 pub fn cwl(args: &[&str]) -> (Option<i32>, String, String) {
     let output = Command::new(PROGRAM)
         .arg("cwl")
