--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,6 +1,5 @@
 //! Request budgets as token buckets. The state service and the cloud refuse requests
-//! above their rate limits, and a refusal of an urgent request costs more than a delay
-//! of a less urgent one.
+//! above their rate limits, and a refusal at a critical moment costs more than a delay.
 
 use std::time::Duration;
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -48,10 +48,14 @@
 /// State of the calls to the cloud, and the machines as the cloud lists them.
 #[derive(Debug)]
 pub(crate) struct Fleet {
+    /// Budget of requests to the cloud.
     pub budget: Budget,
+    /// When to read the machine types next.
     pub types_at: Duration,
+    /// When to read the machine list next, and whether a read is in flight.
     list_at: Duration,
     listing: bool,
+    /// The pages of the list that have been read so far.
     page: Vec<Listed>,
     /// The last complete machine list, and when the last of its pages was requested.
     list: BTreeMap<String, Listed>,
@@ -62,10 +66,13 @@
     pending_rentals: BTreeMap<String, (Offer, u32, Duration)>,
     /// Offers that the cloud has refused, and when to try them again.
     refused_offers: BTreeMap<Offer, Duration>,
+    /// Number of rent requests sent by this incarnation.
     rent_requests: u64,
+    /// Waiting work without capacity.
     capacity_requests: Vec<CapacityRequest>,
     /// Recent jobs and when they were first seen.
     recent_jobs: BTreeMap<JobId, (Duration, Rc<JobSpec>)>,
+    /// Since when there has been waiting work without capacity.
     capacity_requested_since: Option<Duration>,
     /// Machines to be returned, and whether the call has been sent.
     pending_returns: BTreeMap<String, bool>,
@@ -74,6 +81,7 @@
     /// Machines whose return the cloud has confirmed, and when; their records are
     /// deleted next. The list, which lags, shows them for a while longer.
     pub returned_machines: BTreeMap<String, Duration>,
+    /// How far the cloud's list lags behind.
     lag: Duration,
     rent_at: Duration,
     returns_at: Duration,
@@ -403,7 +411,7 @@
             .pending_rentals
             .retain(|_, (.., at)| now < *at + rent_timeout);
         // Without a recent list, machines that are booting would be rented twice.
-        let fresh_list = self
+        let has_recent_list = self
             .fleet
             .list_requested_at
             .is_some_and(|at| now < at + LIST_INTERVAL * 4);
@@ -412,7 +420,7 @@
             .capacity_requested_since
             .is_some_and(|at| now > at + Duration::from_millis(600));
         let waiting = waiting || self.fleet.capacity_requested_since.is_none();
-        if !fresh_list
+        if !has_recent_list
             || !waiting
             || now < self.fleet.rent_at
             || !self.fleet.pending_rentals.is_empty()
@@ -423,7 +431,7 @@
         let rented = self.rented_offers();
         let mut stock = self.stock(&rented, true);
         let types: Vec<_> = self.machine_types.values().cloned().collect();
-        let closed = |offer: &Offer| self.fleet.refused_offers.contains_key(offer);
+        let is_refused = |offer: &Offer| self.fleet.refused_offers.contains_key(offer);
         let mut loads: BTreeMap<&str, u32> = BTreeMap::new();
         for machine in self.view.machines.values() {
             *loads.entry(&machine.zone).or_default() += 1;
@@ -431,8 +439,14 @@
         let load = |zone: &str| loads.get(zone).copied().unwrap_or(0);
         let capacity_requests = std::mem::take(&mut self.fleet.capacity_requests);
         let most = self.tuning.max_rent_batch;
-        let mut offers =
-            machines_to_rent(&capacity_requests, &mut stock, &types, closed, load, most);
+        let mut offers = machines_to_rent(
+            &capacity_requests,
+            &mut stock,
+            &types,
+            is_refused,
+            load,
+            most,
+        );
         let reserve = self.reserve();
         if !reserve.is_empty() {
             let mut stock = self.stock(&rented, false);
@@ -444,7 +458,7 @@
             }
             let most = most.saturating_sub(offers.len());
             offers.extend(machines_to_rent(
-                &reserve, &mut stock, &types, closed, load, most,
+                &reserve, &mut stock, &types, is_refused, load, most,
             ));
         }
         self.fleet.capacity_requests = capacity_requests;
@@ -563,7 +577,7 @@
             let silent = machine
                 .silent_since
                 .map_or(Duration::ZERO, |at| now.saturating_sub(at));
-            let lost = self.settings.lease_limit() + Duration::from_secs(2);
+            let lost_after = self.settings.lease_limit() + Duration::from_secs(2);
             // A machine that is silent and missing from a list that was read later than
             // the silence began, by more than the lag, is gone. Returning it proves that.
             let unlisted = !self.fleet.list.contains_key(name)
@@ -573,7 +587,7 @@
             if self.fleet.is_returning(name) {
                 continue;
             }
-            if silent > lost {
+            if silent > lost_after {
                 returns.push((name.clone(), "it has been silent longer than its lease"));
             } else if silent > self.early_return_limit()
                 && !machine.tasks.is_empty()
--- a/crates/core/src/upgrade.rs
+++ b/crates/core/src/upgrade.rs
@@ -49,7 +49,7 @@
     format_at: Duration,
     lowered_at: Duration,
     /// When to query the controllers whose level is not known.
-    ask_at: Duration,
+    query_at: Duration,
     /// Whether the first write to an empty store is in flight.
     initializing: bool,
     exit_requested: bool,
@@ -104,7 +104,7 @@
         self.record_own_level();
         if self.leader.is_some() {
             self.switch_format();
-            self.ask_levels();
+            self.query_levels();
         }
     }
 
@@ -150,7 +150,7 @@
 
     /// Whether a controller is known to support the level of this program: by its level
     /// record, which must be of the running incarnation if the controller is up.
-    fn is_proven(&self, node: &str) -> bool {
+    fn is_level_proven(&self, node: &str) -> bool {
         let Some(proof) = self.view.levels.get(node).map(|l| l.record) else {
             return false;
         };
@@ -187,7 +187,7 @@
     /// Writes the format record once all controllers are known to support its level.
     fn switch_format(&mut self) {
         let nodes = self.all_nodes();
-        if self.now < self.upgrade.format_at || !nodes.iter().all(|n| self.is_proven(n)) {
+        if self.now < self.upgrade.format_at || !nodes.iter().all(|n| self.is_level_proven(n)) {
             return;
         }
         let Some(lead) = self.leader_cond() else {
@@ -212,13 +212,13 @@
 
     /// Queries the controllers whose level is not known: one that can't reach the state
     /// service may still answer a peer.
-    fn ask_levels(&mut self) {
-        if self.now < self.upgrade.ask_at {
+    fn query_levels(&mut self) {
+        if self.now < self.upgrade.query_at {
             return;
         }
-        self.upgrade.ask_at = self.now + RETRY_INTERVAL;
+        self.upgrade.query_at = self.now + RETRY_INTERVAL;
         let mut nodes = self.all_nodes();
-        nodes.retain(|n| *n != self.settings.node && !self.is_proven(n));
+        nodes.retain(|n| *n != self.settings.node && !self.is_level_proven(n));
         for node in nodes {
             let (path, pending) = ("/level".to_owned(), Pending::FormatLevel(node.clone()));
             let to = Target::Peer(node);
@@ -235,13 +235,13 @@
 
     /// Answers a peer's level query.
     pub(crate) fn send_level(&mut self, conn: ConnId) {
-        let word = LevelWord {
+        let report = LevelWord {
             node: self.settings.node.clone(),
             incarnation: self.incarnation,
             level: self.supported_level.0,
         };
         // Serializing into memory can't fail.
-        let body = borsh::to_vec(&word).unwrap_or_default();
+        let body = borsh::to_vec(&report).unwrap_or_default();
         self.answer(conn, 200, body);
     }
 
@@ -250,13 +250,13 @@
         let Reply::Answer { status: 200, body } = reply else {
             return;
         };
-        let Ok(word) = borsh::from_slice::<LevelWord>(body) else {
+        let Ok(report) = borsh::from_slice::<LevelWord>(body) else {
             return;
         };
-        let enough = word.node == *node && word.level >= self.supported_level.0;
-        if enough && self.leader.is_some() && !self.is_proven(node) {
-            log::info!("{node} reports format level {}: recording it", word.level);
-            self.write_level(word.node, word.incarnation, None);
+        let enough = report.node == *node && report.level >= self.supported_level.0;
+        if enough && self.leader.is_some() && !self.is_level_proven(node) {
+            log::info!("{node} reports format level {}: recording it", report.level);
+            self.write_level(report.node, report.incarnation, None);
         }
     }
 
@@ -333,7 +333,7 @@
     pub(crate) fn upgrade_status(&mut self, conn: ConnId) {
         let controllers = self.all_nodes().into_iter().map(|node| {
             let proof = self.view.levels.get(&node).map(|l| l.record);
-            let proof = proof.filter(|_| self.is_proven(&node));
+            let proof = proof.filter(|_| self.is_level_proven(&node));
             let switched = self.view.level() >= self.supported_level;
             ControllerLevel {
                 up: self.view.members.contains_key(&node),
@@ -372,7 +372,7 @@
             self.refuse_json(conn, 404, "no such controller in the settings");
         } else if self.view.members.contains_key(&node) {
             self.refuse_json(conn, 409, "the controller is up");
-        } else if self.is_proven(&node) || self.view.level() >= self.supported_level {
+        } else if self.is_level_proven(&node) || self.view.level() >= self.supported_level {
             self.answer(conn, 200, json(&WriteOff { without: node }));
         } else if !self.write_level(node, 0, Some(conn)) {
             self.refuse_json(conn, 503, "too many requests at once");
