--- a/crates/core/src/queue_order.rs
+++ b/crates/core/src/queue_order.rs
@@ -198,14 +198,14 @@
         order: &[usize],
     ) -> bool {
         let mut late: BTreeMap<Flow, (f64, OldestJob)> = BTreeMap::new();
-        let mut long: BTreeSet<Flow> = BTreeSet::new();
+        let mut long_waiting: BTreeSet<Flow> = BTreeSet::new();
         for (queued, job) in queue.iter().zip(&*jobs).filter(|(q, _)| q.borrows()) {
             let flow = &queued.flow;
             // Low priority only uses otherwise idle capacity and has no minimum share: a
             // batch of thousands of tasks made urgent work wait for 3 s on average.
             let entitled = queued.priority != Priority::Low;
             if entitled && queued.waited_s > queued.time_left_s(queued.latest_starts_s.first()) {
-                long.insert(flow.clone());
+                long_waiting.insert(flow.clone());
             }
             let older = |(waited, _): &(f64, OldestJob)| *waited >= queued.waited_s;
             if queued.time_left_s(queued.latest_starts_s.last()) < 0.0
@@ -221,19 +221,19 @@
         let late = late.into_iter().map(|(flow, (_, o))| (flow, o)).collect();
         let waits = |id: &JobId| queue.iter().any(|q| q.id == *id);
         let turns = self.minimum_shares.turns(now, &late, waits);
-        let mut short =
+        let mut below_share =
             self.minimum_shares
-                .flows_below_share(now, &long, &self.throughput.assigned);
+                .flows_below_share(now, &long_waiting, &self.throughput.assigned);
         let waiting = limit_blocked_jobs(&self.starvation, now, queue, machine_views, used);
         let starved = self.starvation.turns(now, waiting);
         let mut ahead = false;
         for at in order {
             let queued = &mut queue[*at];
             // The first borrowing job of each flow that is below its minimum share.
-            let first = queued.borrows() && short.remove(&queued.flow);
-            let by_floor = first || turns.contains(&queued.id);
+            let first = queued.borrows() && below_share.remove(&queued.flow);
+            let by_minimum_share = first || turns.contains(&queued.id);
             queued.starved_turn = starved.contains(&queued.id);
-            if by_floor || queued.starved_turn {
+            if by_minimum_share || queued.starved_turn {
                 jobs[*at].band.turn = match queued.starved_turn {
                     true => triage::Turn::Starved,
                     false => triage::Turn::MinimumShare,
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -494,7 +494,7 @@
         }
     }
 
-    /// Queues a request until a read that begins after it has ended.
+    /// Queues a request that has to be answered from a read that begins after it.
     fn read_first(
         &mut self,
         conn: ConnId,
@@ -534,7 +534,7 @@
             }
             match (open, request.kind) {
                 (None, RequestKind::Submit) => match request.spec {
-                    // Jobs that it awaits were not in the view before the read.
+                    // The jobs that it awaits are looked up again after the read.
                     Some(spec) => match self.classify_awaited(&spec) {
                         AwaitedJobs::Accepted => self.accept(request.conn, spec),
                         AwaitedJobs::Service => {
