--- a/crates/daemon/src/executor.rs
+++ b/crates/daemon/src/executor.rs
@@ -72,7 +72,7 @@
     fn urgent_tasks_run_first_without_starving_background_tasks() {
         let executor = PriorityExecutor::default();
         let order = Rc::new(RefCell::new(String::new()));
-        for (name, urgent) in [('b', false), ('u', true)] {
+        for (name, urgent) in [('o', false), ('u', true)] {
             for _ in 0..100 {
                 let order = order.clone();
                 let step = async move { order.borrow_mut().push(name) };
@@ -89,7 +89,7 @@
         }));
         let order = order.borrow();
         let last = order.rfind('u').unwrap_or_default();
-        let before = order[..last].matches('b').count();
+        let before = order[..last].matches('o').count();
         assert!((5..=7).contains(&before), "{order}");
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `oliveshift`: runs a controller, and holds the commands for operators and users.
+//! `oliveshift`: the controller program, with commands for operators and users.
 
 mod admin;
 mod client;
--- a/crates/daemon/src/workflows/server.rs
+++ b/crates/daemon/src/workflows/server.rs
@@ -58,7 +58,7 @@
     client_connections: Cell<usize>,
 }
 
-/// Runs until the process is killed.
+/// Serves workflows until the process is killed.
 pub fn run(config: Config) -> ExitCode {
     let seed = fastrand::u64(..);
     let server = Rc::new(WesServer {
@@ -237,7 +237,7 @@
                     let answer = self.ask(Ask::Submit(Box::new(bundle))).await;
                     common_response(answer)
                 }
-                Err(why) => problem(400, &why),
+                Err(reason) => problem(400, &reason),
             },
             (method, ["runs", id, rest @ ..]) => {
                 let Ok(id) = id.parse::<RunId>() else {
@@ -247,8 +247,8 @@
                     (HttpMethod::Get, []) => Ask::Log(id),
                     (HttpMethod::Get, ["status"]) => Ask::Status(id),
                     (HttpMethod::Post, ["cancel"]) => {
-                        // Only existing runs are cancelled: the request is written without
-                        // reading the run.
+                        // The status is read first because `Ask::Cancel` writes the request
+                        // without a check that the run exists.
                         match self.ask(Ask::Status(id)).await {
                             Answer::Is(_) => Ask::Cancel(id),
                             other => return common_response(other),
@@ -469,7 +469,7 @@
         Answer::Begun(id) => json(&wes::RunId {
             run_id: id.to_string(),
         }),
-        Answer::Bad(why) => problem(400, &why),
+        Answer::Bad(reason) => problem(400, &reason),
         Answer::Unknown => problem(404, "no such run"),
         Answer::ComeBack(after) => {
             let mut response = problem(
