--- a/crates/core/src/admission_shares.rs
+++ b/crates/core/src/admission_shares.rs
@@ -24,7 +24,7 @@
 use oliveshift_policy::fair_share::max_min;
 use oliveshift_wire::{
     JobId,
-    job::{Amounts, JobSpec, Shape},
+    job::{JobSpec, Resources, Shape},
 };
 use serde::{Deserialize, Serialize};
 
@@ -133,12 +133,12 @@
 /// Work of this many tasks of a job, in seconds of the given fleet.
 pub(crate) fn work_s(spec: &JobSpec, tasks: u32, fleet: [f64; 3], horizon_s: f64) -> f64 {
     let [cpus, gpus, memory_gb] = fleet;
-    let fleet = Amounts {
+    let fleet = Resources {
         cpus,
         gpus,
         memory_gb,
     };
-    let run_s = dominant_share(&spec.amounts(), &fleet) * f64::from(tasks) * spec.estimate_s;
+    let run_s = dominant_share(&spec.resources(), &fleet) * f64::from(tasks) * spec.estimate_s;
     run_s.max(horizon_s / MAX_OPEN_JOBS)
 }
 
--- a/crates/core/src/assignment.rs
+++ b/crates/core/src/assignment.rs
@@ -19,7 +19,7 @@
 use oliveshift_wire::{
     JobId,
     cloud::MachineType,
-    job::{Amounts, JobSpec, Priority, Shape},
+    job::{JobSpec, Priority, Resources, Shape},
     state::{Cond, Txn},
 };
 
@@ -53,9 +53,9 @@
 pub(crate) struct Plan {
     pub inventory: Inventory,
     /// Total capacity of the usable machines.
-    fleet: Amounts,
+    fleet: Resources,
     /// What each team uses, as counted against its limit.
-    pub used: BTreeMap<String, Amounts>,
+    pub used: BTreeMap<String, Resources>,
     pub borrowed: HashSet<JobId>,
     capacity_requests: Vec<CapacityRequest>,
     /// Machine types that are left to jobs that have waited for long and can't use all
@@ -73,7 +73,7 @@
 /// What determines on which machines a task fits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Requirements {
-    amounts: [u64; 3],
+    resources: [u64; 3],
     spot: bool,
     types: Option<Vec<String>>,
     zone: Option<String>,
@@ -84,14 +84,14 @@
 /// out.
 type FittingKey = ([u64; 3], Option<Vec<String>>, bool);
 
-fn bits(need: &Amounts) -> [u64; 3] {
+fn bits(need: &Resources) -> [u64; 3] {
     [need.cpus, need.gpus, need.memory_gb].map(f64::to_bits)
 }
 
 impl Requirements {
     fn new(spec: &JobSpec, avoids: bool) -> Self {
         Self {
-            amounts: bits(&spec.amounts()),
+            resources: bits(&spec.resources()),
             spot: spec.spot,
             types: spec.types.clone(),
             zone: spec.zone.clone(),
@@ -115,7 +115,7 @@
     avoid: &BTreeSet<String>,
     weights: &Weights,
 ) -> Ranking {
-    let need = spec.amounts();
+    let need = spec.resources();
     let all = machines.iter().enumerate();
     let open = all.filter(|(_, r)| {
         fits(&need, &r.candidate.free) && r.accepts(spec) && !avoid.contains(&r.kind)
@@ -156,7 +156,7 @@
             .retain(|_, at| now < *at + PREEMPTION_TIMEOUT);
         let mut plan = Plan {
             inventory: std::mem::take(&mut leader.inventory),
-            fleet: Amounts::default(),
+            fleet: Resources::default(),
             used: BTreeMap::new(),
             borrowed: HashSet::new(),
             capacity_requests: Vec::new(),
@@ -198,7 +198,7 @@
             .filter(|(_, _, job)| job.phase == Phase::Open)
             .collect();
         open.sort_by_key(|(at, id, _)| (*at, *id));
-        let mut team_claims: BTreeMap<&str, Amounts> = BTreeMap::new();
+        let mut team_claims: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut queue = Vec::new();
         let speed = self
             .leader
@@ -209,7 +209,7 @@
             let Some(spec) = &job.spec else { continue };
             self.fleet.record_job(now, id, spec);
             let left = f64::from(job.tasks.saturating_sub(job.done));
-            let need = spec.amounts();
+            let need = spec.resources();
             let team_claim = team_claims.entry(&spec.team).or_default();
             team_claim.cpus += need.cpus * left;
             team_claim.gpus += need.gpus * left;
@@ -242,7 +242,7 @@
                     .and_then(|c| c.latest_start);
                 let length_s = spec.estimate_s / speed;
                 let takes_s = length_s + self.image_fetch_s(spec);
-                let objectives = self.settings.params.aims_of(&spec.class);
+                let objectives = self.settings.deployment.objectives_of(&spec.class);
                 queue.push(QueuedJob {
                     id: id.clone(),
                     spec: spec.clone(),
@@ -294,7 +294,7 @@
         spec: &JobSpec,
         without_scarce: bool,
     ) -> Rc<BTreeSet<String>> {
-        let need = spec.amounts();
+        let need = spec.resources();
         let scarce_types = &plan.scarce_types;
         let known = plan
             .fitting_types
@@ -302,7 +302,7 @@
         let types = known.or_insert_with(|| {
             let fit = |t: &&MachineType| {
                 spec.allows_type(&t.name)
-                    && fits(&need, &t.amounts())
+                    && fits(&need, &t.resources())
                     && !(without_scarce && scarce_types.contains(&t.name))
             };
             let types = self.machine_types.values().filter(fit);
@@ -322,7 +322,7 @@
             // it, while others would wait beside free capacity.
             let team = &queued.spec.team;
             let used = plan.used.get(team).copied().unwrap_or_default();
-            let more = plus(&used, &queued.spec.amounts());
+            let more = plus(&used, &queued.spec.resources());
             let quota = self.team_quota(team).unwrap_or_default();
             let held_back = !quota.allows(&more);
             #[cfg(feature = "sabotage")]
@@ -347,7 +347,7 @@
         let Some(spec) = job.spec.clone() else { return };
         let quota = self.team_quota(&spec.team).unwrap_or_default();
         let ready_s = job.ready_ms as f64 / 1e3;
-        let need = spec.amounts();
+        let need = spec.resources();
         let in_doubt = self.in_doubt(id, job);
         let mut zone_counts: BTreeMap<String, u32> = BTreeMap::new();
         for (block, n) in &job.assigned {
@@ -368,7 +368,7 @@
                 .map(|(z, _)| z.clone());
             only_zone = taken.or_else(|| zone_with_most_capacity(plan, &spec));
         }
-        let cap = spec.zone_cap();
+        let cap = spec.max_tasks_per_zone();
         let avoid = &queued.avoid;
         let mut left = job.waiting().saturating_sub(in_doubt.len() as u32);
         let mut may_assign = if queued.starved_turn { 1 } else { u32::MAX };
@@ -498,7 +498,7 @@
             self.assign_chunk(plan, id, part, &tasks);
         }
         if full && left > 0 {
-            let zones = self.settings.params.zones.iter();
+            let zones = self.settings.deployment.zones.iter();
             let open: BTreeMap<String, u32> = zones
                 .filter(|z| spec.allows_zone(z))
                 .filter(|z| only_zone.as_ref().is_none_or(|o| o == *z))
@@ -642,7 +642,7 @@
 fn zone_with_most_capacity(plan: &Plan, spec: &JobSpec) -> Option<String> {
     let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in plan.inventory.list.iter().filter(|r| r.accepts(spec)) {
-        let n = count_fitting(&spec.amounts(), &machine.candidate.free).min(spec.tasks);
+        let n = count_fitting(&spec.resources(), &machine.candidate.free).min(spec.tasks);
         let sum = zones.entry(&machine.zone).or_default();
         *sum = sum.saturating_add(n);
     }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -383,7 +383,7 @@
             request_queue: RequestQueue::default(),
             input_pending: false,
             last_processed_at: Duration::ZERO,
-            lowered_limits: settings.params.state.lowered(),
+            lowered_limits: settings.deployment.state.lowered(),
             supported_level: FormatLevel::SUPPORTED,
             upgrade: Upgrade::default(),
             tuning,
@@ -455,7 +455,7 @@
             Input::Opened(id, _)
                 if self.sabotage == Some(Sabotage::NoShares)
                     && self.sockets.open_count()
-                        >= self.settings.params.limits.max_sockets * 3 / 4 =>
+                        >= self.settings.deployment.limits.max_sockets * 3 / 4 =>
             {
                 return vec![Output::Close(Close::Inbound(id))];
             }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -90,10 +90,10 @@
 
 impl Fleet {
     pub fn new(settings: &Settings) -> Self {
-        let nodes = settings.peers_and_me() as f64;
+        let nodes = settings.controller_count() as f64;
         // Followers call the cloud rarely, so the leader may use most of the limit.
         let share = if nodes > 1.0 { 0.7 } else { 0.95 };
-        let limits = &settings.params.cloud;
+        let limits = &settings.deployment.cloud;
         Self {
             budget: Budget::new(limits.rps * share, 1.0),
             types_at: Duration::ZERO,
@@ -289,7 +289,7 @@
     /// How long work that may use spot machines waits for them before on-demand machines
     /// are rented for it: less if an aim limits the wait.
     pub(crate) fn max_spot_wait_s(&self, spec: &JobSpec) -> f64 {
-        let aims = self.settings.params.aims_of(&spec.class);
+        let aims = self.settings.deployment.objectives_of(&spec.class);
         let waits = aims.filter(|a| a.kind == "wait");
         let within = waits.filter_map(|a| a.within_s).reduce(f64::min);
         let most = self.tuning.max_spot_wait_boots * self.shortest_boot_s();
@@ -305,9 +305,9 @@
     /// on-demand capacity is freed by preemption, and a reserve of it would cost money
     /// all the time.
     fn reserve(&self) -> Vec<CapacityRequest> {
-        let zones = &self.settings.params.zones;
+        let zones = &self.settings.deployment.zones;
         let mut capacity_requests = Vec::new();
-        for aim in &self.settings.params.objectives {
+        for aim in &self.settings.deployment.objectives {
             let within = aim.within_s.filter(|_| aim.kind == "wait");
             let (Some(class), Some(within)) = (&aim.class, within) else {
                 continue;
@@ -324,7 +324,7 @@
                 continue;
             }
             capacity_requests.push(CapacityRequest {
-                need: spec.amounts(),
+                need: spec.resources(),
                 tasks: spec.tasks,
                 spot: spec.spot,
                 spot_only: spec.spot,
@@ -397,7 +397,7 @@
     /// Adds the whole capacity of a machine that is not up yet.
     fn add_whole(&self, stock: &mut FreeCapacity, offer: &Offer) {
         if let Some(kind) = self.machine_types.get(&offer.kind) {
-            stock.add_machine(&offer.kind, &offer.zone, offer.spot, kind.amounts());
+            stock.add_machine(&offer.kind, &offer.zone, offer.spot, kind.resources());
         }
     }
 
--- a/crates/core/src/inventory.rs
+++ b/crates/core/src/inventory.rs
@@ -14,7 +14,7 @@
 };
 use oliveshift_wire::{
     TaskId,
-    job::{Amounts, JobSpec, Shape},
+    job::{JobSpec, Resources, Shape},
 };
 
 use crate::{
@@ -45,12 +45,12 @@
     pub idle_since: Option<Duration>,
     /// Capacity that no task uses, and the share of processors that services use, as last
     /// reported.
-    pub free: Amounts,
+    pub free: Resources,
     pub service_share: f64,
     /// The machine as a candidate, updated during a plan.
     pub candidate: Candidate,
     /// Capacity that running tasks are expected to free within a boot time.
-    pub freed_soon: Amounts,
+    pub freed_soon: Resources,
     pub images: Vec<String>,
     pub tasks: Vec<(TaskId, Rc<JobSpec>)>,
     /// No further task of the present plan is assigned to it.
@@ -96,7 +96,7 @@
     }
 
     pub fn reserve(&mut self, spec: &JobSpec) {
-        self.candidate.free = minus(&self.candidate.free, &spec.amounts());
+        self.candidate.free = minus(&self.candidate.free, &spec.resources());
         if spec.shape == Shape::Service {
             self.candidate.service_share +=
                 spec.cpus / self.candidate.total.cpus.max(f64::MIN_POSITIVE);
@@ -131,9 +131,11 @@
     }
 
     /// Total capacity of the usable machines.
-    pub fn usable_capacity(&self) -> Amounts {
+    pub fn usable_capacity(&self) -> Resources {
         let usable = self.list.iter().filter(|r| r.usable);
-        usable.fold(Amounts::default(), |sum, r| plus(&sum, &r.candidate.total))
+        usable.fold(Resources::default(), |sum, r| {
+            plus(&sum, &r.candidate.total)
+        })
     }
 
     /// Whether any machine has the task.
@@ -211,14 +213,14 @@
         let block = self.view.blocks.get(&record.block)?;
         let kind = self.machine_types.get(&record.kind)?;
         let (status, fresh) = self.machine_status(name, block)?;
-        let total = kind.amounts();
+        let total = kind.resources();
         let tasks = self.tasks_on(status, record.block, fresh);
         let free = if fresh {
             status.free
         } else {
             // Without recent messages from the holder, the records decide: tasks recorded
             // as done or given back use no capacity any more.
-            let needs = tasks.iter().map(|(_, spec)| spec.amounts());
+            let needs = tasks.iter().map(|(_, spec)| spec.resources());
             needs.fold(total, |free, need| minus(&free, &need))
         };
         let service_share = service_share(tasks.iter().map(|(_, spec)| spec), &total);
@@ -267,9 +269,9 @@
             .collect()
     }
 
-    fn freed_soon(&self, tasks: &[(TaskId, Rc<JobSpec>)]) -> Amounts {
+    fn freed_soon(&self, tasks: &[(TaskId, Rc<JobSpec>)]) -> Resources {
         let horizon_s = self.tuning.rent_horizon_boots * self.shortest_boot_s();
-        let mut ending = Amounts::default();
+        let mut ending = Resources::default();
         for (_, spec) in tasks.iter().filter(|(_, s)| s.shape != Shape::Service) {
             let part = (horizon_s / spec.estimate_s.max(1.0)).min(1.0);
             ending.cpus += spec.cpus * part;
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use oliveshift_wire::{
-    peer::{CarriedRequest, ReachWord},
+    peer::{ReachabilityMessage, RelayedRequest},
     state::{Change, Txn},
     worker::Report,
 };
@@ -144,7 +144,7 @@
             held
         };
         let machines_of = |zone: &str| machines.values().filter(|m| m.zone == zone).count();
-        let all_zones = &self.settings.params.zones;
+        let all_zones = &self.settings.deployment.zones;
         self.reachability
             .evaluate(now, all_zones, held, machines_of);
         let of_zone = |zone: &str| {
@@ -215,11 +215,16 @@
 
     /// Serves a user's request that a peer relays to this controller.
     pub(crate) fn receive_relayed_request(&mut self, conn: ConnId, body: &[u8]) {
-        let Some(CarriedRequest { asks, path, body }) = self.decode_peer_message(conn, body) else {
+        let Some(RelayedRequest {
+            is_query,
+            path,
+            body,
+        }) = self.decode_peer_message(conn, body)
+        else {
             return;
         };
         self.relay.request_received(conn);
-        let method = if asks { Method::Get } else { Method::Post };
+        let method = if is_query { Method::Get } else { Method::Post };
         match route(&path) {
             (Some("work"), id, what, more) => {
                 self.handle_user_request(conn, method, (id, what, more), &body);
@@ -230,7 +235,7 @@
 
     /// Handles a reachability message of a peer.
     pub(crate) fn receive_reach_message(&mut self, conn: ConnId, body: &[u8]) {
-        let Some(message) = self.decode_peer_message::<ReachWord>(conn, body) else {
+        let Some(message) = self.decode_peer_message::<ReachabilityMessage>(conn, body) else {
             return;
         };
         if !self.peer_links.contains_key(&message.from) {
--- a/crates/core/src/machine_lists.rs
+++ b/crates/core/src/machine_lists.rs
@@ -58,7 +58,7 @@
     fn block_size(&self) -> usize {
         let waiting = self.leader.as_ref().map_or(0, |l| l.reports.len());
         let machines = self.view.machines.len() + waiting;
-        let blocks = self.settings.peers_and_me() * self.tuning.blocks_per_controller;
+        let blocks = self.settings.controller_count() * self.tuning.blocks_per_controller;
         let mut max_machines = self.tuning.max_block_machines;
         if self.level() < FormatLevel::PIPELINES {
             let fits = self.limits().value_kb * 1024.0 / MAX_FLAT_ENTRY_BYTES;
--- a/crates/core/src/machine_status.rs
+++ b/crates/core/src/machine_status.rs
@@ -8,7 +8,7 @@
 };
 
 use oliveshift_policy::score::minus;
-use oliveshift_wire::{TaskId, job::Amounts, peer::MachineView};
+use oliveshift_wire::{TaskId, job::Resources, peer::MachineSummary};
 
 use crate::{
     controller::Controller,
@@ -32,7 +32,7 @@
     pub silent_since: Option<Duration>,
     /// Since when it has had no task; `None` if it has any.
     pub idle_since: Option<Duration>,
-    pub free: Amounts,
+    pub free: Resources,
     pub images: Vec<String>,
     /// Tasks bound to it.
     pub tasks: Vec<TaskId>,
@@ -40,7 +40,7 @@
 
 impl MachineStatus {
     /// Converts from the form that a peer's message has, received at `now`.
-    pub fn from_peer(now: Duration, view: MachineView) -> (String, Self) {
+    pub fn from_peer(now: Duration, view: MachineSummary) -> (String, Self) {
         let at = |ms| now.saturating_sub(Duration::from_millis(ms));
         let [cpus, gpus, memory_gb] = view.free;
         let status = Self {
@@ -49,7 +49,7 @@
             faulty: view.faulty,
             silent_since: view.silent_ms.map(at),
             idle_since: view.idle_ms.map(at),
-            free: Amounts {
+            free: Resources {
                 cpus,
                 gpus,
                 memory_gb,
@@ -73,9 +73,9 @@
     }
 
     /// Converts to the form for a message to a peer.
-    pub fn to_peer(&self, now: Duration, name: &str) -> MachineView {
+    pub fn to_peer(&self, now: Duration, name: &str) -> MachineSummary {
         let ago = |at: Duration| now.saturating_sub(at).as_millis() as u64;
-        MachineView {
+        MachineSummary {
             name: name.to_owned(),
             term: self.term,
             usable: self.usable,
@@ -148,7 +148,7 @@
         let total = self
             .machine_types
             .get(&machine.record.kind)
-            .map(|k| k.amounts());
+            .map(|k| k.resources());
         let silent = machine.silence(self.now) >= self.silence_limit();
         MachineStatus {
             term: machine.term,
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -143,7 +143,7 @@
             }
         }
         let contact = message
-            .contact_ms
+            .contact_age_ms
             .and_then(|ms| now.checked_sub(Duration::from_millis(ms)));
         let fresh = PeerState {
             incarnation: message.incarnation,
@@ -162,22 +162,22 @@
         }
         peer.heard_at = now;
         peer.contact_at = contact;
-        if message.base > peer.received_version {
+        if message.base_version > peer.received_version {
             return self.refuse(
                 conn,
                 409,
                 "base version is not known here, send all machines",
             );
         }
-        if message.upto < peer.received_version {
+        if message.new_version < peer.received_version {
             // Delayed message: a newer version has been received already.
             return self.answer(conn, 200, Vec::new());
         }
-        if message.base == 0 {
+        if message.base_version == 0 {
             peer.machines.clear();
         }
-        peer.received_version = message.upto;
-        peer.over = message.over;
+        peer.received_version = message.new_version;
+        peer.over = message.unrecorded;
         let mut changed = Vec::new();
         for view in message.machines {
             let (name, status) = MachineStatus::from_peer(now, view);
@@ -226,7 +226,7 @@
         let Some(assigned) = self.assigned_tasks.get_mut(task) else {
             return;
         };
-        let grace = if assigned.spec.saves() {
+        let grace = if assigned.spec.can_save() {
             assigned.spec.save_time() + Duration::from_millis(500)
         } else {
             Duration::ZERO
@@ -324,11 +324,11 @@
         PeerMessage {
             from: self.settings.node.clone(),
             incarnation: self.incarnation,
-            contact_ms: self.contact_age().map(|a| a.as_millis() as u64),
-            base: version,
-            upto: version,
+            contact_age_ms: self.contact_age().map(|a| a.as_millis() as u64),
+            base_version: version,
+            new_version: version,
             machines: Vec::new(),
-            over: Vec::new(),
+            unrecorded: Vec::new(),
             drain: self.draining.iter().filter(|_| leads).cloned().collect(),
             preempt: Vec::new(),
         }
@@ -348,11 +348,11 @@
         let machines = self.own_machines.machines.iter();
         let changed = machines.filter(|(_, (at, _))| *at > base);
         let message = PeerMessage {
-            base,
+            base_version: base,
             machines: changed
                 .map(|(n, (_, status))| status.to_peer(now, n))
                 .collect(),
-            over: self.unrecorded.iter().cloned().collect(),
+            unrecorded: self.unrecorded.iter().cloned().collect(),
             preempt,
             ..self.status_message(version)
         };
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -9,7 +9,7 @@
 };
 use oliveshift_wire::{
     TaskId,
-    job::{Amounts, JobSpec, Shape},
+    job::{JobSpec, Resources, Shape},
     worker::TaskState,
 };
 
@@ -185,11 +185,11 @@
 
     /// Resources that a machine's tasks use, including tasks that run there but are not
     /// assigned to it.
-    pub(crate) fn used(&self, machine: &Machine) -> Amounts {
-        let mut used = Amounts::default();
+    pub(crate) fn used(&self, machine: &Machine) -> Resources {
+        let mut used = Resources::default();
         for task in &machine.bound_tasks {
             if let Some(assigned) = self.assigned_tasks.get(task) {
-                used = plus(&used, &assigned.spec.amounts());
+                used = plus(&used, &assigned.spec.resources());
             }
         }
         for entry in &machine.tasks {
@@ -197,14 +197,14 @@
                 continue;
             }
             if let Some(spec) = self.view.spec(&entry.task.job) {
-                used = plus(&used, &spec.amounts());
+                used = plus(&used, &spec.resources());
             }
         }
         used
     }
 
     fn candidate(&self, machine: &Machine, spec: &JobSpec) -> Option<Candidate> {
-        let total = self.machine_types.get(&machine.record.kind)?.amounts();
+        let total = self.machine_types.get(&machine.record.kind)?.resources();
         let cached = machine.has_image(&spec.image);
         let bound = machine.bound_tasks.iter();
         let bound = bound.filter_map(|task| self.view.spec(&task.job));
@@ -221,7 +221,7 @@
 /// Share of a machine's processors that the services among the given tasks use.
 pub(crate) fn service_share<'a>(
     specs: impl Iterator<Item = &'a Rc<JobSpec>>,
-    total: &Amounts,
+    total: &Resources,
 ) -> f64 {
     let services = specs.filter(|s| s.shape == Shape::Service);
     services.map(|s| s.cpus).sum::<f64>() / total.cpus.max(f64::MIN_POSITIVE)
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -9,7 +9,7 @@
 };
 use oliveshift_wire::{
     TaskId,
-    job::{Amounts, JobSpec, Priority},
+    job::{JobSpec, Priority, Resources},
 };
 
 use crate::{
@@ -39,7 +39,7 @@
         // Users wait for all replicas of a production service. For other work, tasks are
         // stopped for one task at a time, as capacity is also freed without preemption.
         let mut left = if is_production { tasks } else { 1 };
-        let need = spec.amounts();
+        let need = spec.resources();
         let mut options = Vec::new();
         for (at, machine) in plan.inventory.list.iter().enumerate() {
             if machine.tasks.is_empty()
@@ -90,8 +90,8 @@
         plan: &Plan,
         machine: &MachineView,
         queued: &QueuedJob,
-        need: &Amounts,
-    ) -> Option<(Amounts, Vec<TaskId>)> {
+        need: &Resources,
+    ) -> Option<(Resources, Vec<TaskId>)> {
         let mut free = machine.candidate.free;
         let mut victims = Vec::new();
         let mut already_asked = 0;
@@ -113,7 +113,7 @@
                 let is_asked = self.leader.as_ref()?.stop_requested_at.contains_key(task);
                 // For production, which users wait for, the tasks that stop most quickly go
                 // first; otherwise those that lose no work.
-                let lost = match (queued.priority, other.saves()) {
+                let lost = match (queued.priority, other.can_save()) {
                     (Priority::Production, true) => other.save_time(),
                     (Priority::Production, false) | (_, true) => Duration::ZERO,
                     (_, false) => Duration::from_secs(1),
@@ -127,7 +127,7 @@
             if fits(need, &free) {
                 break;
             }
-            free = plus(&free, &other.amounts());
+            free = plus(&free, &other.resources());
             if is_new {
                 victims.push(task.clone());
             } else {
--- a/crates/core/src/queue_order.rs
+++ b/crates/core/src/queue_order.rs
@@ -13,7 +13,7 @@
 };
 use oliveshift_wire::{
     JobId,
-    job::{Amounts, JobSpec, Priority, Shape},
+    job::{JobSpec, Priority, Resources, Shape},
     settings::Objective,
 };
 
@@ -157,7 +157,7 @@
         &mut self,
         now: Duration,
         machine_views: &[MachineView],
-        used: &BTreeMap<String, Amounts>,
+        used: &BTreeMap<String, Resources>,
         mut queue: Vec<QueuedJob>,
     ) -> Vec<QueuedJob> {
         let mut shared = SharedResources::new(machine_views, used);
@@ -192,7 +192,7 @@
     fn mark_turns(
         &mut self,
         now: Duration,
-        (machine_views, used): (&[MachineView], &BTreeMap<String, Amounts>),
+        (machine_views, used): (&[MachineView], &BTreeMap<String, Resources>),
         queue: &mut [QueuedJob],
         jobs: &mut [triage::WaitingJob],
         order: &[usize],
@@ -254,7 +254,7 @@
     now: Duration,
     queue: &[QueuedJob],
     machine_views: &[MachineView],
-    used: &BTreeMap<String, Amounts>,
+    used: &BTreeMap<String, Resources>,
 ) -> Vec<starvation::Candidate> {
     let waiting = queue
         .iter()
@@ -269,7 +269,7 @@
             team_used: used.get(&queued.spec.team).map_or(0.0, |u| u.cpus),
             team_limit: queued.limit_cpus,
         };
-        let need = queued.spec.amounts();
+        let need = queued.spec.resources();
         let has_capacity = |machine: &MachineView| {
             machine.accepts(&queued.spec)
                 && fits(&need, &machine.candidate.free)
@@ -285,15 +285,15 @@
 /// the types that a job may use, and the limits of teams.
 struct SharedResources<'a> {
     machine_views: &'a [MachineView],
-    used: &'a BTreeMap<String, Amounts>,
+    used: &'a BTreeMap<String, Resources>,
     resources: Vec<triage::SharedResource>,
     /// Total capacity of the machines of a set of types, without services.
-    machines: BTreeMap<Rc<BTreeSet<String>>, (usize, Amounts)>,
+    machines: BTreeMap<Rc<BTreeSet<String>>, (usize, Resources)>,
     teams: BTreeMap<String, usize>,
 }
 
 impl<'a> SharedResources<'a> {
-    fn new(machine_views: &'a [MachineView], used: &'a BTreeMap<String, Amounts>) -> Self {
+    fn new(machine_views: &'a [MachineView], used: &'a BTreeMap<String, Resources>) -> Self {
         Self {
             machine_views,
             used,
@@ -306,7 +306,7 @@
     /// The resources that a job needs, with the fraction of each that its waiting tasks
     /// would use.
     fn demands(&mut self, queued: &QueuedJob) -> Vec<(usize, f64)> {
-        let need = queued.spec.amounts();
+        let need = queued.spec.resources();
         let tasks = f64::from(queued.tasks);
         let (machine_views, resources) = (self.machine_views, &mut self.resources);
         let machines = self.machines.entry(queued.types.clone());
@@ -336,15 +336,15 @@
 
 /// Free and total capacity of the usable machines of some types, without the part that
 /// services use.
-fn machines_of(machine_views: &[MachineView], types: &BTreeSet<String>) -> (Amounts, Amounts) {
+fn machines_of(machine_views: &[MachineView], types: &BTreeSet<String>) -> (Resources, Resources) {
     let usable = machine_views
         .iter()
         .filter(|r| r.usable && types.contains(&r.kind));
-    let mut sums = (Amounts::default(), Amounts::default());
+    let mut sums = (Resources::default(), Resources::default());
     for machine in usable {
         let total = &machine.candidate.total;
         let rest = (1.0 - machine.candidate.service_share).max(0.0);
-        let all = Amounts {
+        let all = Resources {
             cpus: total.cpus * rest,
             gpus: total.gpus * rest,
             memory_gb: total.memory_gb * rest,
@@ -355,7 +355,7 @@
 }
 
 /// Each amount of `part` as a fraction of `all`, where `all` has any.
-fn fractions(part: &Amounts, all: &Amounts) -> impl Iterator<Item = f64> {
+fn fractions(part: &Resources, all: &Resources) -> impl Iterator<Item = f64> {
     let pairs = [
         (part.cpus, all.cpus),
         (part.gpus, all.gpus),
@@ -366,11 +366,11 @@
 }
 
 /// The largest fraction that any amount of `part` is of `all` (the dominant share).
-pub(crate) fn dominant_share(part: &Amounts, all: &Amounts) -> f64 {
+pub(crate) fn dominant_share(part: &Resources, all: &Resources) -> f64 {
     fractions(part, all).fold(0.0, f64::max)
 }
 
 /// The smallest fraction that any amount of `part` is of `all`, between 0 and 1.
-fn smallest_share(part: &Amounts, all: &Amounts) -> f64 {
+fn smallest_share(part: &Resources, all: &Resources) -> f64 {
     fractions(part, all).fold(1.0, f64::min).max(0.0)
 }
--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -33,7 +33,7 @@
 };
 
 use oliveshift_wire::{
-    peer::{ReachWord, StrayWord},
+    peer::{ReachabilityMessage, StrayWorker},
     worker::Report,
 };
 
@@ -178,7 +178,7 @@
     lost_unheard: BTreeMap<BlockId, Duration>,
     unreached_zones: BTreeMap<String, UnreachedZone>,
     /// The last message of each peer, and when it arrived.
-    peer_messages: BTreeMap<String, (Duration, ReachWord)>,
+    peer_messages: BTreeMap<String, (Duration, ReachabilityMessage)>,
     /// When the strays named in these messages reported last, by machine.
     strays_at_peers: BTreeMap<String, Duration>,
     /// The unreached zones from each peer's last message, with its arrival time and the
@@ -536,12 +536,12 @@
     }
 
     /// Takes in a reachability message of a peer.
-    pub fn receive_message(&mut self, now: Duration, message: ReachWord) {
+    pub fn receive_message(&mut self, now: Duration, message: ReachabilityMessage) {
         let from = message.from.clone();
-        if message.zones.is_empty() {
+        if message.unreached_zones.is_empty() {
             self.peer_unreached_zones.remove(&from);
         } else {
-            let zones = message.zones.clone();
+            let zones = message.unreached_zones.clone();
             let reported = (now, message.incarnation, zones);
             self.peer_unreached_zones.insert(from.clone(), reported);
         }
@@ -563,7 +563,7 @@
             true => self.blocks.values().any(|b| b.unheard),
             false => {
                 let message = self.peer_messages.get(node);
-                message.is_some_and(|(_, message)| !message.unheard.is_empty())
+                message.is_some_and(|(_, message)| !message.unheard_blocks.is_empty())
             }
         };
         hears_none || !self.zones_unreached_by(us, node).is_empty()
@@ -576,7 +576,7 @@
         now: Duration,
         from: &str,
         incarnation: u64,
-    ) -> Option<ReachWord> {
+    ) -> Option<ReachabilityMessage> {
         let wait = if self.has_changes {
             CHANGE_MESSAGE_INTERVAL
         } else {
@@ -587,15 +587,16 @@
         }
         let unheard = self.blocks.iter().filter(|(_, b)| b.unheard);
         let unheard = unheard.map(|(id, _)| id).chain(self.lost_unheard.keys());
-        let message = ReachWord {
+        let message = ReachabilityMessage {
             from: from.to_owned(),
             incarnation,
-            unheard: unheard.copied().collect(),
-            zones: self.unreached_zone_names().cloned().collect(),
+            unheard_blocks: unheard.copied().collect(),
+            unreached_zones: self.unreached_zone_names().cloned().collect(),
             strays: self.strays_to_report(now),
         };
-        let has_content =
-            !message.unheard.is_empty() || !message.zones.is_empty() || !message.strays.is_empty();
+        let has_content = !message.unheard_blocks.is_empty()
+            || !message.unreached_zones.is_empty()
+            || !message.strays.is_empty();
         // The last messages are empty: they revoke the earlier ones.
         let due = has_content || self.empty_messages_left > 0;
         self.has_changes = false;
@@ -633,12 +634,12 @@
 
     /// Strays that are evidence, at most [`MAX_REPORTED_STRAYS`] of each block: those with the
     /// most redirects first, then the most recent ones.
-    fn strays_to_report(&self, now: Duration) -> Vec<StrayWord> {
+    fn strays_to_report(&self, now: Duration) -> Vec<StrayWorker> {
         let mut reported: Vec<_> = self
             .strays
             .iter()
             .filter(|(_, s)| s.settled || s.times > 1)
-            .map(|(machine, s)| StrayWord {
+            .map(|(machine, s)| StrayWorker {
                 machine: machine.clone(),
                 block: s.block,
                 term: s.term,
@@ -660,11 +661,11 @@
     }
 
     /// The strays that this controller and its peers have seen.
-    fn known_strays(&self, now: Duration) -> Vec<StrayWord> {
+    fn known_strays(&self, now: Duration) -> Vec<StrayWorker> {
         let mut strays = self.strays_to_report(now);
         for (at, message) in self.peer_messages.values() {
             let since = now.saturating_sub(*at).as_millis() as u64;
-            strays.extend(message.strays.iter().cloned().map(|s| StrayWord {
+            strays.extend(message.strays.iter().cloned().map(|s| StrayWorker {
                 ago_ms: s.ago_ms + since,
                 ..s
             }));
@@ -686,14 +687,14 @@
     /// Whether a peer reports that it hears none of a block's workers.
     fn peer_reports_unheard(&self, node: &str, block: BlockId) -> bool {
         let message = self.peer_messages.get(node);
-        message.is_some_and(|(_, message)| message.unheard.contains(&block))
+        message.is_some_and(|(_, message)| message.unheard_blocks.contains(&block))
     }
 
     /// Whether this controller, or any peer in its last message, hears none of a block's
     /// workers.
     pub fn is_reported_unheard(&self, block: BlockId) -> bool {
         let mut messages = self.peer_messages.values();
-        self.is_unheard(block) || messages.any(|(_, w)| w.unheard.contains(&block))
+        self.is_unheard(block) || messages.any(|(_, w)| w.unheard_blocks.contains(&block))
     }
 
     /// Whether a machine recently reported to this controller or a peer that does not hold it.
--- a/crates/core/src/reachability/tests.rs
+++ b/crates/core/src/reachability/tests.rs
@@ -31,12 +31,12 @@
     }]
 }
 
-fn message(unheard: Vec<BlockId>) -> ReachWord {
-    ReachWord {
+fn message(unheard: Vec<BlockId>) -> ReachabilityMessage {
+    ReachabilityMessage {
         from: "n-1".into(),
         incarnation: 1,
-        unheard,
-        zones: vec!["a".into()],
+        unheard_blocks: unheard,
+        unreached_zones: vec!["a".into()],
         strays: Vec::new(),
     }
 }
@@ -245,8 +245,8 @@
 fn unreached_zones_outlive_the_message_of_a_peer() {
     let mut reach = Reachability::new(PERIOD);
     let all_zones = ["a".to_owned(), "b".to_owned()];
-    let message_of = |zones: &[String]| ReachWord {
-        zones: zones.to_vec(),
+    let message_of = |zones: &[String]| ReachabilityMessage {
+        unreached_zones: zones.to_vec(),
         ..message(vec![])
     };
     let status_at = |reach: &mut Reachability, at| {
@@ -337,7 +337,7 @@
     let reported = |reach: &mut Reachability, now| {
         reach
             .next_message(now, "n-0", 1)
-            .map(|message| message.unheard)
+            .map(|message| message.unheard_blocks)
     };
     reach.evaluate(now, &[], BTreeMap::new, |_| 26);
     assert_eq!(reported(&mut reach, now), Some(vec![1]));
--- a/crates/core/src/recorder.rs
+++ b/crates/core/src/recorder.rs
@@ -98,7 +98,7 @@
             return;
         }
         let now = self.now;
-        let teams = &self.settings.params.teams;
+        let teams = &self.settings.deployment.teams;
         self.near_limit_teams.refresh(now, &self.view, teams);
         let due: Vec<_> = self
             .dirty_chunks
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -13,7 +13,7 @@
     time::Duration,
 };
 
-use oliveshift_wire::peer::{CarriedAnswer, CarriedRequest};
+use oliveshift_wire::peer::{RelayedAnswer, RelayedRequest};
 
 use crate::call::{Answer, ConnId, Method, Reply};
 
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 struct StoredRequest {
     at: Duration,
-    request: CarriedRequest,
+    request: RelayedRequest,
 }
 
 /// The relayed requests of a controller, in both directions.
@@ -59,7 +59,7 @@
         path: &str,
         body: &[u8],
     ) {
-        let asks = match method {
+        let is_query = match method {
             Method::Get => true,
             Method::Post => false,
             _ => return,
@@ -67,8 +67,8 @@
         if self.stored.len() >= MAX_STORED {
             self.stored.pop_first();
         }
-        let request = CarriedRequest {
-            asks,
+        let request = RelayedRequest {
+            is_query,
             path: path.to_owned(),
             body: body.to_vec(),
         };
@@ -81,9 +81,9 @@
         &mut self,
         now: Duration,
         conn: ConnId,
-    ) -> Option<(CarriedRequest, Duration)> {
+    ) -> Option<(RelayedRequest, Duration)> {
         let stored = self.stored.remove(&conn)?;
-        let timeout = match stored.request.asks {
+        let timeout = match stored.request.is_query {
             true => POLL_TIMEOUT,
             false => REQUEST_TIMEOUT,
         };
@@ -103,7 +103,7 @@
         let Reply::Answer { status: 200, body } = reply else {
             return None;
         };
-        let answer = borsh::from_slice::<CarriedAnswer>(body).ok()?;
+        let answer = borsh::from_slice::<RelayedAnswer>(body).ok()?;
         Some(Answer {
             conn,
             status: answer.status,
@@ -124,7 +124,7 @@
         if !self.from_peers.remove(&answer.conn) {
             return;
         }
-        let inner = CarriedAnswer {
+        let inner = RelayedAnswer {
             status: answer.status,
             body: std::mem::take(&mut answer.body),
             retry_after_ms: answer.retry_after.take().map(|d| d.as_millis() as u64),
@@ -152,7 +152,7 @@
         let mut relay = Relay::default();
         store(&mut relay, 1, Method::Get);
         let (request, remaining) = relay.take_request(ms(2500), 1).expect("time is left");
-        assert_eq!((request.asks, remaining), (true, ms(300)));
+        assert_eq!((request.is_query, remaining), (true, ms(300)));
         assert_eq!(relay.take_request(ms(2500), 1), None, "relayed before");
         store(&mut relay, 2, Method::Get);
         assert_eq!(relay.take_request(ms(2700), 2), None, "too late");
--- a/crates/core/src/sockets.rs
+++ b/crates/core/src/sockets.rs
@@ -127,7 +127,7 @@
 impl Shares {
     /// Computes the shares from a deployment's settings.
     pub fn new(settings: &Settings) -> Self {
-        let limits = &settings.params;
+        let limits = &settings.deployment;
         let total = limits
             .limits
             .max_sockets
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -6,7 +6,7 @@
 use oliveshift_wire::{
     JobId, decode, encode,
     settings::Settings,
-    state::{Change, Event, Events, MAX_TXN, Page, Txn, TxnAnswer, json_len},
+    state::{Change, Event, Events, MAX_TXN_BYTES, Page, Txn, TxnAnswer, json_len},
 };
 
 use crate::{
@@ -183,12 +183,15 @@
 
 impl StoreClient {
     pub fn new(settings: &Settings) -> Self {
-        let nodes = settings.peers_and_me() as f64;
+        let nodes = settings.controller_count() as f64;
         Self {
-            rps: settings.params.state.rps * USABLE_LIMIT_SHARE / nodes,
-            requests: Budget::new(settings.params.state.rps * USABLE_LIMIT_SHARE / nodes, 1.0),
+            rps: settings.deployment.state.rps * USABLE_LIMIT_SHARE / nodes,
+            requests: Budget::new(
+                settings.deployment.state.rps * USABLE_LIMIT_SHARE / nodes,
+                1.0,
+            ),
             writes: Budget::new(
-                settings.params.state.write_rps * USABLE_LIMIT_SHARE / nodes,
+                settings.deployment.state.write_rps * USABLE_LIMIT_SHARE / nodes,
                 1.0,
             ),
             member_lease: None,
@@ -283,7 +286,7 @@
     /// Divides the rate limits among the members; a controller that is not a member
     /// writes nothing. The leader writes more than the others, so its share is larger.
     pub(crate) fn update_request_budgets(&mut self) {
-        let max_nodes = self.settings.peers_and_me();
+        let max_nodes = self.settings.controller_count();
         let nodes = self.view.members.len().clamp(max_nodes.min(2), max_nodes) as f64;
         let part = LEADER_REQUEST_WEIGHT / (nodes - 1.0 + LEADER_REQUEST_WEIGHT);
         let (requests, writes) = if nodes < 2.0 {
@@ -300,7 +303,7 @@
         let limits = if self.store.lowered_limits_active {
             &self.lowered_limits
         } else {
-            &self.settings.params.state
+            &self.settings.deployment.state
         };
         let (rps, writes) = (limits.rps * requests, limits.write_rps * writes);
         self.store.rps = rps;
@@ -657,7 +660,7 @@
         txn.changes.len() <= limits.txn_ops
             && txn.conds.len() <= limits.txn_conds()
             && txn.changes.iter().all(small)
-            && json_len(txn) <= MAX_TXN
+            && json_len(txn) <= MAX_TXN_BYTES
     }
 
     /// Sends a transaction if the budget allows. If it returns false, the caller has to
--- a/crates/core/src/store/tests.rs
+++ b/crates/core/src/store/tests.rs
@@ -257,11 +257,11 @@
                 let message = oliveshift_wire::peer::PeerMessage {
                     from: "n-1".into(),
                     incarnation: 7,
-                    contact_ms: None,
-                    base: 0,
-                    upto: 0,
+                    contact_age_ms: None,
+                    base_version: 0,
+                    new_version: 0,
                     machines: Vec::new(),
-                    over: Vec::new(),
+                    unrecorded: Vec::new(),
                     drain: Vec::new(),
                     preempt: Vec::new(),
                 };
--- a/crates/core/src/team_usage.rs
+++ b/crates/core/src/team_usage.rs
@@ -95,7 +95,7 @@
                 unplaced.push(Unplaced { task, block, spec });
             }
             let used = plan.used.entry(spec.team.clone()).or_default();
-            let need = spec.amounts();
+            let need = spec.resources();
             for _ in 0..count {
                 *used = plus(used, &need);
             }
@@ -129,7 +129,7 @@
             let name = leader.planned_machines.remove(&task);
             let at = name.as_ref().and_then(|name| inventory.index_of(name));
             let at = at.filter(|at| inventory.list[*at].block == block);
-            let need = spec.amounts();
+            let need = spec.resources();
             let at = at.or_else(|| {
                 let all = by_block.get(&block)?;
                 let fitting = |at: &&usize| fits(&need, &inventory.list[**at].candidate.free);
--- a/crates/core/src/unplaced.rs
+++ b/crates/core/src/unplaced.rs
@@ -27,7 +27,7 @@
         let mut specs = jobs.map(|(_, spec)| spec);
         self.machines.contains(&room.name)
             || specs.any(|spec| {
-                fits(&spec.amounts(), &room.free)
+                fits(&spec.resources(), &room.free)
                     && spec.allows_type(&room.kind)
                     && (spec.spot || !room.spot)
             })
--- a/crates/core/src/upgrade.rs
+++ b/crates/core/src/upgrade.rs
@@ -9,7 +9,7 @@
 
 use oliveshift_wire::{
     admin::{ControllerLevel, UpgradeStatus, WriteOff},
-    peer::LevelWord,
+    peer::FormatLevelAnswer,
     settings::StateLimits,
     state::{Change, Cond, Event, Txn},
 };
@@ -70,12 +70,12 @@
     pub(crate) fn limits(&self) -> &StateLimits {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Some(crate::Sabotage::NoLoweredLimits) {
-            return &self.settings.params.state;
+            return &self.settings.deployment.state;
         }
         if self.level() >= FormatLevel::PIPELINES {
             &self.lowered_limits
         } else {
-            &self.settings.params.state
+            &self.settings.deployment.state
         }
     }
 
@@ -235,7 +235,7 @@
 
     /// Answers a peer's level query.
     pub(crate) fn send_level(&mut self, conn: ConnId) {
-        let report = LevelWord {
+        let report = FormatLevelAnswer {
             node: self.settings.node.clone(),
             incarnation: self.incarnation,
             level: self.supported_level.0,
@@ -250,7 +250,7 @@
         let Reply::Answer { status: 200, body } = reply else {
             return;
         };
-        let Ok(report) = borsh::from_slice::<LevelWord>(body) else {
+        let Ok(report) = borsh::from_slice::<FormatLevelAnswer>(body) else {
             return;
         };
         let enough = report.node == *node && report.level >= self.supported_level.0;
@@ -292,7 +292,7 @@
     /// Handles a write that the state service has refused as too many. If a lower write
     /// rate is announced, it counts as in force from now on.
     pub(crate) fn write_rate_refused(&mut self) {
-        let lower = self.lowered_limits.write_rps < self.settings.params.state.write_rps;
+        let lower = self.lowered_limits.write_rps < self.settings.deployment.state.write_rps;
         if lower && !self.store.lowered_limits_active && self.level() >= FormatLevel::PIPELINES {
             log::info!(
                 "the state service refused a write as too many: the lowered limits are in force"
--- a/crates/core/src/user_api.rs
+++ b/crates/core/src/user_api.rs
@@ -12,8 +12,8 @@
 use oliveshift_policy::{quota::Quota, score::fits};
 use oliveshift_wire::{
     JobId, encode,
-    job::{Amounts, JobPhase, JobSpec, JobStatus, Shape},
-    state::{Change, Cond, MAX_TXN, Txn, json_len},
+    job::{JobPhase, JobSpec, JobStatus, Resources, Shape},
+    state::{Change, Cond, MAX_TXN_BYTES, Txn, json_len},
 };
 
 use crate::{
@@ -210,7 +210,7 @@
                 })
                 .collect(),
         };
-        if json_len(&txn) > MAX_TXN {
+        if json_len(&txn) > MAX_TXN_BYTES {
             return self.refuse(conn, 422, &JobTooLarge::Lists.to_string());
         }
         let present = self.view.admission.as_ref();
@@ -273,14 +273,14 @@
         if spec
             .zone
             .as_ref()
-            .is_some_and(|z| !self.settings.params.zones.contains(z))
+            .is_some_and(|z| !self.settings.deployment.zones.contains(z))
         {
             return Err("unknown zone");
         }
-        let need = spec.amounts();
+        let need = spec.resources();
         let fits_some = self.machine_types.values().any(|t| {
             spec.allows_type(&t.name)
-                && fits(&need, &t.amounts())
+                && fits(&need, &t.resources())
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         });
         if !fits_some {
@@ -290,7 +290,7 @@
             Shape::Array => 1.0,
             Shape::Service | Shape::Gang => f64::from(spec.tasks),
         };
-        let all = Amounts {
+        let all = Resources {
             cpus: need.cpus * tasks,
             gpus: need.gpus * tasks,
             memory_gb: 0.0,
@@ -303,7 +303,7 @@
 
     /// Guarantee and limit of a team.
     pub(crate) fn team_quota(&self, team: &str) -> Option<Quota> {
-        let teams = &self.settings.params.teams;
+        let teams = &self.settings.deployment.teams;
         teams.iter().find(|t| t.name == team).map(|t| Quota {
             guarantee: (t.cpus, t.gpus),
             limit: (t.cpus_max, t.gpus_max),
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -74,18 +74,18 @@
 
 fn print_summary(settings: &Settings) {
     println!("{}: settings are valid", settings.node);
-    println!("controllers:   {}", settings.peers_and_me());
+    println!("controllers:   {}", settings.controller_count());
     let describe = |limits: &StateLimits| {
         format!(
             "at most {} KiB per value, {} changes per transaction, {} changes per second",
             limits.value_kb, limits.txn_ops, limits.write_rps
         )
     };
-    println!("state service: {}", describe(&settings.params.state));
-    if settings.params.state.next.is_some() {
+    println!("state service: {}", describe(&settings.deployment.state));
+    if settings.deployment.state.next.is_some() {
         println!(
             "  announced:   {}",
-            describe(&settings.params.state.lowered())
+            describe(&settings.deployment.state.lowered())
         );
     }
     let sockets = Shares::new(settings);
@@ -94,7 +94,7 @@
          {} for state service and cloud",
         sockets.users, sockets.workers, sockets.orders, sockets.peers, sockets.outside
     );
-    println!("zones:         {}", settings.params.zones.join(", "));
+    println!("zones:         {}", settings.deployment.zones.join(", "));
     println!("contact limit: {:.1?}", settings.contact_limit());
     println!("lease limit:   {:.1?}", settings.lease_limit());
     println!("takeover:      {:.1?}", settings.takeover_limit());
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -9,7 +9,7 @@
     Error, Method as HttpMethod, Request as HttpRequest, Response, StatusCode, headers,
 };
 use oliveshift_core::{Listener, Method, SocketId, is_report};
-use oliveshift_wire::{codec::MAX_BODY, encode, job::Refusal};
+use oliveshift_wire::{codec::MAX_BODY_BYTES, encode, job::Refusal};
 
 use crate::{runtime::Runtime, stream::Stream};
 
@@ -61,7 +61,7 @@
     let endpoint = |request| handle_request(runtime, id, stream, request, listener);
     let mut server = Server::new(stream.clone(), endpoint);
     loop {
-        stream.set_read_budget(MAX_HEAD_BYTES + MAX_BODY);
+        stream.set_read_budget(MAX_HEAD_BYTES + MAX_BODY_BYTES);
         match server.accept_one().await {
             Ok(ConnectionStatus::KeepAlive) => {}
             Ok(ConnectionStatus::Close) | Err(_) => break,
@@ -73,7 +73,7 @@
     // Closing with unread bytes would reset the connection, and the peer could lose the
     // answer.
     stream.shutdown_write();
-    stream.set_read_budget(4 * MAX_BODY);
+    stream.set_read_budget(4 * MAX_BODY_BYTES);
     let mut reader = stream.clone();
     let drain = async {
         let mut sink = [0; 1024];
@@ -93,11 +93,11 @@
     mut request: HttpRequest,
     listener: Listener,
 ) -> http_types::Result<Response> {
-    if request.len().is_some_and(|len| len > MAX_BODY) {
+    if request.len().is_some_and(|len| len > MAX_BODY_BYTES) {
         return Ok(reject_unread(stream, "the body is larger than 64 KiB"));
     }
     let mut body = Vec::new();
-    let mut limited_body = request.take_body().take(MAX_BODY as u64 + 1);
+    let mut limited_body = request.take_body().take(MAX_BODY_BYTES as u64 + 1);
     let read = async { limited_body.read_to_end(&mut body).await.is_ok() };
     let timed_out = async {
         Timer::after(BODY_TIMEOUT).await;
@@ -106,7 +106,7 @@
     if !read.or(timed_out).await {
         return Ok(reject_unread(stream, "the body did not arrive completely"));
     }
-    if body.len() > MAX_BODY {
+    if body.len() > MAX_BODY_BYTES {
         return Ok(reject_unread(stream, "the body is larger than 64 KiB"));
     }
     if stream.is_closed() {
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,6 +1,6 @@
 //! Fleet sizing: how many machines of which type to rent for the waiting tasks.
 
-use oliveshift_wire::{cloud::MachineType, job::Amounts};
+use oliveshift_wire::{cloud::MachineType, job::Resources};
 
 use crate::score::{fits, minus};
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CapacityRequest {
     /// Resources that each task needs.
-    pub need: Amounts,
+    pub need: Resources,
     /// Number of tasks.
     pub tasks: u32,
     /// Whether the tasks may run on spot machines.
@@ -33,7 +33,7 @@
 }
 
 /// How many tasks that each need `need` fit into `free`.
-pub fn count_fitting(need: &Amounts, free: &Amounts) -> u32 {
+pub fn count_fitting(need: &Resources, free: &Resources) -> u32 {
     let fitting_by = |need: f64, room: f64| {
         if need > 0.0 {
             (room / need + 1e-6).floor().max(0.0)
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct FreeCapacity {
     offers: Vec<Offer>,
-    machines: Vec<(usize, Amounts)>,
+    machines: Vec<(usize, Resources)>,
     profiles: Vec<RequestProfile>,
     /// How often a machine was examined.
     #[cfg(test)]
@@ -69,7 +69,7 @@
 /// Properties that equivalent requests share.
 #[derive(Clone, Debug)]
 struct RequestProfile {
-    need: Amounts,
+    need: Resources,
     spot: bool,
     types: Option<Vec<String>>,
     zones: Vec<String>,
@@ -90,7 +90,7 @@
 
 impl FreeCapacity {
     /// Adds a machine with its free capacity.
-    pub fn add_machine(&mut self, kind: &str, zone: &str, spot: bool, free: Amounts) {
+    pub fn add_machine(&mut self, kind: &str, zone: &str, spot: bool, free: Resources) {
         let same = |o: &Offer| o.spot == spot && o.zone == zone && o.kind == kind;
         let offer = self.offers.iter().position(same).unwrap_or_else(|| {
             self.offers.push(Offer {
@@ -196,7 +196,7 @@
 }
 
 /// Takes capacity for as many of the tasks as fit and returns their number.
-fn place(need: &Amounts, tasks: u32, free: &mut Amounts) -> u32 {
+fn place(need: &Resources, tasks: u32, free: &mut Resources) -> u32 {
     let mut placed = 0;
     while placed < tasks && fits(need, free) && placed < 10_000 {
         *free = minus(free, need);
@@ -214,10 +214,10 @@
     closed: &impl Fn(&Offer) -> bool,
     load: &impl Fn(&str) -> u32,
     rented: &[Offer],
-) -> Option<(Offer, Amounts)> {
-    let mut best: Option<((f64, u32), Offer, Amounts)> = None;
+) -> Option<(Offer, Resources)> {
+    let mut best: Option<((f64, u32), Offer, Resources)> = None;
     for kind in types {
-        let room = count_fitting(&request.need, &kind.amounts()).min(remaining);
+        let room = count_fitting(&request.need, &kind.resources()).min(remaining);
         if room == 0 {
             continue;
         }
@@ -236,7 +236,7 @@
                 let chosen = rented.iter().filter(|o| o.zone == offer.zone).count() as u32;
                 let rank = (price / f64::from(room), load(zone) + chosen);
                 if best.as_ref().is_none_or(|(least, ..)| rank < *least) {
-                    best = Some((rank, offer, kind.amounts()));
+                    best = Some((rank, offer, kind.resources()));
                 }
             }
         }
@@ -265,7 +265,7 @@
 
     fn request(tasks: u32, cpus: f64, spot: bool) -> CapacityRequest {
         CapacityRequest {
-            need: Amounts {
+            need: Resources {
                 cpus,
                 gpus: 0.0,
                 memory_gb: 1.0,
@@ -287,7 +287,7 @@
             spot,
         };
         let mut free_capacity = FreeCapacity::default();
-        free_capacity.add_machine("s", "a", true, types[0].amounts());
+        free_capacity.add_machine("s", "a", true, types[0].resources());
         let requests = [request(3, 4.0, true)];
         let got = machines_to_rent(&requests, &mut free_capacity, &types, |_| false, |_| 0, 9);
         assert_eq!(got, [offer("s", "a", true), offer("s", "b", true)]);
@@ -324,7 +324,7 @@
         let mut free_capacity = FreeCapacity::default();
         for index in 0..1000 {
             let free = if index % 2 == 0 { 0.0 } else { 4.0 };
-            let free = Amounts {
+            let free = Resources {
                 cpus: free,
                 gpus: 0.0,
                 memory_gb: 16.0,
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,7 +1,7 @@
 //! Teams' guarantees and limits, and which tasks may be preempted. The order in which
 //! waiting jobs are served is in [`triage`](crate::triage).
 
-use oliveshift_wire::job::{Amounts, Priority};
+use oliveshift_wire::job::{Priority, Resources};
 
 /// A team's guarantee and limit; 0: none.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -14,13 +14,13 @@
 
 impl Quota {
     /// Whether `used` is within the limit.
-    pub fn allows(&self, used: &Amounts) -> bool {
+    pub fn allows(&self, used: &Resources) -> bool {
         let within = |used: f64, limit: f64| limit <= 0.0 || used <= limit + 1e-6;
         within(used.cpus, self.limit.0) && within(used.gpus, self.limit.1)
     }
 
     /// Whether `wanted` is within the guarantee.
-    pub fn guarantees(&self, wanted: &Amounts) -> bool {
+    pub fn guarantees(&self, wanted: &Resources) -> bool {
         wanted.cpus <= self.guarantee.0 + 1e-6 && wanted.gpus <= self.guarantee.1 + 1e-6
     }
 }
--- a/crates/policy/src/score.rs
+++ b/crates/policy/src/score.rs
@@ -1,7 +1,7 @@
 //! The node score of the LRScheduler paper: cached image bytes, weighted by a load gate,
 //! plus a base score for free capacity.
 
-use oliveshift_wire::job::{Amounts, JobSpec, Shape};
+use oliveshift_wire::job::{JobSpec, Resources, Shape};
 
 /// Tolerance for rounding errors in sums of decimal amounts.
 const EPSILON: f64 = 1e-6;
@@ -52,9 +52,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// Total capacity of the machine.
-    pub total: Amounts,
+    pub total: Resources,
     /// Capacity that no task uses.
-    pub free: Amounts,
+    pub free: Resources,
     /// Bytes of the task's image that the machine most likely has cached, in GB.
     pub cached_gb: f64,
     /// Whether it is a spot machine.
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Task {
     /// Resources that it needs.
-    pub need: Amounts,
+    pub need: Resources,
     /// The size of its image.
     pub image_gb: f64,
     /// Whether it may run on a spot machine.
@@ -79,7 +79,7 @@
 impl From<&JobSpec> for Task {
     fn from(spec: &JobSpec) -> Self {
         Self {
-            need: spec.amounts(),
+            need: spec.resources(),
             image_gb: spec.image_gb,
             spot: spec.spot,
             service: spec.shape == Shape::Service,
@@ -88,15 +88,15 @@
 }
 
 /// Whether `need` fits into `free`.
-pub fn fits(need: &Amounts, free: &Amounts) -> bool {
+pub fn fits(need: &Resources, free: &Resources) -> bool {
     need.cpus <= free.cpus + EPSILON
         && need.gpus <= free.gpus + EPSILON
         && need.memory_gb <= free.memory_gb + EPSILON
 }
 
 /// `from` minus `what`.
-pub fn minus(from: &Amounts, what: &Amounts) -> Amounts {
-    Amounts {
+pub fn minus(from: &Resources, what: &Resources) -> Resources {
+    Resources {
         cpus: from.cpus - what.cpus,
         gpus: from.gpus - what.gpus,
         memory_gb: from.memory_gb - what.memory_gb,
@@ -104,8 +104,8 @@
 }
 
 /// `from` plus `what`.
-pub fn plus(from: &Amounts, what: &Amounts) -> Amounts {
-    Amounts {
+pub fn plus(from: &Resources, what: &Resources) -> Resources {
+    Resources {
         cpus: from.cpus + what.cpus,
         gpus: from.gpus + what.gpus,
         memory_gb: from.memory_gb + what.memory_gb,
@@ -175,12 +175,12 @@
     use super::*;
 
     fn machine(cpus: f64, used: f64, memory_used: f64, cached_gb: f64) -> Candidate {
-        let total = Amounts {
+        let total = Resources {
             cpus,
             gpus: 0.0,
             memory_gb: cpus * 4.0,
         };
-        let used = Amounts {
+        let used = Resources {
             cpus: used,
             gpus: 0.0,
             memory_gb: memory_used,
@@ -195,7 +195,7 @@
     }
 
     const TASK: Task = Task {
-        need: Amounts {
+        need: Resources {
             cpus: 2.0,
             gpus: 0.0,
             memory_gb: 4.0,
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -11,7 +11,7 @@
 };
 use oliveshift_wire::{
     cloud::MachineType,
-    job::{Amounts, Priority},
+    job::{Priority, Resources},
 };
 
 /// The score by the words of the paper and of our additions, each computed by
@@ -249,7 +249,7 @@
 }
 
 /// How many of a want's tasks find no room, task by task and machine by machine.
-pub fn allocate(want: &CapacityRequest, rooms: &mut [(Offer, Amounts)]) -> u32 {
+pub fn allocate(want: &CapacityRequest, rooms: &mut [(Offer, Resources)]) -> u32 {
     let mut left = want.tasks;
     for (_, free) in rooms
         .iter_mut()
@@ -266,7 +266,7 @@
 /// What to rent, machine by machine: of all offers the cheapest for a task.
 pub fn machines_to_rent(
     wants: &[CapacityRequest],
-    rooms: &mut Vec<(Offer, Amounts)>,
+    rooms: &mut Vec<(Offer, Resources)>,
     types: &[MachineType],
     closed: &[Offer],
     most: usize,
@@ -277,7 +277,7 @@
         while left > 0 && rent.len() < most {
             let mut offers = Vec::new();
             for kind in types {
-                let room = count_fitting(&want.need, &kind.amounts()).min(left);
+                let room = count_fitting(&want.need, &kind.resources()).min(left);
                 for (spot, price) in [(true, kind.spot_price), (false, kind.price)] {
                     for zone in &kind.zones {
                         let offer = Offer {
@@ -289,7 +289,7 @@
                         let allowed = offer_allowed(want, &offer) && (spot || !want.spot_only);
                         if room > 0 && allowed && !closed.contains(&offer) {
                             let rank = (price / f64::from(room), there, offers.len());
-                            offers.push((rank, offer, kind.amounts(), room));
+                            offers.push((rank, offer, kind.resources(), room));
                         }
                     }
                 }
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -138,7 +138,9 @@
             self.broke(now, Broken::TooEarly, format!("{task} before {awaited}"));
         }
         let zones = self.in_zones(&task.job);
-        if zones.values().any(|n| *n > spec.zone_cap()) || (spec.one_zone && zones.len() > 1) {
+        if zones.values().any(|n| *n > spec.max_tasks_per_zone())
+            || (spec.one_zone && zones.len() > 1)
+        {
             self.broke(now, Broken::WrongPlace, format!("{task}: zones {zones:?}"));
         }
         let used = self.used(&spec.team);
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -10,7 +10,8 @@
     decode, encode,
     job::Refusal,
     state::{
-        Change, Event, Events, Item, LeaseGrant, MAX_TXN, NewLease, Page, Txn, TxnAnswer, json_len,
+        Change, Event, Events, Item, LeaseGrant, MAX_TXN_BYTES, NewLease, Page, Txn, TxnAnswer,
+        json_len,
     },
 };
 use rmpv::Value;
@@ -209,7 +210,7 @@
         txn.changes.len() <= self.limits.txn_ops
             && txn.conds.len() <= 4 * self.limits.txn_ops
             && txn.changes.iter().all(small)
-            && json_len(txn) <= MAX_TXN
+            && json_len(txn) <= MAX_TXN_BYTES
     }
 
     /// Whether so many changes may be made now.
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -259,7 +259,7 @@
             return;
         };
         let spec = rules.jobs.get(&task.job);
-        let saves = spec.is_some_and(|s| s.saves() && grace_s >= s.save_s);
+        let saves = spec.is_some_and(|s| s.can_save() && grace_s >= s.save_s);
         match stage {
             Stage::Exited(_) => return,
             Stage::Running(_) if saves => {
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -125,7 +125,7 @@
         let zone_ok = |zone: &str| {
             let here = zones.get(zone).copied().unwrap_or(0);
             spec.allows_zone(zone)
-                && here < spec.zone_cap()
+                && here < spec.max_tasks_per_zone()
                 && (!spec.one_zone || on == 0 || here > 0)
         };
         let fits = |worker: &Worker| {
--- a/crates/testkit/tests/policy.rs
+++ b/crates/testkit/tests/policy.rs
@@ -14,7 +14,7 @@
 use oliveshift_testkit::model::{self, PlainJob, PlainJobs};
 use oliveshift_wire::{
     cloud::MachineType,
-    job::{Amounts, Priority},
+    job::{Priority, Resources},
 };
 
 #[test]
@@ -24,7 +24,7 @@
     for _ in 0..3000 {
         let image_gb = rng.f64() * 5.0 + 0.1;
         let task = Task {
-            need: Amounts {
+            need: Resources {
                 cpus: f64::from(rng.u32(1..9)),
                 gpus: f64::from(rng.u32(0..2)),
                 memory_gb: f64::from(rng.u32(1..33)),
@@ -35,12 +35,12 @@
         };
         let machine = |_| {
             let cpus = f64::from(rng.u32(1..5)) * 4.0;
-            let total = Amounts {
+            let total = Resources {
                 cpus,
                 gpus: 2.0,
                 memory_gb: cpus * 4.0,
             };
-            let free = Amounts {
+            let free = Resources {
                 cpus: total.cpus * rng.f64(),
                 gpus: f64::from(rng.u32(0..3)),
                 memory_gb: total.memory_gb * rng.f64(),
@@ -71,7 +71,7 @@
     let mut placed = 0;
     for service in [false, true, false] {
         let task = Task {
-            need: Amounts {
+            need: Resources {
                 cpus: 4.0,
                 gpus: 0.0,
                 memory_gb: f64::from(rng.u32(4..12)),
@@ -82,12 +82,12 @@
         };
         let machine = |_| {
             let cpus = if rng.u32(0..8) == 0 { 16.0 } else { 4.0 };
-            let total = Amounts {
+            let total = Resources {
                 cpus,
                 gpus: 0.0,
                 memory_gb: cpus * 4.0,
             };
-            let used = Amounts {
+            let used = Resources {
                 cpus: f64::from(rng.u32(0..=cpus as u32)),
                 gpus: 0.0,
                 memory_gb: rng.f64() * total.memory_gb,
@@ -473,7 +473,7 @@
         for _ in 0..rng.usize(0..40) {
             let offer = offer(&mut rng);
             let cpus = f64::from(rng.u32(0..17));
-            let free = Amounts {
+            let free = Resources {
                 cpus,
                 gpus: 0.0,
                 memory_gb: cpus * 4.0,
@@ -484,7 +484,7 @@
         let closed: Vec<_> = (0..rng.usize(0..8)).map(|_| offer(&mut rng)).collect();
         let wants: Vec<_> = (0..rng.usize(1..30))
             .map(|_| CapacityRequest {
-                need: Amounts {
+                need: Resources {
                     cpus: [0.25, 2.0, 4.0, 8.0, 32.0][rng.usize(0..5)],
                     gpus: 0.0,
                     memory_gb: [1.0, 25.0][rng.usize(0..2)],
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::job::Amounts;
+use crate::job::Resources;
 
 /// One machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -40,8 +40,8 @@
 
 impl MachineType {
     /// What a machine of this type has.
-    pub fn amounts(&self) -> Amounts {
-        Amounts {
+    pub fn resources(&self) -> Resources {
+        Resources {
             cpus: self.cpus,
             gpus: self.gpus,
             memory_gb: self.memory_gb,
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -4,7 +4,7 @@
 use thiserror::Error;
 
 /// The size above which no request body may be read or written.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Why a body could not be read.
 #[derive(Debug, Error)]
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -43,7 +43,7 @@
 
 /// What one task takes of its machine, or what a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Amounts {
+pub struct Resources {
     /// Processors.
     pub cpus: f64,
     /// Accelerators.
@@ -184,8 +184,8 @@
     }
 
     /// What each task takes.
-    pub fn amounts(&self) -> Amounts {
-        Amounts {
+    pub fn resources(&self) -> Resources {
+        Resources {
             cpus: self.cpus,
             gpus: self.gpus,
             memory_gb: self.memory_gb,
@@ -193,7 +193,7 @@
     }
 
     /// Whether a task keeps its progress when it is stopped with time to save.
-    pub fn saves(&self) -> bool {
+    pub fn can_save(&self) -> bool {
         self.checkpoint_s > 0.0
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// The most tasks that may be in one zone at a time.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
         } else {
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -17,17 +17,17 @@
     /// In which incarnation.
     pub incarnation: u64,
     /// How long ago its view of the state service was whole; none: never.
-    pub contact_ms: Option<u64>,
+    pub contact_age_ms: Option<u64>,
     /// The version after which the machines told here have changed; 0: all are
     /// told.
-    pub base: u64,
+    pub base_version: u64,
     /// The version that the receiver has with them.
-    pub upto: u64,
+    pub new_version: u64,
     /// Machines of the sender's blocks.
-    pub machines: Vec<MachineView>,
+    pub machines: Vec<MachineSummary>,
     /// Tasks that are over or given back in the sender's blocks while the
     /// records do not say so yet: they take no room.
-    pub over: Vec<TaskId>,
+    pub unrecorded: Vec<TaskId>,
     /// From the leader: machines that get no new tasks and are to be emptied.
     pub drain: Vec<String>,
     /// From the leader: tasks that have to make room.
@@ -36,7 +36,7 @@
 
 /// A machine as its holder sees it.
 #[derive(Clone, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct MachineView {
+pub struct MachineSummary {
     /// The machine.
     pub name: String,
     /// The term of its block.
@@ -60,22 +60,22 @@
 /// What a controller tells the others about links to workers, only while there
 /// is something to tell. An older program knows no such message.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct ReachWord {
+pub struct ReachabilityMessage {
     /// Who speaks.
     pub from: String,
     /// In which incarnation.
     pub incarnation: u64,
     /// Blocks that it holds and whose workers it does not hear.
-    pub unheard: Vec<u32>,
+    pub unheard_blocks: Vec<u32>,
     /// Zones whose workers it does not reach.
-    pub zones: Vec<String>,
+    pub unreached_zones: Vec<String>,
     /// Workers that came to it although others hold them.
-    pub strays: Vec<StrayWord>,
+    pub strays: Vec<StrayWorker>,
 }
 
 /// A worker that came to somebody who does not hold it.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct StrayWord {
+pub struct StrayWorker {
     /// Its machine.
     pub machine: String,
     /// Its block.
@@ -93,9 +93,9 @@
 /// A user's request that its controller can't serve, carried on to a peer. An
 /// older program knows no such message.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct CarriedRequest {
+pub struct RelayedRequest {
     /// It asks (GET); otherwise it submits or cancels (POST).
-    pub asks: bool,
+    pub is_query: bool,
     /// The path, without query.
     pub path: String,
     /// The body, as the user sent it.
@@ -104,7 +104,7 @@
 
 /// The answer that the user gets.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct CarriedAnswer {
+pub struct RelayedAnswer {
     /// The status.
     pub status: u16,
     /// The body.
@@ -164,7 +164,7 @@
 /// The answer to the question after a controller's level, from the second
 /// level on. Unlike the messages above it keeps its form for ever.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct LevelWord {
+pub struct FormatLevelAnswer {
     /// Who answers.
     pub node: String,
     /// In which incarnation.
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -28,7 +28,7 @@
     pub services: Services,
     /// The deployment.
     #[serde(rename = "deployment")]
-    pub params: Deployment,
+    pub deployment: Deployment,
 }
 
 /// Another controller.
@@ -225,7 +225,7 @@
 
     fn check(&self) -> Result<(), BadSettings> {
         let bad = |what: String| Err(BadSettings::Value(what));
-        let p = &self.params;
+        let p = &self.deployment;
         let positive = [
             ("workers.report_s", p.workers.report_s),
             ("workers.lease_s", p.workers.lease_s),
@@ -293,7 +293,7 @@
     /// still answers workers. What lies beyond could miss a cancellation for
     /// so long that a task outlives `cancel_s`.
     pub fn contact_limit(&self) -> Duration {
-        let workers = &self.params.workers;
+        let workers = &self.deployment.workers;
         let lasts = workers.cancel_s * (1.0 - DRIFT) - workers.lease_s * (1.0 + DRIFT);
         Duration::from_secs_f64(lasts.max(0.0)).saturating_sub(SLACK)
     }
@@ -301,7 +301,7 @@
     /// The time after which a worker whose reports get no answer has stopped
     /// its tasks for sure, on our clock.
     pub fn lease_limit(&self) -> Duration {
-        Duration::from_secs_f64(self.params.workers.lease_s * (1.0 + 2.0 * DRIFT))
+        Duration::from_secs_f64(self.deployment.workers.lease_s * (1.0 + 2.0 * DRIFT))
             + Duration::from_millis(500)
     }
 
@@ -314,13 +314,13 @@
 
     /// Time between two reports.
     pub fn report_period(&self) -> Duration {
-        Duration::from_secs_f64(self.params.workers.report_s)
+        Duration::from_secs_f64(self.deployment.workers.report_s)
     }
 }
 
 impl Deployment {
     /// The aims that name a class of jobs.
-    pub fn aims_of(&self, class: &str) -> impl Iterator<Item = &Objective> {
+    pub fn objectives_of(&self, class: &str) -> impl Iterator<Item = &Objective> {
         let aims = self.objectives.iter();
         aims.filter(move |a| a.class.as_deref() == Some(class))
     }
@@ -328,7 +328,7 @@
 
 impl Settings {
     /// How many controllers there are.
-    pub fn peers_and_me(&self) -> usize {
+    pub fn controller_count(&self) -> usize {
         self.peers.len() + 1
     }
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -170,7 +170,7 @@
 }
 
 /// The most that a transaction may take, in bytes of its JSON form.
-pub const MAX_TXN: usize = 64 * 1024;
+pub const MAX_TXN_BYTES: usize = 64 * 1024;
 
 /// The size of a value or transaction as the limits count it: in its JSON
 /// form. What has none counts as larger than any limit.
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -4,7 +4,7 @@
     cloud::MachineTypes,
     decode, encode,
     job::{JobSpec, Priority, Shape},
-    peer::{LevelWord, MachineView, PeerMessage},
+    peer::{FormatLevelAnswer, MachineSummary, PeerMessage},
     state::{Change, Event, Events, Txn},
     worker::{DirectOrders, Order, Report, TaskState, Why},
 };
@@ -34,7 +34,7 @@
         (Shape::Array, Priority::Normal)
     );
     assert_eq!(
-        (spec.cpus, spec.zone.clone(), spec.zone_cap()),
+        (spec.cpus, spec.zone.clone(), spec.max_tasks_per_zone()),
         (2.0, None, 2)
     );
     assert_eq!(JobSpec::parse(&encode(&spec)).expect("its own form"), spec);
@@ -141,7 +141,7 @@
     let form = json!({"flavors":[{"label":"g","vcpus":4,"accelerators":0,"ram_gb":16,"local_gb":60,
         "fetch_gb_per_s":1,"hourly":1,"low_price":0.25,"ready_s":20,"sites":["a"]}]});
     let types: MachineTypes = decode(&pack(&form)).expect("types");
-    assert_eq!(types.types[0].amounts().memory_gb, 16.0);
+    assert_eq!(types.types[0].resources().memory_gb, 16.0);
 }
 
 #[test]
@@ -149,11 +149,11 @@
     let message = PeerMessage {
         from: "n-1".into(),
         incarnation: 3,
-        contact_ms: None,
-        base: 4,
-        upto: 9,
+        contact_age_ms: None,
+        base_version: 4,
+        new_version: 9,
         machines: Vec::new(),
-        over: vec!["j-7/2".parse().expect("a task")],
+        unrecorded: vec!["j-7/2".parse().expect("a task")],
         drain: vec!["vm-1".into()],
         preempt: Vec::new(),
     };
@@ -173,10 +173,10 @@
     let message = PeerMessage {
         from: "n-1".into(),
         incarnation: 3,
-        contact_ms: Some(5),
-        base: 4,
-        upto: 9,
-        machines: vec![MachineView {
+        contact_age_ms: Some(5),
+        base_version: 4,
+        new_version: 9,
+        machines: vec![MachineSummary {
             name: "vm-000001".into(),
             term: 41,
             usable: true,
@@ -187,7 +187,7 @@
             images: vec!["img-07".into()],
             tasks: vec![task("j-000412/1")],
         }],
-        over: vec![task("j-000412/0")],
+        unrecorded: vec![task("j-000412/0")],
         drain: vec!["vm-000002".into()],
         preempt: vec![task("j-000412/2")],
     };
@@ -201,7 +201,7 @@
          00000001000000080000006a2d303030343132000000000100000009000000766d2d30303030303201000000\
          080000006a2d30303034313202000000"
     );
-    let word = LevelWord {
+    let word = FormatLevelAnswer {
         node: "n-1".into(),
         incarnation: 3,
         level: 2,
