--- a/crates/core/src/assigned_tasks.rs
+++ b/crates/core/src/assigned_tasks.rs
@@ -5,7 +5,7 @@
 use oliveshift_wire::{
     JobId, TaskId,
     job::JobSpec,
-    worker::{TaskReport, TaskState, Why},
+    worker::{EndCause, TaskReport, TaskState},
 };
 
 use crate::{
@@ -402,7 +402,7 @@
         names.iter().find_map(|name| {
             let machine = self.machines.get(name).filter(|m| !m.lease.is_expired())?;
             let entry = machine.tasks.iter().find(|t| {
-                let is_live = t.state != TaskState::Exited || t.why == Some(Why::Done);
+                let is_live = t.state != TaskState::Exited || t.cause == Some(EndCause::Done);
                 t.task == *task && is_live && known_attempt != Some((name.as_str(), t.attempt))
             })?;
             Some((name.clone(), machine.session, entry.clone()))
--- a/crates/core/src/assigned_tasks/tests.rs
+++ b/crates/core/src/assigned_tasks/tests.rs
@@ -138,7 +138,7 @@
                 task: task.clone(),
                 attempt,
                 state: TaskState::Running,
-                why: None,
+                cause: None,
                 saved: None,
             }],
         };
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -6,7 +6,7 @@
 
 use std::{fmt, time::Duration};
 
-use oliveshift_wire::worker::{TaskReport, TaskState, Why};
+use oliveshift_wire::worker::{EndCause, TaskReport, TaskState};
 
 use crate::{
     assigned_tasks::{AssignedTask, AssignmentState, Bound},
@@ -22,7 +22,7 @@
     /// Its start was certainly not sent, or was refused.
     NotStarted,
     /// Its worker reported the end of the attempt.
-    Ended(Why),
+    Ended(EndCause),
     /// A message newer than its start does not list it, and the start can no longer
     /// arrive.
     NotListed,
@@ -165,7 +165,7 @@
         let done = self
             .assigned
             .is_some_and(|s| matches!(s.state, AssignmentState::Done));
-        if entry.why == Some(Why::Done) && done {
+        if entry.cause == Some(EndCause::Done) && done {
             return Err(ForgetRefusal::NotRecorded);
         }
         if self.machine.may_start_late(&entry.task, entry.attempt) {
--- a/crates/core/src/attempt/tests.rs
+++ b/crates/core/src/attempt/tests.rs
@@ -50,12 +50,12 @@
     }
 }
 
-fn entry(state: TaskState, why: Option<Why>) -> TaskReport {
+fn entry(state: TaskState, cause: Option<EndCause>) -> TaskReport {
     TaskReport {
         task: task(),
         attempt: ATTEMPT,
         state,
-        why,
+        cause,
         saved: None,
     }
 }
@@ -92,7 +92,7 @@
 
 #[test]
 fn only_ends_that_are_recorded_and_can_not_come_again_are_forgotten() {
-    let done = || entry(TaskState::Exited, Some(Why::Done));
+    let done = || entry(TaskState::Exited, Some(EndCause::Done));
     let decides = |entry: TaskReport, assigned: Option<AssignedTask>, starts_late: bool| {
         let mut machine = machine();
         if starts_late {
@@ -155,7 +155,7 @@
     let independent_of_tenure = [
         AbsenceProof::AssignedUnderOwnTerm,
         AbsenceProof::NotStarted,
-        AbsenceProof::Ended(Why::Error),
+        AbsenceProof::Ended(EndCause::Error),
         AbsenceProof::NotListed,
         AbsenceProof::SessionEnded,
         AbsenceProof::MachineReturned,
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -5,7 +5,7 @@
 use oliveshift_wire::{
     TaskId, decode, encode,
     job::Shape,
-    worker::{Redirect, Report, ReportAnswer, TaskReport, TaskState, Why},
+    worker::{EndCause, Redirect, Report, ReportAnswer, TaskReport, TaskState},
 };
 
 use crate::{
@@ -363,7 +363,7 @@
                 true
             }
             AssignmentState::Unlocated | AssignmentState::Free { .. }
-                if entry.why == Some(Why::Done) =>
+                if entry.cause == Some(EndCause::Done) =>
             {
                 self.set_task_state(task, AssignmentState::Done);
                 return;
@@ -378,7 +378,7 @@
         let has_image = matches!(
             entry.state,
             TaskState::Running | TaskState::Waiting | TaskState::Saving
-        ) || matches!(entry.why, Some(Why::Done | Why::Error));
+        ) || matches!(entry.cause, Some(EndCause::Done | EndCause::Error));
         if has_image && let Some(machine) = self.machines.get_mut(name) {
             machine.note_image(&spec.image, spec.image_gb, kind.as_ref());
         }
@@ -396,36 +396,36 @@
             }
             return;
         }
-        self.attempt_ended(name, task, entry.why.unwrap_or(Why::Error));
+        self.attempt_ended(name, task, entry.cause.unwrap_or(EndCause::Error));
     }
 
     /// Handles the end of an attempt on the machine that the task is bound to.
-    fn attempt_ended(&mut self, name: &str, task: &TaskId, why: Why) {
+    fn attempt_ended(&mut self, name: &str, task: &TaskId, why: EndCause) {
         log::debug!("{task}: ended on {name}: {why:?}");
         let now = self.now;
         let mut wait = Duration::ZERO;
         let shape = self.assigned_tasks.get(task).map(|s| s.spec.shape);
-        if shape == Some(Shape::Gang) && why != Why::Done {
+        if shape == Some(Shape::Gang) && why != EndCause::Done {
             // A gang restarts as a whole, which the leader decides.
             return self.return_to_leader(task, AbsenceProof::Ended(why));
         }
         match why {
-            Why::Done => {
+            EndCause::Done => {
                 if let Some(machine) = self.machines.get_mut(name) {
                     machine.consecutive_failures = 0;
                 }
                 self.set_task_state(task, AssignmentState::Done);
                 return;
             }
-            Why::Stopped | Why::Peers | Why::Alone => {
+            EndCause::Stopped | EndCause::GangMemberLost | EndCause::GangTimeout => {
                 // Stopped on order or for lack of its gang: the leader decides what follows.
                 self.return_to_leader(task, AbsenceProof::Ended(why));
                 return;
             }
-            Why::Error | Why::Unknown => {
+            EndCause::Error | EndCause::Unknown => {
                 let is_job_fault = self.fails_on_several_machines(task);
                 if let Some(machine) = self.machines.get_mut(name)
-                    && why == Why::Error
+                    && why == EndCause::Error
                     && !is_job_fault
                 {
                     machine.consecutive_failures += 1;
@@ -440,7 +440,7 @@
                     wait = TASK_RETRY_DELAY * 2u32.pow(failures.saturating_sub(1));
                 }
             }
-            Why::NoRoom | Why::Busy => {
+            EndCause::NoRoom | EndCause::Busy => {
                 if let Some(machine) = self.machines.get_mut(name) {
                     machine.refused_at = Some(now);
                 }
--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/cloud.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use oliveshift_wire::{
-    cloud::{MachineList, MachineTypes, Machines, Rent},
+    cloud::{MachineList, MachineNames, MachineTypes, RentRequest},
     decode, encode,
 };
 
@@ -25,7 +25,7 @@
     /// Read a page of the machine list.
     List,
     /// Rent machines.
-    Rent(Rent),
+    Rent(RentRequest),
     /// Return machines, by name.
     Return(Vec<String>),
 }
@@ -60,13 +60,13 @@
         );
     }
 
-    pub(crate) fn cloud_rent(&mut self, rent: Rent) {
+    pub(crate) fn cloud_rent(&mut self, rent: RentRequest) {
         let body = encode(&rent);
         self.cloud_call(Method::Post, "/hosts", body, CloudCall::Rent(rent));
     }
 
     pub(crate) fn cloud_return(&mut self, names: Vec<String>) {
-        let body = encode(&Machines {
+        let body = encode(&MachineNames {
             names: names.clone(),
         });
         let purpose = CloudCall::Return(names);
@@ -101,7 +101,7 @@
             }
             CloudCall::Rent(rent) => {
                 let names = match reply {
-                    Reply::Answer { status: 200, body } => decode::<Machines>(body).ok(),
+                    Reply::Answer { status: 200, body } => decode::<MachineNames>(body).ok(),
                     _ => None,
                 };
                 let refused = matches!(reply, Reply::Answer { status: 503, .. });
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -9,7 +9,7 @@
 };
 use oliveshift_wire::{
     JobId,
-    cloud::{Listed, MachineList, MachinePhase, Rent},
+    cloud::{ListedMachine, MachineList, MachinePhase, RentRequest},
     job::JobSpec,
     settings::Settings,
 };
@@ -56,9 +56,9 @@
     list_at: Duration,
     listing: bool,
     /// The pages of the list that have been read so far.
-    page: Vec<Listed>,
+    page: Vec<ListedMachine>,
     /// The last complete machine list, and when the last of its pages was requested.
-    list: BTreeMap<String, Listed>,
+    list: BTreeMap<String, ListedMachine>,
     list_requested_at: Option<Duration>,
     /// Machines rented by this controller that are not in the list yet.
     unlisted: BTreeMap<String, (Offer, Duration)>,
@@ -482,7 +482,7 @@
                 offer.zone,
                 if offer.spot { "spot" } else { "on-demand" }
             );
-            let rent = Rent {
+            let rent = RentRequest {
                 request: request.clone(),
                 kind: offer.kind.clone(),
                 zone: offer.zone.clone(),
@@ -496,7 +496,12 @@
         }
     }
 
-    pub(crate) fn rent_answered(&mut self, rent: Rent, names: Option<Vec<String>>, refused: bool) {
+    pub(crate) fn rent_answered(
+        &mut self,
+        rent: RentRequest,
+        names: Option<Vec<String>>,
+        refused: bool,
+    ) {
         let now = self.now;
         let Some((offer, ..)) = self.fleet.pending_rentals.get(&rent.request).cloned() else {
             return;
@@ -695,7 +700,7 @@
     }
 }
 
-fn offer_of(machine: &Listed) -> Offer {
+fn offer_of(machine: &ListedMachine) -> Offer {
     Offer {
         kind: machine.kind.clone(),
         zone: machine.zone.clone(),
--- a/crates/core/src/store/session.rs
+++ b/crates/core/src/store/session.rs
@@ -5,7 +5,7 @@
 
 use oliveshift_wire::{
     decode, encode,
-    state::{Change, Cond, LeaseGrant, NewLease, Txn},
+    state::{Change, Cond, LeaseGrant, LeaseRequest, Txn},
 };
 
 use crate::{
@@ -25,7 +25,7 @@
         match self.store.member_lease {
             None => {
                 let ttl_ms = self.tuning.member_lease.as_millis() as u64;
-                let body = encode(&NewLease { ttl_ms });
+                let body = encode(&LeaseRequest { ttl_ms });
                 self.state_call(Method::Post, "/holds".into(), body, Pending::LeaseGrant);
             }
             Some(member_lease) => {
--- a/crates/daemon/src/wes.rs
+++ b/crates/daemon/src/wes.rs
@@ -4,7 +4,7 @@
 
 use async_io::block_on;
 use oliveshift_core::{Call, Method, Reply, Target};
-use oliveshift_wire::wes::{BASE, Problem, RunId, RunList, RunLog, RunSummary, State};
+use oliveshift_wire::wes::{BASE_PATH, ErrorResponse, RunId, RunList, RunLog, RunSummary, State};
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
@@ -71,7 +71,7 @@
             id: 0,
             to: Target::Peer(String::new()),
             method,
-            path: format!("{BASE}{path}"),
+            path: format!("{BASE_PATH}{path}"),
             body,
             timeout: ANSWER_TIMEOUT,
         };
@@ -94,7 +94,7 @@
                 }
                 503 => {}
                 status => {
-                    let problem = serde_json::from_slice::<Problem>(&body);
+                    let problem = serde_json::from_slice::<ErrorResponse>(&body);
                     let reason = problem.map_or_else(|_| format!("status {status}"), |p| p.msg);
                     return Err(WesError::Refused(self.0, reason));
                 }
--- a/crates/daemon/src/workflows/config.rs
+++ b/crates/daemon/src/workflows/config.rs
@@ -182,7 +182,7 @@
             f,
             "WES endpoint:     http://{}{}",
             self.listen,
-            oliveshift_wire::wes::BASE
+            oliveshift_wire::wes::BASE_PATH
         )?;
         writeln!(
             f,
--- a/crates/daemon/src/workflows/server.rs
+++ b/crates/daemon/src/workflows/server.rs
@@ -16,7 +16,7 @@
 use oliveshift_core::{Call, Method, Reply as CoreReply, Target};
 use oliveshift_wire::{
     encode,
-    wes::{self, BASE, State},
+    wes::{self, BASE_PATH, State},
 };
 use oliveshift_workflow::{
     api::{self, Reply},
@@ -225,7 +225,7 @@
 
     async fn handle_request(self: &Rc<Self>, mut request: Request) -> Response {
         let path = request.url().path().to_owned();
-        let Some(path) = path.strip_prefix(BASE) else {
+        let Some(path) = path.strip_prefix(BASE_PATH) else {
             return problem(404, "no such path");
         };
         let parts: Vec<_> = path.trim_matches('/').split('/').collect();
@@ -338,7 +338,7 @@
             kind: wes::ServiceType {
                 group: "org.ga4gh".into(),
                 artifact: "wes".into(),
-                version: wes::VERSION.into(),
+                version: wes::API_VERSION.into(),
             },
             organization: wes::Organization {
                 name: "oliveshift".into(),
@@ -346,7 +346,7 @@
             },
             version,
             workflow_type_versions: [("CWL".to_owned(), cwl)].into(),
-            supported_wes_versions: vec![wes::VERSION.into()],
+            supported_wes_versions: vec![wes::API_VERSION.into()],
             supported_filesystem_protocols: vec!["store".into()],
             workflow_engine_versions: [("oliveshift".to_owned(), engine)].into(),
             default_workflow_engine_parameters: Vec::new(),
@@ -492,7 +492,7 @@
 }
 
 fn problem(status: u16, message: &str) -> Response {
-    let mut response = json(&wes::Problem {
+    let mut response = json(&wes::ErrorResponse {
         msg: message.to_owned(),
         status_code: status,
     });
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -4,7 +4,10 @@
 
 use oliveshift_core::{Call, Method};
 use oliveshift_wire::{
-    cloud::{Listed, MachineList, MachinePhase, MachineType, MachineTypes, Machines, Rent},
+    cloud::{
+        ListedMachine, MachineList, MachineNames, MachinePhase, MachineType, MachineTypes,
+        RentRequest,
+    },
     decode, encode,
     job::Refusal,
 };
@@ -112,18 +115,18 @@
                 let types = self.types.clone();
                 (200, encode(&MachineTypes { types }), Vec::new())
             }
-            (Method::Post, "/hosts") => match decode::<Rent>(&call.body) {
+            (Method::Post, "/hosts") => match decode::<RentRequest>(&call.body) {
                 Ok(rent) => self.rent(now, rent),
                 Err(_) => (400, Vec::new(), Vec::new()),
             },
-            (Method::Post, "/hosts/return") => match decode::<Machines>(&call.body) {
+            (Method::Post, "/hosts/return") => match decode::<MachineNames>(&call.body) {
                 Ok(machines) => {
                     for name in &machines.names {
                         if let Some(m) = self.machines.get_mut(name) {
                             m.gone.get_or_insert(now);
                         }
                     }
-                    (200, encode(&Machines::default()), machines.names)
+                    (200, encode(&MachineNames::default()), machines.names)
                 }
                 Err(_) => (400, Vec::new(), Vec::new()),
             },
@@ -132,10 +135,10 @@
         }
     }
 
-    fn rent(&mut self, now: Duration, rent: Rent) -> (u16, Vec<u8>, Vec<String>) {
+    fn rent(&mut self, now: Duration, rent: RentRequest) -> (u16, Vec<u8>, Vec<String>) {
         if let Some(names) = self.claims.get(&rent.request) {
             let names = names.clone();
-            return (200, encode(&Machines { names }), Vec::new());
+            return (200, encode(&MachineNames { names }), Vec::new());
         }
         let same = |m: &&Rented| {
             m.gone.is_none() && (&m.kind, &m.zone, m.spot) == (&rent.kind, &rent.zone, rent.spot)
@@ -159,7 +162,7 @@
             names.push(self.add(now, &rent.kind, &rent.zone, rent.spot, up));
         }
         self.claims.insert(rent.request, names.clone());
-        (200, encode(&Machines { names }), Vec::new())
+        (200, encode(&MachineNames { names }), Vec::new())
     }
 
     fn list(&mut self, now: Duration) -> MachineList {
@@ -171,7 +174,7 @@
         let at = now.saturating_sub(lag);
         let shown = |m: &&Rented| m.since <= at && m.gone.is_none_or(|gone| gone > at);
         let machines = self.machines.iter().filter(|(_, m)| shown(m));
-        let machines = machines.map(|(name, m)| Listed {
+        let machines = machines.map(|(name, m)| ListedMachine {
             name: name.clone(),
             kind: m.kind.clone(),
             zone: m.zone.clone(),
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -10,7 +10,7 @@
     decode, encode,
     job::Refusal,
     state::{
-        Change, Event, Events, Item, LeaseGrant, MAX_TXN_BYTES, NewLease, Page, Txn, TxnAnswer,
+        Change, Event, Events, Item, LeaseGrant, LeaseRequest, MAX_TXN_BYTES, Page, Txn, TxnAnswer,
         json_len,
     },
 };
@@ -113,7 +113,7 @@
                 Ok(txn) => self.txn(now, txn),
                 Err(e) => error(400, &e.to_string()),
             },
-            (Method::Post, ["holds"]) => match decode::<NewLease>(&call.body) {
+            (Method::Post, ["holds"]) => match decode::<LeaseRequest>(&call.body) {
                 Ok(wish) => {
                     self.next_hold += 1;
                     let life = Duration::from_millis(wish.ttl_ms);
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -6,7 +6,7 @@
     TaskId,
     cloud::MachineType,
     job::Shape,
-    worker::{DirectOrders, Order, Report, ReportAnswer, TaskReport, TaskState, Why},
+    worker::{DirectOrders, EndCause, Order, Report, ReportAnswer, TaskReport, TaskState},
 };
 
 use crate::{
@@ -22,7 +22,7 @@
     Fetching(Duration),
     Running(Option<Duration>),
     Saving(Duration),
-    Exited(Why),
+    Exited(EndCause),
 }
 
 /// One worker.
@@ -135,17 +135,17 @@
     pub fn report(&mut self, now: Duration) -> Report {
         self.seq += 1;
         let tasks = self.tasks.iter().map(|((task, attempt), stage)| {
-            let (state, why) = match stage {
+            let (state, cause) = match stage {
                 Stage::Fetching(_) => (TaskState::Fetching, None),
                 Stage::Running(_) => (TaskState::Running, None),
                 Stage::Saving(_) => (TaskState::Saving, None),
-                Stage::Exited(why) => (TaskState::Exited, Some(*why)),
+                Stage::Exited(cause) => (TaskState::Exited, Some(*cause)),
             };
             TaskReport {
                 task: task.clone(),
                 attempt: *attempt,
                 state,
-                why,
+                cause,
                 saved: None,
             }
         });
@@ -229,18 +229,18 @@
             return;
         }
         let stage = match rules.jobs.get(&task.job) {
-            None => Stage::Exited(Why::Unknown),
+            None => Stage::Exited(EndCause::Unknown),
             Some(spec) => {
                 let (cpus, memory) = self.used(rules);
                 let on = |((t, _), s): (&(TaskId, u64), &Stage)| {
                     *t == task && !matches!(s, Stage::Exited(_))
                 };
                 if self.tasks.iter().any(on) {
-                    Stage::Exited(Why::Busy)
+                    Stage::Exited(EndCause::Busy)
                 } else if cpus + spec.cpus > self.kind.cpus + 1e-6
                     || memory + spec.memory_gb > self.kind.memory_gb + 1e-6
                 {
-                    Stage::Exited(Why::NoRoom)
+                    Stage::Exited(EndCause::NoRoom)
                 } else if self.images.contains(&spec.image) {
                     Stage::Fetching(now)
                 } else {
@@ -268,7 +268,7 @@
             }
             Stage::Saving(_) if grace_s > 0.0 => return,
             _ => {
-                *stage = Stage::Exited(Why::Stopped);
+                *stage = Stage::Exited(EndCause::Stopped);
                 rules.leaves(&task, &self.name);
             }
         }
@@ -315,22 +315,22 @@
                     *stage = Stage::Running((!service).then_some(now + run));
                     if self.sick {
                         rules.leaves(task, &self.name);
-                        *stage = Stage::Exited(Why::Error);
+                        *stage = Stage::Exited(EndCause::Error);
                     } else if rules.done.contains(task) {
                         rules.leaves(task, &self.name);
-                        *stage = Stage::Exited(Why::Done);
+                        *stage = Stage::Exited(EndCause::Done);
                     }
                     changed = true;
                 }
                 Stage::Running(Some(until)) if *until <= now => {
                     rules.completes(now, task);
                     rules.leaves(task, &self.name);
-                    *stage = Stage::Exited(Why::Done);
+                    *stage = Stage::Exited(EndCause::Done);
                     changed = true;
                 }
                 Stage::Saving(until) if *until <= now => {
                     rules.leaves(task, &self.name);
-                    *stage = Stage::Exited(Why::Stopped);
+                    *stage = Stage::Exited(EndCause::Stopped);
                     changed = true;
                 }
                 _ => {}
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -59,7 +59,7 @@
 
 /// A wish for machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rent {
+pub struct RentRequest {
     /// Names the wish; never used for another one.
     #[serde(rename = "claim")]
     pub request: String,
@@ -78,7 +78,7 @@
 
 /// Names of machines, rented or to be returned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Machines {
+pub struct MachineNames {
     /// The names.
     #[serde(rename = "hosts")]
     pub names: Vec<String>,
@@ -101,7 +101,7 @@
 
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Its name.
     #[serde(rename = "uid")]
     pub name: String,
@@ -125,7 +125,7 @@
 pub struct MachineList {
     /// The machines in the order of their names.
     #[serde(rename = "hosts")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     /// Whether there are more.
     #[serde(rename = "truncated", default)]
     pub more: bool,
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -91,7 +91,7 @@
 
 /// Asks for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct NewLease {
+pub struct LeaseRequest {
     /// How long it lasts without renewal.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
--- a/crates/wire/src/wes.rs
+++ b/crates/wire/src/wes.rs
@@ -6,9 +6,9 @@
 use serde_json::Value;
 
 /// The path that all requests begin with.
-pub const BASE: &str = "/ga4gh/wes/v1";
+pub const BASE_PATH: &str = "/ga4gh/wes/v1";
 /// The version that is spoken.
-pub const VERSION: &str = "1.1.0";
+pub const API_VERSION: &str = "1.1.0";
 
 /// What the service is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -194,7 +194,7 @@
 
 /// Why there is no result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Problem {
+pub struct ErrorResponse {
     /// For people.
     pub msg: String,
     /// The HTTP status.
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -53,7 +53,7 @@
     pub state: TaskState,
     /// Why it ended.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub cause: Option<EndCause>,
     /// Whether its progress was saved.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -84,7 +84,7 @@
 
 /// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum EndCause {
     /// Completed.
     #[serde(rename = "done")]
     Done,
@@ -102,10 +102,10 @@
     Unknown,
     /// Lost a member of its gang.
     #[serde(rename = "peers")]
-    Peers,
+    GangMemberLost,
     /// Waited in vain for its gang.
     #[serde(rename = "alone")]
-    Alone,
+    GangTimeout,
     /// Failed, or a cause of a newer worker.
     #[serde(other, rename = "error")]
     Error,
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -6,7 +6,7 @@
     job::{JobSpec, Priority, Shape},
     peer::{FormatLevelAnswer, MachineSummary, PeerMessage},
     state::{Change, Event, Events, Txn},
-    worker::{DirectOrders, Order, Report, TaskState, Why},
+    worker::{DirectOrders, EndCause, Order, Report, TaskState},
 };
 use serde_json::{Value, json};
 
@@ -91,9 +91,9 @@
             {"shard":"j-7/1","try":1,"phase":"dreaming"},
             {"shard":"j-7/0","try":1,"phase":"ended","cause":"a new one"}]});
     let report: Report = decode(&pack(&text)).expect("a report");
-    assert_eq!(report.tasks[0].why, Some(Why::NoRoom));
+    assert_eq!(report.tasks[0].cause, Some(EndCause::NoRoom));
     assert_eq!(report.tasks[1].state, TaskState::Other);
-    assert_eq!(report.tasks[2].why, Some(Why::Error));
+    assert_eq!(report.tasks[2].cause, Some(EndCause::Error));
 
     let orders = DirectOrders {
         token: 41,
--- a/crates/workflow/src/api.rs
+++ b/crates/workflow/src/api.rs
@@ -6,7 +6,7 @@
 use oliveshift_wire::{
     decode, encode,
     job::{JobPhase, JobStatus, Refusal},
-    state::{LeaseGrant, NewLease, Page, TxnAnswer},
+    state::{LeaseGrant, LeaseRequest, Page, TxnAnswer},
 };
 
 use crate::{
@@ -47,7 +47,11 @@
         StoreCall::Txn(txn) => ("POST", "/multi".to_owned(), encode(txn)),
         StoreCall::NewLease(life) => {
             let ttl_ms = life.as_millis() as u64;
-            ("POST", "/holds".to_owned(), encode(&NewLease { ttl_ms }))
+            (
+                "POST",
+                "/holds".to_owned(),
+                encode(&LeaseRequest { ttl_ms }),
+            )
         }
         StoreCall::Touch(lease) => ("POST", format!("/holds/{lease}/touch"), Vec::new()),
     };
