--- a/crates/daemon/tests/workflows.rs
+++ b/crates/daemon/tests/workflows.rs
@@ -254,7 +254,7 @@
                 ..Size::SMALL
             };
             let mut world = World::sized(size, 15, Duration::ZERO, Vec::new(), None);
-            world.invite(Bridge {
+            world.set_guest(Bridge {
                 requests,
                 pending: BTreeMap::new(),
                 next_token: 0,
--- a/crates/testkit/src/handover.rs
+++ b/crates/testkit/src/handover.rs
@@ -139,6 +139,6 @@
         report: MS * rng.u32(1_000..3_000),
         lease,
         cancel,
-        drifts: true,
+        clock_drift: true,
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -32,4 +32,4 @@
 pub use rules::{Broken, Rules};
 pub use side_by_side::side_by_side;
 pub use state::{Done, Limits as StateLimits, State};
-pub use world::{Crowd, Load, Outcome, Size, Timing, World};
+pub use world::{ExtraJobs, Load, Outcome, Size, Timing, World};
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -14,7 +14,7 @@
 mod users;
 
 pub use outcome::{Load, Outcome};
-pub use setup::{Crowd, Size, Timing};
+pub use setup::{ExtraJobs, Size, Timing};
 
 use std::{
     cmp::Reverse,
@@ -195,7 +195,7 @@
     /// The connection over which a worker reports, with the node's life.
     lines: BTreeMap<String, (usize, u64, SocketId)>,
     sockets: Counts,
-    most_sockets: usize,
+    max_sockets: usize,
     reports: HashMap<u64, (u64, Duration)>,
     users: Vec<User>,
     refused_jobs: BTreeSet<JobId>,
@@ -204,7 +204,7 @@
     faults: Vec<Fault>,
     sabotage: Option<Sabotage>,
     next_id: u64,
-    slowest_answer: Duration,
+    slowest_report_answer: Duration,
     load: Load,
     /// Watches the rules.
     pub rules: Rules,
@@ -213,11 +213,11 @@
     guest_rng: fastrand::Rng,
     steady: bool,
     /// The most processors that machines of each size had.
-    most_machines: BTreeMap<u32, f64>,
+    max_cpus_by_machine_size: BTreeMap<u32, f64>,
     /// What may be open, if it is another than the controllers' own.
     horizon: Option<Duration>,
-    turned_away: usize,
-    sent_back: usize,
+    admission_refusals: usize,
+    temporary_refusals: usize,
     /// What really came about.
     evidence: Evidence,
     /// When the last trouble is over.
@@ -252,7 +252,7 @@
         faults: Vec<Fault>,
         sabotage: Option<Sabotage>,
     ) -> Self {
-        Self::timed(size, Timing::USUAL, seed, busy, faults, sabotage)
+        Self::timed(size, Timing::DEFAULT, seed, busy, faults, sabotage)
     }
 
     /// The same with other settings for workers' timing.
@@ -267,17 +267,17 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let zones: Vec<String> = ZONES.map(String::from).to_vec();
         let limits = [("red", 40.0), ("blue", 24.0)]
-            .map(|(team, cpus)| (team.to_owned(), cpus * f64::from(size.factor)));
+            .map(|(team, cpus)| (team.to_owned(), cpus * f64::from(size.scale)));
         let rules = Rules::new(limits.into(), timing.cancel);
         let mut users: Vec<_> = (0..size.jobs)
-            .map(|i| draw_user(&mut rng, i, busy, size.factor))
+            .map(|i| draw_user(&mut rng, i, busy, size.scale))
             .collect();
         let new = new_from(&faults, NODES);
         draw_pipelines(&mut users, seed, size.pipelines, new, busy);
         let rolls = faults.iter().any(|f| matches!(f, Fault::Roll { .. }));
         let nodes = (0..NODES).map(|i| Node {
             controller: None,
-            clock_rate: match timing.drifts && (seed as usize + i).is_multiple_of(2) {
+            clock_rate: match timing.clock_drift && (seed as usize + i).is_multiple_of(2) {
                 true => 1.0 + DRIFT,
                 false => 1.0,
             },
@@ -313,7 +313,7 @@
             askers: BTreeMap::new(),
             lines: BTreeMap::new(),
             sockets: Counts::default(),
-            most_sockets: size.sockets,
+            max_sockets: size.max_sockets,
             reports: HashMap::new(),
             users,
             refused_jobs: BTreeSet::new(),
@@ -322,15 +322,15 @@
             faults,
             sabotage,
             next_id: 0,
-            slowest_answer: Duration::ZERO,
+            slowest_report_answer: Duration::ZERO,
             load: Load::default(),
             rules,
             guest_rng: fastrand::Rng::with_seed(seed),
             steady: false,
-            most_machines: BTreeMap::new(),
+            max_cpus_by_machine_size: BTreeMap::new(),
             horizon: None,
-            turned_away: 0,
-            sent_back: 0,
+            admission_refusals: 0,
+            temporary_refusals: 0,
             rng,
             guest: None,
             evidence: Evidence::default(),
@@ -344,7 +344,7 @@
             reports_for_next: Vec::new(),
         };
         world.calm = over(&world.faults);
-        world.cloud.capacity *= size.factor as usize;
+        world.cloud.capacity *= size.scale as usize;
         for i in 0..size.machines {
             let kind = if i % 6 < 4 { "small" } else { "large" };
             world.cloud.give(Duration::ZERO, kind, ZONES[i % 2], false);
@@ -384,18 +384,18 @@
 
     /// From the beginning controllers let in only what takes all machines this
     /// long.
-    pub fn horizon(&mut self, horizon: Duration) {
+    pub fn set_horizon(&mut self, horizon: Duration) {
         self.horizon = Some(horizon);
     }
 
     /// The state service keeps only so many of the newest changes, so that
     /// controllers that are behind have to read all records again.
-    pub fn keep_changes(&mut self, most: usize) {
+    pub fn keep_newest_changes(&mut self, most: usize) {
         self.state.keep_changes(most);
     }
 
     /// More users than there are machines for.
-    pub fn crowd(&mut self, seed: u64, crowd: &Crowd) {
+    pub fn add_extra_jobs(&mut self, seed: u64, crowd: &ExtraJobs) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let span = crowd.until.saturating_sub(crowd.from);
         for _ in 0..crowd.jobs {
@@ -425,7 +425,7 @@
             user.abort_at = None;
             user.next = crowd.from + span.mul_f64(rng.f64());
             user.came = user.next;
-            if crowd.called_off_one_in > 0 && rng.u32(0..crowd.called_off_one_in) == 0 {
+            if crowd.cancel_one_in > 0 && rng.u32(0..crowd.cancel_one_in) == 0 {
                 user.abort_at = Some(user.came + MS * rng.u32(500..15_000));
             }
             self.users.push(user);
@@ -433,14 +433,14 @@
     }
 
     /// Tasks of a class of jobs run so many times as long.
-    pub fn lengthen(&mut self, class: &str, times: f64) {
+    pub fn scale_estimates(&mut self, class: &str, times: f64) {
         for user in self.users.iter_mut().filter(|u| u.spec.class == class) {
             user.spec.estimate_s *= times;
         }
     }
 
     /// One more user, who submits this job at some time and never calls it off.
-    pub fn user(&mut self, at: Duration, spec: JobSpec) {
+    pub fn add_job(&mut self, at: Duration, spec: JobSpec) {
         self.users.push(User {
             spec,
             after: Vec::new(),
@@ -455,13 +455,13 @@
     }
 
     /// Lets somebody else use the service as well.
-    pub fn invite(&mut self, guest: impl Guest + 'static) {
+    pub fn set_guest(&mut self, guest: impl Guest + 'static) {
         self.guest = Some(Box::new(guest));
     }
 
     /// From now on nothing is drawn for messages and machines, so that two plays
     /// differ by nothing but what is asked.
-    pub fn steady(&mut self) {
+    pub fn use_fixed_delays(&mut self) {
         self.steady = true;
         self.cloud.steady = true;
     }
@@ -490,18 +490,18 @@
         }
         let came = self.users.iter().map(|u| (u.spec.id.clone(), u.came));
         Outcome {
-            came: came.collect(),
-            turned_away: self.turned_away,
-            sent_back: self.sent_back,
+            submitted_at: came.collect(),
+            admission_refusals: self.admission_refusals,
+            temporary_refusals: self.temporary_refusals,
             cancelled: std::mem::take(&mut self.rules.asked_to_cancel),
             ended: std::mem::take(&mut self.rules.ended),
-            machines: self.most_machines,
+            max_cpus_by_machine_size: self.max_cpus_by_machine_size,
             open: self.rules.open(),
             lost: self.rules.lost,
             started: self.rules.started,
             starts: self.rules.starts,
             jobs: self.rules.jobs,
-            slowest_answer: self.slowest_answer,
+            slowest_report_answer: self.slowest_report_answer,
             load: self.load,
             accepted: self.users.iter().filter(|u| u.accepted).count(),
             refused_writes: self.state.refused,
@@ -646,7 +646,7 @@
             *sizes.entry(worker.cpus() as u32).or_default() += worker.cpus();
         }
         for (size, cpus) in sizes {
-            let most = self.most_machines.entry(size).or_default();
+            let most = self.max_cpus_by_machine_size.entry(size).or_default();
             *most = most.max(cpus);
         }
         let silent = |f: &Fault| match f {
--- a/crates/testkit/src/world/machines.rs
+++ b/crates/testkit/src/world/machines.rs
@@ -258,7 +258,7 @@
             return;
         }
         worker.in_flight = None;
-        self.slowest_answer = self.slowest_answer.max(now - sent);
+        self.slowest_report_answer = self.slowest_report_answer.max(now - sent);
         match status {
             200 if worker.session() == session => {
                 if let Ok(answer) = decode::<ReportAnswer>(body) {
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -40,7 +40,7 @@
     pub(super) fn opens(&mut self, node: usize, id: SocketId, listener: Listener) -> bool {
         let frozen = self.frozen(node);
         let sockets = &mut self.nodes[node].sockets;
-        if sockets.open() >= self.most_sockets {
+        if sockets.open() >= self.max_sockets {
             // One that stands still can't help it.
             self.sockets.refused += usize::from(!frozen);
             return false;
--- a/crates/testkit/src/world/outcome.rs
+++ b/crates/testkit/src/world/outcome.rs
@@ -30,7 +30,7 @@
     /// Jobs accepted, however they ended.
     pub accepted: usize,
     /// The longest that a worker waited for an answer to a report.
-    pub slowest_answer: Duration,
+    pub slowest_report_answer: Duration,
     /// What the controllers asked of the outside.
     pub load: Load,
     /// Transactions that the state service refused for their size, and as too
@@ -43,15 +43,15 @@
     /// When each job that is done had its last task done.
     pub ended: BTreeMap<JobId, Duration>,
     /// How often submissions were refused for what is open already.
-    pub turned_away: usize,
+    pub admission_refusals: usize,
     /// How often users were told to come again, for whatever reason.
-    pub sent_back: usize,
+    pub temporary_refusals: usize,
     /// Jobs that their users asked to cancel.
     pub cancelled: BTreeSet<JobId>,
     /// When each user came first.
-    pub came: BTreeMap<JobId, Duration>,
+    pub submitted_at: BTreeMap<JobId, Duration>,
     /// What machines of each size had in processors at most: of each, of all.
-    pub machines: BTreeMap<u32, f64>,
+    pub max_cpus_by_machine_size: BTreeMap<u32, f64>,
     /// What really came about.
     pub evidence: Evidence,
     /// Tasks started after their user was told that the job is cancelled.
@@ -65,7 +65,7 @@
 impl Outcome {
     /// The longest that a job which was not called off had to wait until its first
     /// task started, and which one it was.
-    pub fn slowest_start(&self) -> Option<(Duration, JobId)> {
+    pub fn longest_start_delay(&self) -> Option<(Duration, JobId)> {
         let mut first: BTreeMap<&JobId, Duration> = BTreeMap::new();
         for (at, task) in &self.starts {
             first.entry(&task.job).or_insert(*at);
@@ -74,7 +74,7 @@
             .iter()
             .filter(|(id, _)| !self.cancelled.contains(**id));
         let waits = begun.map(|(id, at)| {
-            let came = self.came.get(*id).copied().unwrap_or_default();
+            let came = self.submitted_at.get(*id).copied().unwrap_or_default();
             (at.saturating_sub(came), (*id).clone())
         });
         waits.max()
@@ -91,7 +91,7 @@
         let jobs = self.jobs.iter().filter(|(_, s)| s.shape != Shape::Service);
         for (id, spec) in jobs.filter(|(id, _)| !self.cancelled.contains(*id)) {
             let ended = self.ended.get(id).filter(|at| **at <= end);
-            let came = self.came.get(id).copied().unwrap_or_default();
+            let came = self.submitted_at.get(id).copied().unwrap_or_default();
             for key in [spec.class.clone(), format!("team {}", spec.team)] {
                 let sum = sums.entry(key).or_default();
                 sum.submitted += 1;
--- a/crates/testkit/src/world/processes.rs
+++ b/crates/testkit/src/world/processes.rs
@@ -191,7 +191,7 @@
                     }
                     let later = answer.retry_after.filter(|after| *after > S);
                     if let (Asker::User { job, .. }, Some(after)) = (&asker, later) {
-                        self.turned_away += 1;
+                        self.admission_refusals += 1;
                         let user = self.users.iter_mut().find(|u| u.spec.id == *job);
                         if let Some(user) = user {
                             user.next = self.now + after;
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -12,7 +12,7 @@
 
 /// Jobs of a class that come besides the drawn ones.
 #[derive(Clone, Debug)]
-pub struct Crowd {
+pub struct ExtraJobs {
     /// The class: `rush` (high, done within 60 s) or `bulk` (standard, within
     /// 120 s).
     pub class: &'static str,
@@ -29,7 +29,7 @@
     /// When the last does.
     pub until: Duration,
     /// One in so many is called off within some seconds; 0: none.
-    pub called_off_one_in: u32,
+    pub cancel_one_in: u32,
 }
 
 /// What the settings say of workers' timing, and whether clocks drift apart.
@@ -42,17 +42,17 @@
     /// The time until a cancelled job's tasks have to be gone.
     pub cancel: Duration,
     /// Controllers' steady clocks differ by as much as the protocol allows.
-    pub drifts: bool,
+    pub clock_drift: bool,
 }
 
 impl Timing {
     /// What all days have that don't draw it. The contact limit is longer than the
     /// lease: a lease can run out while its holder may act without new contact.
-    pub const USUAL: Self = Self {
+    pub const DEFAULT: Self = Self {
         report: Duration::from_secs(2),
         lease: Duration::from_secs(12),
         cancel: Duration::from_secs(30),
-        drifts: false,
+        clock_drift: false,
     };
 }
 
@@ -64,13 +64,13 @@
     /// Jobs that users submit.
     pub jobs: usize,
     /// By how much jobs, limits and what can be rented are larger.
-    pub factor: u32,
+    pub scale: u32,
     /// Requests and changes a second that the state service takes.
-    pub state: (u32, u32),
+    pub state_rates: (u32, u32),
     /// Pipelines of jobs besides.
     pub pipelines: usize,
     /// Most sockets of a controller.
-    pub sockets: usize,
+    pub max_sockets: usize,
 }
 
 impl Size {
@@ -78,13 +78,13 @@
     pub const SMALL: Self = Self {
         machines: 6,
         jobs: 24,
-        factor: 1,
-        state: (120, 40),
+        scale: 1,
+        state_rates: (120, 40),
         pipelines: 0,
-        sockets: 200,
+        max_sockets: 200,
     };
     /// Few machines, and few jobs besides a crowd.
-    pub const CROWDED: Self = Self {
+    pub const FEW_JOBS: Self = Self {
         jobs: 6,
         ..Self::SMALL
     };
@@ -94,23 +94,23 @@
         ..Self::SMALL
     };
     /// Hundreds of machines, at a state service with narrow limits.
-    pub const GROWN: Self = Self {
+    pub const LARGE: Self = Self {
         machines: 280,
         jobs: 70,
-        factor: 20,
-        state: (100, 25),
+        scale: 20,
+        state_rates: (100, 25),
         pipelines: 0,
-        sockets: 1000,
+        max_sockets: 1000,
     };
 
     /// As many machines as the largest deployments have.
     pub const FLEET: Self = Self {
         machines: 1300,
         jobs: 120,
-        factor: 60,
-        state: (250, 60),
+        scale: 60,
+        state_rates: (250, 60),
         pipelines: 0,
-        sockets: 2500,
+        max_sockets: 2500,
     };
 
     /// What the state service takes at first, and what once it has lowered its
@@ -119,12 +119,12 @@
         let first = Limits {
             txn_ops: 20,
             value_bytes: 16 * 1024,
-            write_rps: f64::from(self.state.1),
+            write_rps: f64::from(self.state_rates.1),
         };
         let then = Limits {
             txn_ops: 6,
             value_bytes: 2 * 1024,
-            write_rps: f64::from(self.state.1) * 0.7,
+            write_rps: f64::from(self.state_rates.1) * 0.7,
         };
         [first, then]
     }
@@ -161,16 +161,16 @@
         node + 1,
         node + 1,
         peers.join(","),
-        12 * size.factor,
-        40 * size.factor,
-        8 * size.factor,
-        24 * size.factor,
+        12 * size.scale,
+        40 * size.scale,
+        8 * size.scale,
+        24 * size.scale,
         timing.report.as_secs_f64(),
         timing.lease.as_secs_f64(),
         timing.cancel.as_secs_f64(),
-        size.state.0,
-        size.state.1,
-        size.sockets,
+        size.state_rates.0,
+        size.state_rates.1,
+        size.max_sockets,
     );
     Settings::parse(&text).expect("the settings are good")
 }
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -230,7 +230,7 @@
                 }
             }
             _ => {
-                self.sent_back += 1;
+                self.temporary_refusals += 1;
                 let user = self.users.iter_mut().find(|u| u.spec.id == job);
                 if let Some(user) = user {
                     user.waiting = None;
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -22,7 +22,7 @@
 #[test]
 fn workers_are_answered_at_once() {
     for seed in 10..16 {
-        let slowest = day(seed, Vec::new(), None).slowest_answer;
+        let slowest = day(seed, Vec::new(), None).slowest_report_answer;
         // The write's own answer may be lost, which takes 1.5 s to notice.
         assert!(slowest < S * 9 / 5, "seed {seed}: {slowest:?}");
     }
@@ -90,7 +90,7 @@
     let load = &outcome.load;
     assert!(outcome.started > 3000, "{} started", outcome.started);
     // Writes may come a second's worth at once after a pause.
-    let (requests, writes) = Size::GROWN.state;
+    let (requests, writes) = Size::LARGE.state_rates;
     let most = |counts: &std::collections::BTreeMap<u64, usize>| counts.values().copied().max();
     assert!(most(&load.requests) <= Some(requests as usize), "{load:?}");
     assert!(most(&load.writes) <= Some(2 * writes as usize), "{load:?}");
@@ -163,7 +163,7 @@
 fn a_grown_roll() {
     let size = Size {
         pipelines: 12,
-        ..Size::GROWN
+        ..Size::LARGE
     };
     let faults = vec![
         Fault::Roll {
@@ -567,8 +567,8 @@
         },
     ];
     let size = Size {
-        sockets: 450,
-        ..Size::GROWN
+        max_sockets: 450,
+        ..Size::LARGE
     };
     World::sized(size, 44, S * 100, faults, sabotage).run(S * 400)
 }
@@ -622,7 +622,7 @@
         until: S * 90,
     };
     let faults = (0..3).map(slow).collect();
-    World::sized(Size::GROWN, 45, S * 100, faults, sabotage).run(S * 400)
+    World::sized(Size::LARGE, 45, S * 100, faults, sabotage).run(S * 400)
 }
 
 #[test]
--- a/crates/testkit/tests/exploration.rs
+++ b/crates/testkit/tests/exploration.rs
@@ -25,7 +25,7 @@
     report: Duration::from_millis(1000),
     lease: Duration::from_millis(8000),
     cancel: Duration::from_millis(22_000),
-    drifts: false,
+    clock_drift: false,
 };
 /// When the first choice is made and how far apart they are: the block changes hands
 /// some 3.5 s after its holder has lost the state service.
@@ -147,9 +147,9 @@
         ..Size::SMALL
     };
     let mut world = World::timed(size, TIMING, 1, S, faults, sabotage);
-    world.steady();
-    world.user(MS * 2000, replicas());
-    world.user(MS * 4000, job());
+    world.use_fixed_delays();
+    world.add_job(MS * 2000, replicas());
+    world.add_job(MS * 4000, job());
     world.run(END)
 }
 
--- a/crates/testkit/tests/handover.rs
+++ b/crates/testkit/tests/handover.rs
@@ -25,7 +25,7 @@
 /// Plays a day on which blocks change hands, with the usual settings.
 fn usual(seed: u64, sabotage: Option<Sabotage>) -> Outcome {
     let faults = draw_handovers(seed, NODES, CALM);
-    day(seed, Timing::USUAL, faults, sabotage)
+    day(seed, Timing::DEFAULT, faults, sabotage)
 }
 
 /// The state service refused a holder, whose block was leased anew a second later. The
@@ -115,7 +115,7 @@
     });
     side_by_side(10_600..10_612, |seed| {
         let (timing, faults) = (draw_timing(seed), draw_links(seed, NODES, CALM));
-        let outcome = World::timed(Size::GROWN, timing, seed, BUSY, faults, None).run(END);
+        let outcome = World::timed(Size::LARGE, timing, seed, BUSY, faults, None).run(END);
         let mut broken = outcome.broken.iter().filter(|b| is_about_safety(b.1));
         assert_eq!(broken.next(), None, "grown, seed {seed}, {timing:?}");
     });
--- a/crates/testkit/tests/links.rs
+++ b/crates/testkit/tests/links.rs
@@ -22,7 +22,7 @@
     }
     let outcome = day(seed, faults, sabotage);
     assert_eq!((outcome.broken, outcome.open), (vec![], vec![]), "{seed}");
-    outcome.sent_back
+    outcome.temporary_refusals
 }
 
 #[test]
--- a/crates/testkit/tests/meetings/main.rs
+++ b/crates/testkit/tests/meetings/main.rs
@@ -13,7 +13,7 @@
 };
 
 use oliveshift_core::Sabotage;
-use oliveshift_testkit::{Broken, Crowd, Fault, Outcome, Size, World, draw_meetings};
+use oliveshift_testkit::{Broken, ExtraJobs, Fault, Outcome, Size, World, draw_meetings};
 use oliveshift_wire::job::{JobSpec, Priority, Shape};
 
 use observers::OBSERVERS;
@@ -29,15 +29,20 @@
 const MORE_SEEDS: Range<u64> = 700..712;
 
 /// Plays a day; `RUST_LOG=debug` shows what the controllers say.
-fn play(crowds: &[Crowd], seed: u64, faults: Vec<Fault>, sabotage: Option<Sabotage>) -> Outcome {
+fn play(
+    crowds: &[ExtraJobs],
+    seed: u64,
+    faults: Vec<Fault>,
+    sabotage: Option<Sabotage>,
+) -> Outcome {
     let _ = env_logger::Builder::from_default_env()
         .is_test(true)
         .try_init();
     let mut world = World::sized(Size::SMALL, seed, S * 150, faults, sabotage);
     for (i, crowd) in (0..).zip(crowds) {
-        world.crowd(seed + i, crowd);
+        world.add_extra_jobs(seed + i, crowd);
     }
-    world.lengthen(LONG.class, 5.0);
+    world.scale_estimates(LONG.class, 5.0);
     world.run(END)
 }
 
@@ -46,7 +51,7 @@
 fn holds(what: &str, seed: u64, outcome: &Outcome) {
     assert_eq!(outcome.broken, [], "{what}, seed {seed}");
     assert_eq!(outcome.open, [], "{what}, seed {seed}");
-    let slowest = outcome.slowest_start();
+    let slowest = outcome.longest_start_delay();
     let in_time = slowest.as_ref().is_none_or(|(waited, _)| *waited < S * 240);
     assert!(in_time, "{what}, seed {seed}: {slowest:?}");
 }
@@ -199,7 +204,7 @@
     side_by_side(24, |day| {
         let seed = day as u64;
         let faults = draw_meetings(seed, 3, S * 140);
-        let world = World::sized(Size::GROWN, seed, S * 100, faults, None);
+        let world = World::sized(Size::LARGE, seed, S * 100, faults, None);
         holds("a drawn day, grown", seed, &world.run(S * 440));
     });
 }
@@ -226,7 +231,9 @@
     let other = others.find(|(_, rule, _)| *rule != Broken::LeftWaiting);
     assert_eq!(other, None, "seed {seed}");
     assert_eq!(outcome.open, [], "seed {seed}");
-    outcome.slowest_start().map_or(Duration::ZERO, |(at, _)| at)
+    outcome
+        .longest_start_delay()
+        .map_or(Duration::ZERO, |(at, _)| at)
 }
 
 /// The least urgent jobs of a team at its limit had no task for as long as more
@@ -248,7 +255,7 @@
 fn at_the_limit(seed: u64, sabotage: Option<Sabotage>) -> Outcome {
     let size = Size {
         jobs: 90,
-        ..Size::GROWN
+        ..Size::LARGE
     };
     let world = World::sized(size, seed, S * 60, Vec::new(), sabotage);
     world.run(S * 500)
@@ -350,8 +357,8 @@
         let mut world = World::sized(size, seed, S * 20, Vec::new(), sabotage);
         // Limits: red 40, blue 24 processors. There are eight ordinary small machines
         // at most, and each has memory for one task.
-        world.user(S * 5, spec("j-000001", "blue", 8.0, 9, Some("large")));
-        world.user(S * 30, spec("j-000002", "red", 1.0, 30, None));
+        world.add_job(S * 5, spec("j-000001", "blue", 8.0, 9, Some("large")));
+        world.add_job(S * 30, spec("j-000002", "red", 1.0, 30, None));
         world.run(S * 800)
     };
     for seed in SEEDS {
--- a/crates/testkit/tests/meetings/observers.rs
+++ b/crates/testkit/tests/meetings/observers.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use oliveshift_testkit::{Crowd, Fault, Outcome};
+use oliveshift_testkit::{ExtraJobs, Fault, Outcome};
 
 use crate::{
     MS, S,
@@ -14,7 +14,7 @@
 };
 
 /// One-task jobs, four a second for two minutes, a quarter of them cancelled.
-pub const SINGLES: Crowd = Crowd {
+pub const SINGLES: ExtraJobs = ExtraJobs {
     class: "single",
     team: "red",
     jobs: 480,
@@ -22,7 +22,7 @@
     cpus: 0.5,
     from: Duration::from_secs(15),
     until: Duration::from_secs(135),
-    called_off_one_in: 4,
+    cancel_one_in: 4,
 };
 
 /// The distance between two troubles that a seed is about, in steps.
--- a/crates/testkit/tests/meetings/rows.rs
+++ b/crates/testkit/tests/meetings/rows.rs
@@ -4,7 +4,7 @@
 use std::{ops::Range, time::Duration};
 
 use oliveshift_testkit::{
-    Crowd, Fault, Outcome,
+    ExtraJobs, Fault, Outcome,
     evidence::{Cancelled, LateWrite},
 };
 use oliveshift_wire::job::{JobSpec, Shape};
@@ -15,7 +15,7 @@
 pub struct Meeting {
     pub name: &'static str,
     /// Jobs that come besides the drawn ones.
-    pub crowds: &'static [Crowd],
+    pub crowds: &'static [ExtraJobs],
     pub faults: fn(seed: u64) -> Vec<Fault>,
     /// Whether the troubles met.
     pub met: fn(seed: u64, &Outcome) -> bool,
@@ -120,7 +120,7 @@
     faults
 }
 
-pub const SMALL_JOBS: Crowd = Crowd {
+pub const SMALL_JOBS: ExtraJobs = ExtraJobs {
     class: "bulk",
     team: "red",
     jobs: 40,
@@ -128,9 +128,9 @@
     cpus: 4.0,
     from: Duration::from_secs(30),
     until: Duration::from_secs(110),
-    called_off_one_in: 0,
+    cancel_one_in: 0,
 };
-pub const URGENT: Crowd = Crowd {
+pub const URGENT: ExtraJobs = ExtraJobs {
     class: "rush",
     team: "red",
     jobs: 16,
@@ -138,10 +138,10 @@
     cpus: 4.0,
     from: Duration::from_secs(20),
     until: Duration::from_secs(70),
-    called_off_one_in: 0,
+    cancel_one_in: 0,
 };
 /// Few jobs of long tasks.
-pub const LONG: Crowd = Crowd {
+pub const LONG: ExtraJobs = ExtraJobs {
     class: "long",
     team: "red",
     jobs: 10,
@@ -149,9 +149,9 @@
     cpus: 4.0,
     from: Duration::from_secs(5),
     until: Duration::from_secs(38),
-    called_off_one_in: 0,
+    cancel_one_in: 0,
 };
-pub const PATIENT: Crowd = Crowd {
+pub const PATIENT: ExtraJobs = ExtraJobs {
     class: "bulk",
     team: "blue",
     ..URGENT
@@ -499,8 +499,8 @@
             faults
         },
         met: |_, outcome| {
-            let waited = outcome.slowest_start().map(|(waited, _)| waited);
-            waited > Some(S * 20) && outcome.slowest_answer > S / 2
+            let waited = outcome.longest_start_delay().map(|(waited, _)| waited);
+            waited > Some(S * 20) && outcome.slowest_report_answer > S / 2
         },
     },
     Meeting {
--- a/crates/testkit/tests/overload.rs
+++ b/crates/testkit/tests/overload.rs
@@ -9,7 +9,7 @@
 
 use oliveshift_core::Sabotage;
 use oliveshift_testkit::{
-    Crowd, Fault, Outcome, Size, World,
+    ExtraJobs, Fault, Outcome, Size, World,
     best::{Arrival, Best, Pool, best},
     draw,
 };
@@ -30,7 +30,7 @@
 }
 
 /// Draws who comes: one class or both, sometimes all from one team.
-fn crowds(seed: u64) -> Vec<Crowd> {
+fn crowds(seed: u64) -> Vec<ExtraJobs> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x6f76_6572);
     let one_team = rng.u32(0..4) == 0;
     let mut crowds = Vec::new();
@@ -38,7 +38,7 @@
         for team in ["red", "blue"] {
             let floods = rng.u32(0..3) > 0 && !(one_team && team == "blue");
             let from = S * rng.u32(5..40);
-            crowds.push(Crowd {
+            crowds.push(ExtraJobs {
                 class,
                 team,
                 jobs: if floods { rng.usize(25..70) } else { 6 },
@@ -46,7 +46,7 @@
                 cpus: [1.0, 2.0][i],
                 from,
                 until: (from + S * rng.u32(30..80)).min(BUSY),
-                called_off_one_in: 0,
+                cancel_one_in: 0,
             });
         }
     }
@@ -57,9 +57,9 @@
     let _ = env_logger::Builder::from_default_env()
         .is_test(true)
         .try_init();
-    let mut world = World::sized(Size::CROWDED, seed, BUSY, faults, sabotage);
+    let mut world = World::sized(Size::FEW_JOBS, seed, BUSY, faults, sabotage);
     for (i, crowd) in crowds(seed).iter().enumerate() {
-        world.crowd(seed * 10 + i as u64, crowd);
+        world.add_extra_jobs(seed * 10 + i as u64, crowd);
     }
     world.run(end)
 }
@@ -71,7 +71,7 @@
     let arrays = arrays.filter(|(id, _)| !outcome.cancelled.contains(*id));
     let jobs: Vec<_> = arrays
         .filter_map(|(id, spec)| {
-            let at = *outcome.came.get(id)?;
+            let at = *outcome.submitted_at.get(id)?;
             Some(Arrival {
                 class: spec.class.clone(),
                 team: spec.team.clone(),
@@ -84,7 +84,7 @@
         })
         .collect();
     let pools: Vec<_> = outcome
-        .machines
+        .max_cpus_by_machine_size
         .iter()
         .map(|(each, cpus)| Pool {
             each: f64::from(*each),
@@ -275,19 +275,19 @@
                 ..Size::SMALL
             }
         } else {
-            Size::CROWDED
+            Size::FEW_JOBS
         };
         let mut world = World::sized(size, seed, BUSY, faults, None);
         for (i, crowd) in crowds(seed).iter().enumerate() {
-            world.crowd(seed * 10 + i as u64, crowd);
+            world.add_extra_jobs(seed * 10 + i as u64, crowd);
         }
-        world.horizon(S * 60);
+        world.set_horizon(S * 60);
         let outcome = world.run(END);
         assert_eq!(outcome.broken, [], "seed {seed}");
         assert_eq!(outcome.open, [], "seed {seed}");
         let jobs = outcome.jobs.len() - outcome.refused_jobs.len();
         assert_eq!(outcome.accepted, jobs, "seed {seed}");
-        turned_away += outcome.turned_away;
+        turned_away += outcome.admission_refusals;
     }
     assert!(turned_away > 100, "{turned_away}");
 }
--- a/crates/testkit/tests/plays/mod.rs
+++ b/crates/testkit/tests/plays/mod.rs
@@ -32,7 +32,7 @@
 
 /// Plays a day of hundreds of machines until `end`.
 pub fn grown(seed: u64, faults: Vec<Fault>, end: Duration) -> Outcome {
-    let outcome = World::sized(Size::GROWN, seed, S * 100, faults, None).run(end);
+    let outcome = World::sized(Size::LARGE, seed, S * 100, faults, None).run(end);
     assert_eq!(outcome.broken, [], "grown, seed {seed}");
     assert_eq!(outcome.open, [], "grown, seed {seed}");
     outcome
--- a/crates/testkit/tests/reread.rs
+++ b/crates/testkit/tests/reread.rs
@@ -52,7 +52,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let faults = short_cuts(&mut rng);
     let mut world = World::new(seed, BUSY, faults, sabotage);
-    world.keep_changes(rng.usize(2..8));
+    world.keep_newest_changes(rng.usize(2..8));
     world.run(END)
 }
 
--- a/crates/workflow/tests/sides.rs
+++ b/crates/workflow/tests/sides.rs
@@ -364,11 +364,11 @@
     let seen = Rc::new(RefCell::new(Seen::default()));
     let mut world = World::sized(size, seed, S * 90, faults, None);
     if size.jobs == 0 {
-        world.steady();
+        world.use_fixed_delays();
     }
     match as_cwl {
-        true => world.invite(Partner::new(pipelines(), seen.clone())),
-        false => world.invite(Staff::new(seen.clone())),
+        true => world.set_guest(Partner::new(pipelines(), seen.clone())),
+        false => world.set_guest(Staff::new(seen.clone())),
     }
     let outcome = world.run(S * 500);
     let seen = std::mem::take(&mut *seen.borrow_mut());
@@ -511,8 +511,8 @@
     for seed in [70, 71] {
         let play = |bundles| {
             let seen = Rc::new(RefCell::new(Seen::default()));
-            let mut world = World::sized(Size::GROWN, seed, S * 100, vec![], None);
-            world.invite(Partner::new(bundles, seen));
+            let mut world = World::sized(Size::LARGE, seed, S * 100, vec![], None);
+            world.set_guest(Partner::new(bundles, seen));
             let outcome = world.run(S * 200);
             assert_eq!(outcome.broken, vec![], "seed {seed}");
             outcome
