--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -5,32 +5,32 @@
 //! faults, while a checker watches for every rule. Everything follows from a
 //! seed, so a failure always comes back.
 
-pub mod best;
+pub mod api_client;
 pub mod cloud;
 pub mod contacts;
 pub mod draws;
 pub mod evidence;
 pub mod faults;
-pub mod guest;
 pub mod handover;
 pub mod model;
 pub mod net;
+pub mod parallel;
 pub mod rules;
-pub mod side_by_side;
 pub mod state;
 pub mod tools;
+pub mod upper_bound;
 pub mod worker;
 pub mod world;
 
+pub use api_client::{ApiClient, ApiOperation, ApiRequest};
 pub use draws::{
     draw, draw_combined_faults, draw_incidents, draw_lag, draw_quick_restarts,
     draw_rolling_upgrade, draw_slow_controllers,
 };
 pub use evidence::Evidence;
 pub use faults::{Direction, Fault, last_fault_end};
-pub use guest::{ApiClient, ApiOperation, ApiRequest};
 pub use handover::{draw_handovers, draw_links, draw_timing};
+pub use parallel::run_seeds_in_parallel;
 pub use rules::{RuleChecker, RuleViolation};
-pub use side_by_side::run_seeds_in_parallel;
 pub use state::{Limits as StateLimits, StateResponse, StateService};
 pub use world::{ExtraJobs, Load, Outcome, Size, Timing, World};
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -22,9 +22,9 @@
     lease: Option<u64>,
 }
 
-struct Hold {
-    life: Duration,
-    ends: Duration,
+struct LeaseEntry {
+    ttl: Duration,
+    expires_at: Duration,
 }
 
 /// The store, its log and its leases.
@@ -34,13 +34,13 @@
     keys: BTreeMap<String, Entry>,
     log: Vec<(u64, Event)>,
     /// How many of the newest changes are kept; none: all of them.
-    keeps: Option<usize>,
-    holds: BTreeMap<u64, Hold>,
-    next_hold: u64,
+    max_log_events: Option<usize>,
+    leases: BTreeMap<u64, LeaseEntry>,
+    next_lease_id: u64,
     limits: Limits,
     /// Changes that may be made now.
     tokens: f64,
-    tokens_at: Duration,
+    tokens_updated_at: Duration,
     /// Transactions refused for their size, and for coming too fast.
     pub refused: (usize, usize),
     /// Requests for changes that were no longer kept.
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Other limits hold from now on. What is stored stays.
+    /// Other limits lease from now on. What is stored stays.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
@@ -101,7 +101,7 @@
     /// Only so many of the newest changes are kept from now on: whoever asks for
     /// older ones has to read all keys again.
     pub fn retain_changes(&mut self, most: usize) {
-        self.keeps = Some(most);
+        self.max_log_events = Some(most);
     }
 
     /// Executes a request.
@@ -114,21 +114,22 @@
                 Err(e) => error(400, &e.to_string()),
             },
             (Method::Post, ["holds"]) => match decode::<LeaseRequest>(&call.body) {
-                Ok(wish) => {
-                    self.next_hold += 1;
-                    let life = Duration::from_millis(wish.ttl_ms);
-                    let ends = now + life;
-                    self.holds.insert(self.next_hold, Hold { life, ends });
-                    let lease = self.next_hold;
+                Ok(new_lease) => {
+                    self.next_lease_id += 1;
+                    let ttl = Duration::from_millis(new_lease.ttl_ms);
+                    let expires_at = now + ttl;
+                    self.leases
+                        .insert(self.next_lease_id, LeaseEntry { ttl, expires_at });
+                    let lease = self.next_lease_id;
                     StateResponse::Answer(200, encode(&LeaseGrant { lease }))
                 }
                 Err(e) => error(400, &e.to_string()),
             },
             (Method::Post, ["holds", id, "touch"]) => {
-                let hold = id.parse().ok().and_then(|id: u64| self.holds.get_mut(&id));
-                match hold {
-                    Some(hold) => {
-                        hold.ends = now + hold.life;
+                let lease = id.parse().ok().and_then(|id: u64| self.leases.get_mut(&id));
+                match lease {
+                    Some(lease) => {
+                        lease.expires_at = now + lease.ttl;
                         error(200, "")
                     }
                     None => error(404, "no such lease"),
@@ -175,7 +176,7 @@
 
     /// The answer to whoever asks for all changes after a revision.
     pub fn changes(&mut self, after: u64) -> (u16, Vec<u8>) {
-        let most = self.keeps.unwrap_or(usize::MAX);
+        let most = self.max_log_events.unwrap_or(usize::MAX);
         let dropped = self.log.len().saturating_sub(most);
         if dropped > 0 && self.log[dropped - 1].0 > after {
             self.too_old += 1;
@@ -201,8 +202,8 @@
         self.revision
     }
 
-    /// Whether a transaction keeps to the sizes allowed.
-    fn takes(&self, txn: &Txn) -> bool {
+    /// Whether a transaction max_log_events to the sizes allowed.
+    fn is_within_limits(&self, txn: &Txn) -> bool {
         let small = |change: &Change| match change {
             Change::Put { value, .. } => json_len(value) <= self.limits.value_bytes,
             Change::Delete { .. } => true,
@@ -216,9 +217,9 @@
     /// Whether so many changes may be made now.
     fn take_tokens(&mut self, now: Duration, changes: f64) -> bool {
         let rate = self.limits.write_rps;
-        let passed = now.saturating_sub(self.tokens_at).as_secs_f64();
+        let passed = now.saturating_sub(self.tokens_updated_at).as_secs_f64();
         self.tokens = (self.tokens + passed * rate).min(rate);
-        self.tokens_at = now;
+        self.tokens_updated_at = now;
         let enough = self.tokens >= changes;
         if enough {
             self.tokens -= changes;
@@ -227,7 +228,7 @@
     }
 
     fn txn(&mut self, now: Duration, txn: Txn) -> StateResponse {
-        if !self.takes(&txn) {
+        if !self.is_within_limits(&txn) {
             self.refused.0 += 1;
             return error(400, "too large");
         }
@@ -237,7 +238,7 @@
         }
         for change in &txn.changes {
             if let Change::Put { lease: Some(l), .. } = change
-                && !self.holds.contains_key(l)
+                && !self.leases.contains_key(l)
             {
                 return error(400, "no such lease");
             }
@@ -295,15 +296,15 @@
     /// Ends leases that were not renewed in time.
     pub fn expire_leases(&mut self, now: Duration) {
         let over: BTreeSet<_> = self
-            .holds
+            .leases
             .iter()
-            .filter(|(_, h)| h.ends < now)
+            .filter(|(_, h)| h.expires_at < now)
             .map(|(id, _)| *id)
             .collect();
         if over.is_empty() {
             return;
         }
-        self.holds.retain(|id, _| !over.contains(id));
+        self.leases.retain(|id, _| !over.contains(id));
         let attached = |e: &Entry| e.lease.is_some_and(|l| over.contains(&l));
         let keys: Vec<_> = self
             .keys
@@ -319,8 +320,8 @@
 
     /// After an outage every lease has its full time again.
     pub fn refresh_leases(&mut self, now: Duration) {
-        for hold in self.holds.values_mut() {
-            hold.ends = now + hold.life;
+        for lease in self.leases.values_mut() {
+            lease.expires_at = now + lease.ttl;
         }
     }
 }
--- a/crates/testkit/src/best.rs
+++ b/crates/testkit/src/upper_bound.rs
@@ -1,7 +1,7 @@
 //! The best that could have been done with the machines that exist: a slow
 //! plain allocation that knows all arrivals beforehand.
 //!
-//! Machines are a fluid here, as if tasks could be stopped and moved at no cost
+//! Machines are a fluid running, as if tasks could be stopped and moved at no cost
 //! and images were everywhere. So no scheduler reaches it; how near one comes is
 //! what counts.
 
@@ -23,20 +23,20 @@
     /// Processors of each.
     pub cpus: f64,
     /// How long each runs.
-    pub runs: Duration,
+    pub run_time: Duration,
 }
 
 impl Arrival {
     fn work(&self) -> f64 {
-        f64::from(self.tasks) * self.cpus * self.runs.as_secs_f64()
+        f64::from(self.tasks) * self.cpus * self.run_time.as_secs_f64()
     }
 }
 
 /// Machines of one size, services aside.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pool {
+pub struct MachinePool {
     /// Processors of each machine: a task with more does not fit.
-    pub each: f64,
+    pub cpus_per_machine: f64,
     /// Processors of all of them that are there for jobs.
     pub cpus: f64,
 }
@@ -44,7 +44,7 @@
 /// How many jobs of a class or team were submitted, could be done by the end,
 /// and could be done in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Best {
+pub struct JobCounts {
     /// Submitted.
     pub submitted: u32,
     /// Could be done by the end.
@@ -55,49 +55,52 @@
 
 /// What could be done by `end`, by class and by `team NAME`. A team uses at most
 /// its processors of `limits`.
-pub fn best(
+pub fn achievable_jobs(
     jobs: &[Arrival],
-    pools: &[Pool],
+    pools: &[MachinePool],
     limits: &BTreeMap<String, f64>,
     end: Duration,
-) -> BTreeMap<String, Best> {
-    let mut sums: BTreeMap<String, Best> = BTreeMap::new();
-    let mut add = |job: &Arrival, what: fn(&mut Best)| {
+) -> BTreeMap<String, JobCounts> {
+    let mut sums: BTreeMap<String, JobCounts> = BTreeMap::new();
+    let mut add = |job: &Arrival, what: fn(&mut JobCounts)| {
         what(sums.entry(job.class.clone()).or_default());
         what(sums.entry(format!("team {}", job.team)).or_default());
     };
     for job in jobs {
         add(job, |best| best.submitted += 1);
     }
-    for at in chosen(jobs, pools, limits, |job| job.due.min(end)) {
+    for at in feasible_jobs(jobs, pools, limits, |job| job.due.min(end)) {
         add(&jobs[at], |best| best.in_time += 1);
     }
-    for at in chosen(jobs, pools, limits, |_| end) {
+    for at in feasible_jobs(jobs, pools, limits, |_| end) {
         add(&jobs[at], |best| best.done += 1);
     }
     sums
 }
 
 /// Whether a job is among those that share something.
-type Member = Box<dyn Fn(&Arrival) -> bool>;
+type GroupFilter = Box<dyn Fn(&Arrival) -> bool>;
 
 /// The jobs that can be over by their times: the least work first, each taken
 /// if all taken so far still can.
-fn chosen(
+fn feasible_jobs(
     jobs: &[Arrival],
-    pools: &[Pool],
+    pools: &[MachinePool],
     limits: &BTreeMap<String, f64>,
     until: impl Fn(&Arrival) -> Duration,
 ) -> Vec<usize> {
     let mut by_work: Vec<usize> = (0..jobs.len()).collect();
     by_work.sort_by(|a, b| jobs[*a].work().total_cmp(&jobs[*b].work()));
     // What shares a limit: machines that are large enough, and a team's limit.
-    let sizes: Vec<f64> = pools.iter().map(|p| p.each).collect();
-    let mut groups: Vec<(Member, f64)> = Vec::new();
+    let sizes: Vec<f64> = pools.iter().map(|p| p.cpus_per_machine).collect();
+    let mut groups: Vec<(GroupFilter, f64)> = Vec::new();
     for size in sizes {
-        let larger = pools.iter().filter(move |p| p.each >= size);
+        let larger = pools.iter().filter(move |p| p.cpus_per_machine >= size);
         let cpus = larger.map(|p| p.cpus).sum();
-        let smaller = pools.iter().map(|p| p.each).filter(|each| *each < size);
+        let smaller = pools
+            .iter()
+            .map(|p| p.cpus_per_machine)
+            .filter(|each| *each < size);
         let smaller = smaller.fold(0.0, f64::max);
         // Those that fit nothing smaller have only these machines.
         groups.push((Box::new(move |job| job.cpus > smaller), cpus));
@@ -110,17 +113,17 @@
     let mut chosen = Vec::new();
     for at in by_work {
         let job = &jobs[at];
-        if until(job) < job.at + job.runs {
+        if until(job) < job.at + job.run_time {
             continue;
         }
-        let mine: Vec<usize> = (0..groups.len()).filter(|g| groups[*g].0(job)).collect();
-        let fits = mine.iter().all(|group| {
+        let job_groups: Vec<usize> = (0..groups.len()).filter(|g| groups[*g].0(job)).collect();
+        let fits = job_groups.iter().all(|group| {
             let mut with = plans[*group].clone();
             with.push(at);
-            can_all(jobs, &with, groups[*group].1, &until)
+            all_meet_deadlines(jobs, &with, groups[*group].1, &until)
         });
         if fits {
-            mine.iter().for_each(|group| plans[*group].push(at));
+            job_groups.iter().for_each(|group| plans[*group].push(at));
             chosen.push(at);
         }
     }
@@ -129,29 +132,29 @@
 
 /// Whether all of some jobs can be over by their times on so many processors:
 /// whoever has to be over first goes first, whenever that is someone else.
-fn can_all(
+fn all_meet_deadlines(
     jobs: &[Arrival],
     some: &[usize],
     cpus: f64,
     until: impl Fn(&Arrival) -> Duration,
 ) -> bool {
-    let mut coming = some.to_vec();
-    coming.sort_by_key(|at| std::cmp::Reverse(jobs[*at].at));
-    let mut here: BTreeMap<(Duration, usize), f64> = BTreeMap::new();
+    let mut arrivals = some.to_vec();
+    arrivals.sort_by_key(|at| std::cmp::Reverse(jobs[*at].at));
+    let mut running: BTreeMap<(Duration, usize), f64> = BTreeMap::new();
     let mut now = 0.0;
     loop {
-        while let Some(at) = coming.last().copied() {
-            if !here.is_empty() && jobs[at].at.as_secs_f64() > now {
+        while let Some(at) = arrivals.last().copied() {
+            if !running.is_empty() && jobs[at].at.as_secs_f64() > now {
                 break;
             }
-            coming.pop();
+            arrivals.pop();
             now = f64::max(now, jobs[at].at.as_secs_f64());
-            here.insert((until(&jobs[at]), at), jobs[at].work());
+            running.insert((until(&jobs[at]), at), jobs[at].work());
         }
-        let Some(mut first) = here.first_entry() else {
+        let Some(mut first) = running.first_entry() else {
             return true;
         };
-        let next = coming.last().map(|at| jobs[*at].at.as_secs_f64());
+        let next = arrivals.last().map(|at| jobs[*at].at.as_secs_f64());
         let ends = now + *first.get() / cpus.max(f64::MIN_POSITIVE);
         let (due, _) = *first.key();
         if let Some(next) = next.filter(|next| *next < ends) {
@@ -182,21 +185,21 @@
             due: Duration::from_secs(due),
             tasks,
             cpus,
-            runs: Duration::from_secs(10),
+            run_time: Duration::from_secs(10),
         }
     }
 
     #[test]
     fn the_small_ones_make_the_most_jobs() {
         // 8 processors for 100 s: 800 of 1,240.
-        let pools = [Pool {
-            each: 8.0,
+        let pools = [MachinePool {
+            cpus_per_machine: 8.0,
             cpus: 8.0,
         }];
         let mut jobs = vec![job(0, 50, 80, 1.0)];
         jobs.extend((0..11).map(|i| job(i, 50, 4, 1.0)));
         let end = Duration::from_secs(100);
-        let best = best(&jobs, &pools, &BTreeMap::new(), end)["a"];
+        let best = achievable_jobs(&jobs, &pools, &BTreeMap::new(), end)["a"];
         // Ten of 40 in 50 s on 8; by the end all eleven, and not the large one.
         assert_eq!((best.submitted, best.done, best.in_time), (12, 11, 10));
     }
@@ -204,21 +207,21 @@
     #[test]
     fn large_tasks_have_large_machines_only() {
         let pools = [
-            Pool {
-                each: 4.0,
+            MachinePool {
+                cpus_per_machine: 4.0,
                 cpus: 400.0,
             },
-            Pool {
-                each: 16.0,
+            MachinePool {
+                cpus_per_machine: 16.0,
                 cpus: 16.0,
             },
         ];
         let jobs: Vec<_> = (0..6).map(|_| job(0, 20, 2, 8.0)).collect();
         let end = Duration::from_secs(40);
-        let all = best(&jobs, &pools, &BTreeMap::new(), end);
+        let all = achievable_jobs(&jobs, &pools, &BTreeMap::new(), end);
         assert_eq!((all["a"].done, all["a"].in_time), (4, 2));
         let limits = BTreeMap::from([("t".to_owned(), 8.0)]);
-        let limited = best(&jobs, &pools, &limits, end);
+        let limited = achievable_jobs(&jobs, &pools, &limits, end);
         assert_eq!((limited["team t"].done, limited["team t"].in_time), (2, 1));
     }
 }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -15,7 +15,7 @@
 };
 
 /// For so long a machine counts as new.
-const NEW: Duration = Duration::from_secs(5);
+const NEW_MACHINE_AGE: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
@@ -45,12 +45,12 @@
     /// Its last reports.
     pub contacts: ContactHistory,
     kind: MachineType,
-    up_at: Duration,
+    started_at: Duration,
     session: u64,
     seq: u64,
     token: u64,
     lease: Duration,
-    renewed: Duration,
+    lease_renewed_at: Duration,
     tasks: BTreeMap<(TaskId, u64), Stage>,
     images: Vec<String>,
 }
@@ -74,12 +74,12 @@
             report_at: now,
             contacts: ContactHistory::default(),
             kind,
-            up_at: now,
+            started_at: now,
             session: 1,
             seq: 0,
             token: 0,
             lease,
-            renewed: now,
+            lease_renewed_at: now,
             tasks: BTreeMap::new(),
             images: Vec::new(),
         }
@@ -104,7 +104,7 @@
 
     /// It hangs: only its lease goes on.
     pub fn check_lease_while_hung(&mut self, now: Duration, rules: &mut RuleChecker) {
-        if now > self.renewed + self.lease {
+        if now > self.lease_renewed_at + self.lease {
             self.drop_tasks(rules);
         }
     }
@@ -179,7 +179,7 @@
         }
         self.contacts.answered(ReportOutcome::Renewed);
         self.token = answer.token;
-        self.renewed = self.renewed.max(sent);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent);
         self.execute(now, answer.orders, rules);
     }
 
@@ -296,12 +296,12 @@
 
     /// Time has passed.
     pub fn advance(&mut self, now: Duration, rules: &mut RuleChecker) {
-        if now > self.renewed + self.lease {
+        if now > self.lease_renewed_at + self.lease {
             if self.tasks() > 0 {
                 log::debug!(
                     "{}: lease over at {:.2} s with {} tasks, token {};{}",
                     self.name,
-                    (self.renewed + self.lease).as_secs_f64(),
+                    (self.lease_renewed_at + self.lease).as_secs_f64(),
                     self.tasks(),
                     self.token,
                     self.contacts
@@ -309,7 +309,7 @@
             }
             self.drop_tasks(rules);
             self.session += 1;
-            self.renewed = now;
+            self.lease_renewed_at = now;
             self.schedule_early_report(now);
         }
         let mut changed = false;
@@ -323,7 +323,7 @@
                     }
                     let service = spec.shape == Shape::Service;
                     rules.task_started(now, task, &self.name, &self.site);
-                    if now < self.up_at + NEW {
+                    if now < self.started_at + NEW_MACHINE_AGE {
                         rules.starts_on_new.push(now);
                     }
                     *stage = Stage::Running((!service).then_some(now + run));
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -33,10 +33,10 @@
 };
 
 use crate::{
+    api_client::ApiClient,
     cloud::Cloud,
     evidence::Evidence,
     faults::{Fault, RESTART_DELAY, last_fault_end, upgrade_complete_at},
-    guest::ApiClient,
     net::{ConnectionCounts, Sockets},
     rules::{RuleChecker, Site},
     state::{Limits, StateService},
--- a/crates/testkit/src/world/outcome.rs
+++ b/crates/testkit/src/world/outcome.rs
@@ -10,7 +10,9 @@
     job::{JobSpec, Shape},
 };
 
-use crate::{best::Best, evidence::Evidence, net::ConnectionCounts, rules::RuleViolation};
+use crate::{
+    evidence::Evidence, net::ConnectionCounts, rules::RuleViolation, upper_bound::JobCounts,
+};
 
 /// What came of a day.
 #[derive(Debug)]
@@ -86,8 +88,8 @@
         &self,
         end: Duration,
         due: impl Fn(&JobSpec) -> Duration,
-    ) -> BTreeMap<String, Best> {
-        let mut sums: BTreeMap<String, Best> = BTreeMap::new();
+    ) -> BTreeMap<String, JobCounts> {
+        let mut sums: BTreeMap<String, JobCounts> = BTreeMap::new();
         let jobs = self.jobs.iter().filter(|(_, s)| s.shape != Shape::Service);
         for (id, spec) in jobs.filter(|(id, _)| !self.cancelled.contains(*id)) {
             let ended = self.ended.get(id).filter(|at| **at <= end);
--- a/crates/testkit/src/world/users.rs
+++ b/crates/testkit/src/world/users.rs
@@ -11,8 +11,8 @@
 use super::{Ask, Asker, Event, MS, NODES, S, USER_PATIENCE, World, looks::LookAnswer};
 use crate::{
     Direction,
+    api_client::{ApiOperation, ApiRequest},
     faults::Fault,
-    guest::{ApiOperation, ApiRequest},
 };
 
 impl World {
--- a/crates/testkit/tests/overload.rs
+++ b/crates/testkit/tests/overload.rs
@@ -9,9 +9,8 @@
 
 use oliveshift_core::Sabotage;
 use oliveshift_testkit::{
-    ExtraJobs, Fault, Outcome, Size, World,
-    best::{Arrival, Best, Pool, best},
-    draw,
+    ExtraJobs, Fault, Outcome, Size, World, draw,
+    upper_bound::{Arrival, JobCounts, MachinePool, achievable_jobs},
 };
 use oliveshift_wire::{
     JobId,
@@ -65,7 +64,7 @@
 }
 
 /// What could have been served by `LOOK`.
-fn possible(outcome: &Outcome) -> BTreeMap<String, Best> {
+fn possible(outcome: &Outcome) -> BTreeMap<String, JobCounts> {
     let jobs = outcome.jobs.iter();
     let arrays = jobs.filter(|(_, s)| s.shape != Shape::Service);
     let arrays = arrays.filter(|(id, _)| !outcome.cancelled.contains(*id));
@@ -79,20 +78,20 @@
                 due: at + due(spec),
                 tasks: spec.tasks,
                 cpus: spec.cpus,
-                runs: Duration::from_secs_f64(spec.estimate_s),
+                run_time: Duration::from_secs_f64(spec.estimate_s),
             })
         })
         .collect();
     let pools: Vec<_> = outcome
         .max_cpus_by_machine_size
         .iter()
-        .map(|(each, cpus)| Pool {
-            each: f64::from(*each),
+        .map(|(each, cpus)| MachinePool {
+            cpus_per_machine: f64::from(*each),
             cpus: *cpus,
         })
         .collect();
     let limits = [("red", 40.0), ("blue", 24.0)].map(|(team, cpus)| (team.to_owned(), cpus));
-    best(&jobs, &pools, &limits.into(), LOOK)
+    achievable_jobs(&jobs, &pools, &limits.into(), LOOK)
 }
 
 /// Classes and teams of fewer jobs are a handful.
@@ -112,8 +111,8 @@
 }
 
 struct Sums {
-    real: Best,
-    best: Best,
+    real: JobCounts,
+    best: JobCounts,
     /// Classes and teams of which far less than half was served though half
     /// could have been.
     starved: Vec<String>,
@@ -126,8 +125,8 @@
     let real = outcome.served(LOOK, due);
     let best = possible(outcome);
     let mut sums = Sums {
-        real: Best::default(),
-        best: Best::default(),
+        real: JobCounts::default(),
+        best: JobCounts::default(),
         starved: Vec::new(),
         below_half: Vec::new(),
     };
--- a/crates/xtask/src/best.rs
+++ b/crates/xtask/src/best.rs
@@ -12,7 +12,7 @@
 
 use clap::Args;
 use comfy_table::{Table, presets};
-use oliveshift_testkit::best::{Arrival, Pool, best};
+use oliveshift_testkit::upper_bound::{Arrival, MachinePool, achievable_jobs};
 use thiserror::Error;
 
 /// What is looked at.
@@ -82,7 +82,7 @@
                     due: Duration::ZERO,
                     tasks: before(text, " tasks")? as u32,
                     cpus: before(text, " processors")?,
-                    runs: Duration::try_from_secs_f64(runs).ok()?,
+                    run_time: Duration::try_from_secs_f64(runs).ok()?,
                 };
                 self.jobs.push((job, due));
             }
@@ -102,7 +102,7 @@
         None
     }
 
-    fn pools(&self) -> Vec<Pool> {
+    fn pools(&self) -> Vec<MachinePool> {
         let mut pools: BTreeMap<u32, f64> = BTreeMap::new();
         let mut kinds: BTreeMap<u32, f64> = BTreeMap::new();
         for (machines, cpus) in self.machines.values() {
@@ -113,8 +113,8 @@
         let pools = pools.into_iter().map(|(size, cpus)| {
             let (sum, times) = self.services.get(&size).copied().unwrap_or((0.0, 1));
             let services = sum / f64::from(times.max(1)) * kinds[&size];
-            Pool {
-                each: f64::from(size),
+            MachinePool {
+                cpus_per_machine: f64::from(size),
                 cpus: (cpus - services).max(0.0),
             }
         });
@@ -152,12 +152,15 @@
         })
         .collect();
     for pool in &pools {
-        println!("{:.0} processors on machines of {}", pool.cpus, pool.each);
+        println!(
+            "{:.0} processors on machines of {}",
+            pool.cpus, pool.cpus_per_machine
+        );
     }
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
     table.set_header(["of", "submitted", "done at best", "in time at best"]);
-    for (what, best) in best(&jobs, &pools, &BTreeMap::new(), end) {
+    for (what, best) in achievable_jobs(&jobs, &pools, &BTreeMap::new(), end) {
         let share = |part: u32| f64::from(part) / f64::from(best.submitted.max(1));
         table.add_row([
             what,
@@ -189,9 +192,9 @@
         assert_eq!(seen.jobs.len(), 1);
         let (job, due) = &seen.jobs[0];
         assert_eq!((job.tasks, job.cpus, *due), (12, 4.0, 0.0));
-        assert_eq!(job.runs, Duration::from_millis(40_500));
-        let pool = Pool {
-            each: 64.0,
+        assert_eq!(job.run_time, Duration::from_millis(40_500));
+        let pool = MachinePool {
+            cpus_per_machine: 64.0,
             cpus: 112.0,
         };
         assert_eq!(seen.pools(), [pool]);
