--- a/crates/daemon/tests/workflows.rs
+++ b/crates/daemon/tests/workflows.rs
@@ -265,7 +265,7 @@
                 stop,
             });
             let outcome = world.run(Duration::from_secs(1200));
-            assert_eq!(outcome.broken, vec![]);
+            assert_eq!(outcome.violations, vec![]);
         });
         Self {
             sender,
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -520,7 +520,7 @@
             refused_writes: self.state.refused,
             refused_jobs: self.refused_jobs,
             sockets: self.sockets,
-            broken: self.rules.violations,
+            violations: self.rules.violations,
             evidence: Evidence {
                 early_starts: std::mem::take(&mut self.rules.starts_on_new),
                 too_old: self.state.too_old,
--- a/crates/testkit/src/world/machines.rs
+++ b/crates/testkit/src/world/machines.rs
@@ -92,7 +92,10 @@
 
     pub(super) fn send_report(&mut self, name: &str) {
         let now = self.now;
-        let (hangs, reports_lost) = (self.hangs_until(name).is_some(), self.are_reports_lost(name));
+        let (hangs, reports_lost) = (
+            self.hangs_until(name).is_some(),
+            self.are_reports_lost(name),
+        );
         let jitter = match self.fixed_delays {
             true => 1.0,
             false => self.rng.f64() * 0.5 + 0.75,
--- a/crates/testkit/src/world/outcome.rs
+++ b/crates/testkit/src/world/outcome.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Outcome {
     /// Broken rules.
-    pub broken: Vec<(Duration, RuleViolation, String)>,
+    pub violations: Vec<(Duration, RuleViolation, String)>,
     /// Accepted jobs that should have ended and did not.
     pub open: Vec<JobId>,
     /// Tasks that ended with their machine or with the lease of their worker.
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -150,9 +150,9 @@
         ]
     };
     let all = roll(70, faults(2), None);
-    assert_eq!((all.broken, all.open), (vec![], vec![]));
+    assert_eq!((all.violations, all.open), (vec![], vec![]));
     let held_up = roll(70, faults(0), None);
-    assert_eq!(held_up.broken, []);
+    assert_eq!(held_up.violations, []);
     // Pipelines are not accepted; what else was submitted is done.
     assert_eq!(held_up.open, []);
     assert!(held_up.accepted + 12 < all.accepted);
@@ -179,7 +179,7 @@
         },
     ];
     let outcome = World::sized(size, 50, S * 100, faults, None).run(S * 320);
-    assert_eq!(outcome.broken, []);
+    assert_eq!(outcome.violations, []);
     assert_eq!(outcome.open, []);
     assert_eq!(outcome.refused_writes.0, 0);
     assert!(outcome.started > 3000, "{} started", outcome.started);
@@ -192,7 +192,7 @@
     let faults = draw(seed, 3, S * 180);
     let text = format!("{faults:?}");
     let outcome = day(seed, faults, None);
-    assert_eq!(outcome.broken, [], "seed {seed}: {text}");
+    assert_eq!(outcome.violations, [], "seed {seed}: {text}");
     assert_eq!(outcome.open, [], "seed {seed}: {text}");
     assert!(outcome.started > 20, "seed {seed}");
 }
@@ -352,7 +352,7 @@
     };
     let outcome = day(seed, vec![outage, crash], sabotage);
     assert_eq!(
-        (&outcome.broken[..], &outcome.open[..]),
+        (&outcome.violations[..], &outcome.open[..]),
         (&[][..], &[][..]),
         "{seed}"
     );
@@ -406,7 +406,7 @@
 ) {
     let caught = (0..seeds).any(|seed| {
         let outcome = day(seed, faults(seed), Some(sabotage));
-        outcome.broken.iter().any(|(_, b, _)| *b == rule)
+        outcome.violations.iter().any(|(_, b, _)| *b == rule)
     });
     assert!(caught, "{sabotage:?} went unnoticed");
 }
@@ -542,7 +542,7 @@
 }
 
 fn broke(rule: RuleViolation) -> impl Fn(&Outcome) -> bool {
-    move |outcome| outcome.broken.iter().any(|(_, b, _)| *b == rule)
+    move |outcome| outcome.violations.iter().any(|(_, b, _)| *b == rule)
 }
 
 #[test]
@@ -601,7 +601,7 @@
 #[test]
 fn sockets_are_left_for_users() {
     let outcome = crowd(None);
-    assert_eq!((outcome.broken, outcome.open), (vec![], vec![]));
+    assert_eq!((outcome.violations, outcome.open), (vec![], vec![]));
     let sockets = outcome.sockets;
     assert!((430..=450).contains(&sockets.peak), "{sockets:?}");
     assert!(sockets.asked > 2000, "{sockets:?}");
@@ -653,7 +653,7 @@
 #[test]
 fn users_are_served_by_whoever_is_behind() {
     let outcome = overload(None);
-    assert_eq!((outcome.broken, outcome.open), (vec![], vec![]));
+    assert_eq!((outcome.violations, outcome.open), (vec![], vec![]));
     assert_eq!(outcome.sockets.late, (0, 0), "{:?}", outcome.sockets);
 }
 
--- a/crates/testkit/tests/exploration.rs
+++ b/crates/testkit/tests/exploration.rs
@@ -195,7 +195,7 @@
         self.started_again += usize::from(watched.count() > 1);
         self.leases_lost += usize::from(outcome.lost > 0);
         self.forwarded += usize::from(outcome.evidence.forwarded_reports > 0);
-        let broken = outcome.broken.first().map(|b| (choices, b.1));
+        let broken = outcome.violations.first().map(|b| (choices, b.1));
         self.broken.extend(broken);
     }
 }
--- a/crates/testkit/tests/handover.rs
+++ b/crates/testkit/tests/handover.rs
@@ -37,7 +37,7 @@
     let mut broken = Vec::new();
     for seed in 0..40 {
         let outcome = usual(seed, None);
-        broken.extend(outcome.broken.into_iter().map(|b| (seed, b)));
+        broken.extend(outcome.violations.into_iter().map(|b| (seed, b)));
         assert_eq!(outcome.open, [], "seed {seed}");
     }
     assert_eq!(broken, []);
@@ -45,7 +45,7 @@
 
 /// The rules that were broken on some of these days.
 fn broken_with(sabotage: Sabotage) -> Vec<RuleViolation> {
-    let broken = (0..40).flat_map(|seed| usual(seed, Some(sabotage)).broken);
+    let broken = (0..40).flat_map(|seed| usual(seed, Some(sabotage)).violations);
     broken.map(|(_, rule, _)| rule).collect()
 }
 
@@ -82,7 +82,7 @@
 fn safe_whatever_the_settings(seed: u64, draw: impl Fn(u64, usize, Duration) -> Vec<Fault>) {
     let timing = draw_timing(seed);
     let outcome = day(seed, timing, draw(seed, NODES, CALM), None);
-    let broken = outcome.broken.into_iter();
+    let broken = outcome.violations.into_iter();
     let broken: Vec<_> = broken.filter(|b| is_about_safety(b.1)).collect();
     assert_eq!(broken, [], "seed {seed}, {timing:?}");
 }
@@ -116,7 +116,7 @@
     run_seeds_in_parallel(10_600..10_612, |seed| {
         let (timing, faults) = (draw_timing(seed), draw_links(seed, NODES, CALM));
         let outcome = World::timed(Size::LARGE, timing, seed, BUSY, faults, None).run(END);
-        let mut broken = outcome.broken.iter().filter(|b| is_about_safety(b.1));
+        let mut broken = outcome.violations.iter().filter(|b| is_about_safety(b.1));
         assert_eq!(broken.next(), None, "grown, seed {seed}, {timing:?}");
     });
 }
--- a/crates/testkit/tests/links.rs
+++ b/crates/testkit/tests/links.rs
@@ -21,7 +21,11 @@
         faults.push(Fault::CutState { node, from, until });
     }
     let outcome = day(seed, faults, sabotage);
-    assert_eq!((outcome.broken, outcome.open), (vec![], vec![]), "{seed}");
+    assert_eq!(
+        (outcome.violations, outcome.open),
+        (vec![], vec![]),
+        "{seed}"
+    );
     outcome.temporary_refusals
 }
 
@@ -62,11 +66,19 @@
 fn a_cut_from_the_workers_alone_costs_no_task() {
     for seed in 80..90 {
         let outcome = cut_from_workers(seed, false, None);
-        assert_eq!((outcome.broken, outcome.open), (vec![], vec![]), "{seed}");
+        assert_eq!(
+            (outcome.violations, outcome.open),
+            (vec![], vec![]),
+            "{seed}"
+        );
         assert_eq!(outcome.lost, 0, "seed {seed}");
         // A worker that tries both first comes too late for its lease.
         let outcome = cut_from_workers(seed, true, None);
-        assert_eq!((outcome.broken, outcome.open), (vec![], vec![]), "{seed}");
+        assert_eq!(
+            (outcome.violations, outcome.open),
+            (vec![], vec![]),
+            "{seed}"
+        );
     }
 }
 
@@ -132,7 +144,11 @@
     let lost = Mutex::new(Vec::new());
     run_seeds_in_parallel(seeds, |seed| {
         let outcome = play(seed);
-        assert_eq!((outcome.broken, outcome.open), (vec![], vec![]), "{seed}");
+        assert_eq!(
+            (outcome.violations, outcome.open),
+            (vec![], vec![]),
+            "{seed}"
+        );
         if outcome.lost > 0 {
             let mut lost = lost.lock().expect("no panic before");
             lost.push((seed, outcome.lost));
@@ -195,7 +211,11 @@
 fn machines_that_come_to_others_are_not_given_up() {
     for seed in 0..24 {
         let outcome = short_cuts(seed, None);
-        assert_eq!((outcome.broken, outcome.open), (vec![], vec![]), "{seed}");
+        assert_eq!(
+            (outcome.violations, outcome.open),
+            (vec![], vec![]),
+            "{seed}"
+        );
         assert_eq!(outcome.lost, 0, "seed {seed}");
     }
     let lost = |sabotage| -> usize {
--- a/crates/testkit/tests/meetings/main.rs
+++ b/crates/testkit/tests/meetings/main.rs
@@ -51,7 +51,7 @@
 /// What has to hold on any day: no rule broken, all work done, nobody made to wait
 /// four minutes for a first task.
 fn holds(what: &str, seed: u64, outcome: &Outcome) {
-    assert_eq!(outcome.broken, [], "{what}, seed {seed}");
+    assert_eq!(outcome.violations, [], "{what}, seed {seed}");
     assert_eq!(outcome.open, [], "{what}, seed {seed}");
     let slowest = outcome.longest_start_delay();
     let in_time = slowest.as_ref().is_none_or(|(waited, _)| *waited < S * 240);
@@ -181,7 +181,7 @@
         let outcome = play(&[LONG], *seed, faults, Some(Sabotage::NoContactLimit));
         let late =
             |(_, rule, _): &(Duration, RuleViolation, String)| *rule == RuleViolation::RanCancelled;
-        outcome.broken.iter().any(late)
+        outcome.violations.iter().any(late)
     });
     assert!(caught.count() >= 2);
 }
@@ -230,7 +230,7 @@
     let outcome = at_the_limit(seed, sabotage);
     // At 25 writes a second single jobs still wait for 90 s beside room between two of
     // their tasks; that is in the list of known faults.
-    let mut others = outcome.broken.iter();
+    let mut others = outcome.violations.iter();
     let other = others.find(|(_, rule, _)| *rule != RuleViolation::LeftWaiting);
     assert_eq!(other, None, "seed {seed}");
     assert_eq!(outcome.open, [], "seed {seed}");
--- a/crates/testkit/tests/meetings/sabotage.rs
+++ b/crates/testkit/tests/meetings/sabotage.rs
@@ -17,7 +17,7 @@
 }
 
 pub fn broke(rule: RuleViolation) -> impl Fn(&Outcome) -> bool {
-    move |outcome| outcome.broken.iter().any(|(_, b, _)| *b == rule)
+    move |outcome| outcome.violations.iter().any(|(_, b, _)| *b == rule)
 }
 
 fn cancels(_: u64) -> Vec<Fault> {
@@ -79,7 +79,7 @@
     is_caught(Sabotage::FromMemory, looks, |outcome| {
         let older = [RuleViolation::Forgotten, RuleViolation::WentBack];
         outcome
-            .broken
+            .violations
             .iter()
             .any(|(_, rule, _)| older.contains(rule))
     });
@@ -101,7 +101,7 @@
         faults
     };
     is_caught(Sabotage::NoLateStarts, faults, |outcome| {
-        !outcome.broken.is_empty() || outcome.late_starts > 0
+        !outcome.violations.is_empty() || outcome.late_starts > 0
     });
 }
 
--- a/crates/testkit/tests/overload.rs
+++ b/crates/testkit/tests/overload.rs
@@ -162,7 +162,7 @@
 fn good(seed: u64, faults: Vec<Fault>) -> Outcome {
     let text = format!("{faults:?}");
     let outcome = day(seed, faults, None, END);
-    assert_eq!(outcome.broken, [], "seed {seed}: {text}");
+    assert_eq!(outcome.violations, [], "seed {seed}: {text}");
     assert_eq!(outcome.open, [], "seed {seed}: {text}");
     outcome
 }
@@ -282,7 +282,7 @@
         }
         world.set_horizon(S * 60);
         let outcome = world.run(END);
-        assert_eq!(outcome.broken, [], "seed {seed}");
+        assert_eq!(outcome.violations, [], "seed {seed}");
         assert_eq!(outcome.open, [], "seed {seed}");
         let jobs = outcome.jobs.len() - outcome.refused_jobs.len();
         assert_eq!(outcome.accepted, jobs, "seed {seed}");
--- a/crates/testkit/tests/plays/mod.rs
+++ b/crates/testkit/tests/plays/mod.rs
@@ -20,7 +20,7 @@
 pub fn good(seed: u64, faults: Vec<Fault>) {
     let text = format!("{faults:?}");
     let outcome = day(seed, faults, None);
-    assert_eq!(outcome.broken, [], "seed {seed}: {text}");
+    assert_eq!(outcome.violations, [], "seed {seed}: {text}");
     assert_eq!(outcome.open, [], "seed {seed}: {text}");
     assert!(
         outcome.started > 20,
@@ -33,7 +33,7 @@
 /// Plays a day of hundreds of machines until `end`.
 pub fn grown(seed: u64, faults: Vec<Fault>, end: Duration) -> Outcome {
     let outcome = World::sized(Size::LARGE, seed, S * 100, faults, None).run(end);
-    assert_eq!(outcome.broken, [], "grown, seed {seed}");
+    assert_eq!(outcome.violations, [], "grown, seed {seed}");
     assert_eq!(outcome.open, [], "grown, seed {seed}");
     outcome
 }
@@ -50,7 +50,7 @@
 pub fn good_roll(seed: u64, faults: Vec<Fault>) {
     let text = format!("{faults:?}");
     let outcome = roll(seed, faults, None);
-    assert_eq!(outcome.broken, [], "seed {seed}: {text}");
+    assert_eq!(outcome.violations, [], "seed {seed}: {text}");
     assert_eq!(outcome.open, [], "seed {seed}: {text}");
     assert_eq!(outcome.refused_writes.0, 0, "seed {seed}: {text}");
     assert!(outcome.refused_jobs.is_empty(), "seed {seed}");
--- a/crates/testkit/tests/reread.rs
+++ b/crates/testkit/tests/reread.rs
@@ -67,7 +67,7 @@
     let mut too_old = 0;
     for seed in 0..40 {
         let outcome = day(seed, None);
-        assert_eq!(outcome.broken, [], "seed {seed}");
+        assert_eq!(outcome.violations, [], "seed {seed}");
         assert_eq!(outcome.open, [], "seed {seed}");
         too_old += outcome.evidence.too_old;
     }
@@ -81,7 +81,7 @@
 
 fn is_caught_on(seeds: impl IntoIterator<Item = u64>, sabotage: Sabotage, rules: &[RuleViolation]) {
     let caught = seeds.into_iter().any(|seed| {
-        let broken = day(seed, Some(sabotage)).broken;
+        let broken = day(seed, Some(sabotage)).violations;
         broken.iter().any(|(_, rule, _)| rules.contains(rule))
     });
     assert!(caught, "{sabotage:?} went unnoticed");
--- a/crates/workflow/tests/sides.rs
+++ b/crates/workflow/tests/sides.rs
@@ -403,7 +403,7 @@
         let (partner, partner_seen) = play(PIPELINES_ONLY, seed, true, vec![]);
         for outcome in [&staff, &partner] {
             assert_eq!(
-                (&outcome.broken, &outcome.open),
+                (&outcome.violations, &outcome.open),
                 (&vec![], &vec![]),
                 "seed {seed}"
             );
@@ -458,7 +458,7 @@
             let (outcome, seen) = play(Size::SMALL, seed, as_cwl, faults);
             let what = format!("seed {seed}, as CWL: {as_cwl}");
             assert_eq!(
-                (&outcome.broken, &outcome.open),
+                (&outcome.violations, &outcome.open),
                 (&vec![], &vec![]),
                 "{what}"
             );
@@ -515,7 +515,7 @@
             let mut world = World::sized(Size::LARGE, seed, S * 100, vec![], None);
             world.set_api_client(Partner::new(bundles, seen));
             let outcome = world.run(S * 200);
-            assert_eq!(outcome.broken, vec![], "seed {seed}");
+            assert_eq!(outcome.violations, vec![], "seed {seed}");
             outcome
         };
         let (without, with) = (play(vec![]), play(vec![(S * 15, batch())]));
