--- a/crates/wire/tests/settings.rs
+++ b/crates/wire/tests/settings.rs
@@ -1,11 +1,11 @@
-//! What follows from the settings, whatever they are.
+//! Properties that the limits derived from valid settings have to have.
 
 use std::time::Duration;
 
 use oliveshift_wire::settings::{BadSettings, Settings};
 
-/// How much faster than others a clock may run.
-const DRIFT: f64 = 0.0005;
+/// The largest relative drift between the clocks of two machines.
+const MAX_CLOCK_DRIFT: f64 = 0.0005;
 
 fn settings(lease_s: &str, cancel_s: &str) -> Result<Settings, BadSettings> {
     let text = format!(
@@ -18,8 +18,9 @@
     Settings::parse(&text)
 }
 
-/// Limits are measured on clocks that run apart. A takeover limit without the drift of
-/// the contact limit was too short where that is more than 2,000 s.
+/// Guards against limits that ignore the drift of the clocks they are measured on: a takeover
+/// limit that did not include the drift over the contact limit was too short with contact
+/// limits above 2,000 s.
 #[test]
 fn limits_hold_on_clocks_that_drift() {
     let times = [
@@ -33,21 +34,25 @@
             };
             checked += 1;
             let lease = Duration::from_secs_f64(lease_s);
-            // A former holder with a slow clock acts until then, and a slow worker goes on.
-            let last = settings.contact_limit() + lease;
-            let on_fast_clock = |limit: Duration| limit.div_f64(1.0 + DRIFT);
+            // With slow clocks a previous holder acts until the contact limit, and the worker
+            // then goes on until its lease expires.
+            let last_stop = settings.contact_limit() + lease;
+            let on_fast_clock = |limit: Duration| limit.div_f64(1.0 + MAX_CLOCK_DRIFT);
             let case = format!("{lease_s} {cancel_s}");
-            assert!(on_fast_clock(settings.takeover_limit()) >= last, "{case}");
+            assert!(
+                on_fast_clock(settings.takeover_limit()) >= last_stop,
+                "{case}"
+            );
             assert!(on_fast_clock(settings.lease_limit()) >= lease, "{case}");
-            let told = Duration::from_secs_f64(cancel_s);
-            assert!(last.mul_f64(1.0 + DRIFT) <= told, "{case}");
+            let cancel = Duration::from_secs_f64(cancel_s);
+            assert!(last_stop.mul_f64(1.0 + MAX_CLOCK_DRIFT) <= cancel, "{case}");
         }
     }
     assert!(checked > 60, "{checked}");
 }
 
 #[test]
-fn settings_without_a_safe_contact_limit_name_what_would_do() {
+fn settings_without_a_safe_contact_limit_state_the_required_values() {
     let refused = |lease: &str, cancel: &str| {
         let error = settings(lease, cancel).expect_err("no safe limit");
         let line = error.to_string();
