--- a/crates/wire/src/wes.rs
+++ b/crates/wire/src/wes.rs
@@ -1,78 +1,78 @@
-//! The GA4GH Workflow Execution Service 1.1, as JSON.
+//! The API of the GA4GH Workflow Execution Service (WES) 1.1, as JSON.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The path that all requests begin with.
+/// The path prefix of all requests.
 pub const BASE_PATH: &str = "/ga4gh/wes/v1";
-/// The version that is spoken.
+/// The version of the API that is implemented.
 pub const API_VERSION: &str = "1.1.0";
 
-/// What the service is.
+/// The description of the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceInfo {
-    /// Its name.
+    /// The id of the service.
     pub id: String,
-    /// The same for people.
+    /// The human-readable name of the service.
     pub name: String,
-    /// What it implements.
+    /// The API that it implements.
     #[serde(rename = "type")]
     pub kind: ServiceType,
-    /// Whose it is.
+    /// The organization that runs it.
     pub organization: Organization,
     /// The version of the program.
     pub version: String,
-    /// Versions of each workflow language.
+    /// Supported versions of each workflow language.
     pub workflow_type_versions: BTreeMap<String, TypeVersions>,
-    /// Versions of this interface.
+    /// Supported versions of this API.
     pub supported_wes_versions: Vec<String>,
-    /// Where files may be.
+    /// Supported protocols for the locations of files.
     pub supported_filesystem_protocols: Vec<String>,
-    /// What runs workflows.
+    /// Versions of each workflow engine.
     pub workflow_engine_versions: BTreeMap<String, EngineVersions>,
-    /// Parameters of the engine; none.
+    /// Default parameters of the engine; always empty.
     pub default_workflow_engine_parameters: Vec<Value>,
-    /// Runs under way here, by state.
+    /// Number of runs in progress on this server, by state.
     pub system_state_counts: BTreeMap<State, usize>,
-    /// Where to read about access.
+    /// URL of the instructions for authentication.
     pub auth_instructions_url: String,
-    /// Nothing.
+    /// Tags; always empty.
     pub tags: BTreeMap<String, String>,
 }
 
-/// What a service implements.
+/// The API that a service implements.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceType {
-    /// `org.ga4gh`.
+    /// The namespace, `org.ga4gh`.
     pub group: String,
-    /// `wes`.
+    /// The name of the API, `wes`.
     pub artifact: String,
-    /// The version.
+    /// The version of the API.
     pub version: String,
 }
 
-/// Whose a service is.
+/// The organization that runs a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Organization {
-    /// The name.
+    /// Name of the organization.
     pub name: String,
-    /// The site.
+    /// URL of its web site.
     pub url: String,
 }
 
-/// Versions of a workflow language.
+/// Supported versions of a workflow language.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TypeVersions {
-    /// Those that are understood.
+    /// The versions.
     pub workflow_type_version: Vec<String>,
 }
 
-/// Versions of an engine.
+/// Versions of a workflow engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineVersions {
-    /// Those that are there.
+    /// The versions.
     pub workflow_engine_version: Vec<String>,
 }
 
@@ -80,31 +80,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum State {
-    /// It runs.
+    /// The run is in progress.
     Running,
-    /// It is being cancelled.
+    /// The run is being cancelled.
     Canceling,
-    /// It is complete.
+    /// The run has completed successfully.
     Complete,
     /// A step failed.
     ExecutorError,
-    /// The service could not run it.
+    /// The service could not execute the run.
     SystemError,
-    /// It was cancelled.
+    /// The run was cancelled.
     Canceled,
 }
 
-/// A run's name.
+/// The answer that names a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunId {
-    /// The name.
+    /// The id of the run.
     pub run_id: String,
 }
 
-/// How a run is.
+/// The status of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunStatus {
-    /// The run.
+    /// The id of the run.
     pub run_id: String,
     /// Its state.
     pub state: State,
@@ -113,89 +113,89 @@
 /// A run in a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunSummary {
-    /// The run.
+    /// The id of the run.
     pub run_id: String,
     /// Its state.
     pub state: State,
-    /// When it was begun, by RFC 3339.
+    /// When the run started, as an RFC 3339 time.
     pub start_time: String,
-    /// When it ended.
+    /// When it ended, as an RFC 3339 time; `None` while it is in progress.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub end_time: Option<String>,
-    /// Nothing.
+    /// Tags; always empty.
     pub tags: BTreeMap<String, String>,
 }
 
-/// A page of runs.
+/// A page of the list of runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunList {
-    /// The runs.
+    /// The runs on this page.
     pub runs: Vec<RunSummary>,
-    /// Asks for the next page; empty: there is none.
+    /// Token that requests the next page; empty on the last page.
     pub next_page_token: String,
 }
 
-/// What was asked for.
+/// The request that started a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunRequest {
-    /// What goes in.
+    /// The inputs of the workflow.
     pub workflow_params: Value,
-    /// `CWL`.
+    /// The workflow language, `CWL`.
     pub workflow_type: String,
-    /// `v1.2`.
+    /// The version of the language, `v1.2`.
     pub workflow_type_version: String,
-    /// The document among the attachments.
+    /// The workflow document, as a name among the attachments.
     pub workflow_url: String,
 }
 
-/// What became of a run or a task.
+/// The log of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Log {
-    /// The step, or the document.
+    /// Name of the workflow document.
     pub name: String,
-    /// When it was begun.
+    /// When the run started, as an RFC 3339 time.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub start_time: Option<String>,
-    /// When it ended.
+    /// When the run ended, as an RFC 3339 time.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub end_time: Option<String>,
-    /// Why it failed, line by line.
+    /// The reasons of its failure, one line each.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub system_logs: Vec<String>,
 }
 
-/// A step's job.
+/// The log of a step's job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskLog {
-    /// The job, as the users' API has it.
+    /// The id of the job in the users' API.
     pub id: String,
-    /// The step.
+    /// The name of the step.
     pub name: String,
-    /// Lines about it.
+    /// Messages about the job, one line each.
     pub system_logs: Vec<String>,
 }
 
-/// All about a run.
+/// The full description of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunLog {
-    /// The run.
+    /// The id of the run.
     pub run_id: String,
-    /// What was asked for.
+    /// The request that started it.
     pub request: RunRequest,
-    /// Its state.
+    /// The state of the run.
     pub state: State,
-    /// What became of it.
+    /// The log of the run.
     pub run_log: Log,
-    /// Its jobs.
+    /// The logs of its jobs.
     pub task_logs: Vec<TaskLog>,
-    /// What came out; null until it is complete.
+    /// The outputs of the workflow; null until the run is complete.
     pub outputs: Value,
 }
 
-/// Why there is no result.
+/// The body of an answer with an error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// For people.
+    /// Human-readable reason of the error.
     pub msg: String,
     /// The HTTP status.
     pub status_code: u16,
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,121 +1,123 @@
-//! Workers: reports, orders and the answers to both.
+//! The workers' API: reports, orders and the answers to both.
 
 use serde::{Deserialize, Serialize};
 
 use crate::TaskId;
 
-/// A worker's report.
+/// A worker's regular report to its controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The machine.
+    /// Name of the worker's machine.
     #[serde(rename = "host")]
     pub machine: String,
-    /// Where it takes direct orders.
+    /// Address at which it accepts direct orders.
     #[serde(rename = "endpoint")]
     pub addr: String,
-    /// Its machine type.
+    /// Type of the machine.
     #[serde(rename = "flavor")]
     pub kind: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "site")]
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    /// Its session, which ends with its lease.
+    /// The worker's session, which ends when its lease expires.
     #[serde(rename = "tenure")]
     pub session: u64,
-    /// Counts its messages.
+    /// Sequence number of the worker's messages.
     #[serde(rename = "tick")]
     pub seq: u64,
-    /// The highest token it has seen.
+    /// The highest fencing token that the worker has seen.
     #[serde(rename = "epoch")]
     pub token: u64,
-    /// Seconds until the cloud takes the machine away.
+    /// Seconds until the cloud reclaims the machine, once it has announced that.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine. Ended ones are included until an order to forget them.
     #[serde(rename = "shards")]
     pub tasks: Vec<TaskReport>,
 }
 
-/// One task in a report.
+/// The state of one attempt at a task, as its worker reports it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// The task.
     #[serde(rename = "shard")]
     pub task: TaskId,
-    /// The attempt.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Where it stands.
+    /// The state of the attempt.
     #[serde(rename = "phase")]
     pub state: TaskState,
-    /// Why it ended.
+    /// The cause of its end, once it has ended.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<EndCause>,
-    /// Whether its progress was saved.
+    /// Whether the task's progress was saved.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// Where a task on a machine stands.
+/// The state of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// The machine is fetching the task's image.
     #[serde(rename = "fetching")]
     Fetching,
-    /// Has its image and waits for the rest of its gang.
+    /// The task has its image and waits for the rest of its gang.
     #[serde(rename = "gathering")]
     Waiting,
-    /// Runs.
+    /// The task is running.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves.
+    /// The task was ordered to stop and is saving its progress.
     #[serde(rename = "flushing")]
     Saving,
-    /// Is over.
+    /// The task has ended.
     #[serde(rename = "ended")]
     Exited,
-    /// A state of a newer worker; it is on the machine.
+    /// A state that this program does not know, of a newer worker. The task counts as
+    /// being on the machine.
     #[serde(other, rename = "unknown")]
     Other,
 }
 
-/// Why a task ended.
+/// The cause of a task's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndCause {
-    /// Completed.
+    /// The task completed.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by order.
+    /// The task was stopped by an order.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Refused: not enough room.
+    /// The start was refused: the machine lacks the resources.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// Refused: here under another attempt.
+    /// The start was refused: another attempt at the task is on the machine.
     #[serde(rename = "in_use")]
     Busy,
-    /// Refused: no such job or task.
+    /// The start was refused: the job or task does not exist.
     #[serde(rename = "no_such")]
     Unknown,
-    /// Lost a member of its gang.
+    /// Another member of its gang was lost.
     #[serde(rename = "peers")]
     GangMemberLost,
-    /// Waited in vain for its gang.
+    /// The rest of its gang did not become ready in time.
     #[serde(rename = "alone")]
     GangTimeout,
-    /// Failed, or a cause of a newer worker.
+    /// The task failed, or the cause is one of a newer worker that this program does not
+    /// know.
     #[serde(other, rename = "error")]
     Error,
 }
 
-/// What a worker is to do with a task.
+/// An order to a worker about one attempt at a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Order {
-    /// Start it.
+    /// Start the attempt.
     #[serde(rename = "start")]
     Start {
         /// The task.
@@ -125,7 +127,7 @@
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop it, with time to save.
+    /// Stop the attempt, with time to save its progress.
     #[serde(rename = "kill")]
     Stop {
         /// The task.
@@ -134,11 +136,11 @@
         /// The attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time to save.
+        /// Seconds for saving its progress.
         #[serde(rename = "drain_s")]
         grace_s: f64,
     },
-    /// Leave the ended task out of further reports.
+    /// Leave the ended attempt out of further reports.
     #[serde(rename = "forget")]
     Forget {
         /// The task.
@@ -153,31 +155,31 @@
 /// The answer to a report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReportAnswer {
-    /// The token under which the orders are given.
+    /// The fencing token under which the orders are given.
     #[serde(rename = "epoch")]
     pub token: u64,
-    /// The orders, in order.
+    /// The orders, to be carried out in this order.
     #[serde(rename = "orders")]
     pub orders: Vec<Order>,
 }
 
-/// Sends a worker to another controller.
+/// An answer that redirects a worker to another controller.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The controller to report to.
+    /// Name of the controller to report to.
     #[serde(rename = "upstream", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
 
-/// Orders sent to a worker directly.
+/// Orders sent to a worker directly, not in the answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectOrders {
-    /// The token under which they are given.
+    /// The fencing token under which the orders are given.
     #[serde(rename = "epoch")]
     pub token: u64,
-    /// The session that they are meant for.
+    /// The worker's session that the orders apply to.
     #[serde(rename = "tenure")]
     pub session: u64,
-    /// The orders, in order.
+    /// The orders, to be carried out in this order.
     pub orders: Vec<Order>,
 }
