--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,27 +1,27 @@
-//! MessagePack in the form that the protocol documents: maps keyed by text.
+//! MessagePack as the protocol specifies it: structs are maps with text keys.
 
 use serde::{Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
-/// The size above which no request body may be read or written.
+/// The largest request body that may be read or written, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Why a body could not be read.
+/// Errors when decoding a body.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// The outermost value has to be a map.
+    /// The outermost value is not a map.
     #[error("the body is not a MessagePack map")]
     NotAMap,
-    /// Something inside the map is missing or of another type.
-    #[error("the body can not be read: {0}")]
+    /// A field is missing or has the wrong type.
+    #[error("the body is not valid: {0}")]
     Malformed(#[from] rmp_serde::decode::Error),
-    /// A whole value was followed by more bytes.
-    #[error("the body goes on after its end")]
+    /// The map is followed by further bytes.
+    #[error("the body has further bytes after the MessagePack map")]
     Trailing,
 }
 
-/// Reads a map. A struct written as a list is refused, which plain
-/// `rmp_serde` would take.
+/// Decodes a MessagePack map. Structs encoded as lists at the top level are refused,
+/// although `rmp_serde` alone would accept them.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, CodecError> {
     match body.first() {
         Some(0x80..=0x8f | 0xde | 0xdf) => {}
@@ -36,8 +36,8 @@
     }
 }
 
-/// Writes a value as a map. The types of this crate have no state that could
-/// make this fail.
+/// Encodes a value as a MessagePack map. Encoding the types of this crate cannot
+/// fail, whatever values they hold.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of jobs and tasks.
+//! Ids of jobs and tasks.
 
 use std::{fmt, io, rc::Rc, str::FromStr};
 
@@ -6,44 +6,46 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 use thiserror::Error;
 
-/// A job's name as its user chose it: `j-` and digits.
+/// The id of a job, chosen by its user: `j-` followed by 1 to 40 digits.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobId(Rc<str>);
 
-/// A task of a job, written `j-000412/3`.
+/// The id of a task, written as `j-000412/3`.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// The task's number in it, from 0.
+    /// The task's index in the job, from 0.
     pub index: u32,
 }
 
-/// The text is no job or task name.
+/// The text is not a valid job or task id.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("not a valid id")]
+#[error(
+    "not a valid id: expected a job id (`j-` and digits) or a task id (`j-` and digits, `/`, index)"
+)]
 pub struct BadId;
 
 const PREFIX: &str = "j-";
 const MAX_DIGITS: usize = 40;
 
 impl JobId {
-    /// The name as text.
+    /// The id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The digits of the name.
+    /// The digits of the id, without the `j-` prefix.
     pub fn digits(&self) -> &str {
         &self.0[PREFIX.len()..]
     }
 
-    /// The name with these digits.
+    /// The job id with these digits.
     pub fn from_digits(digits: &str) -> Result<Self, BadId> {
         format!("{PREFIX}{digits}").parse()
     }
 
-    /// One of the job's tasks.
+    /// The id of the job's task with this index.
     pub fn task(&self, index: u32) -> TaskId {
         TaskId {
             job: self.clone(),
@@ -116,7 +118,7 @@
     }
 }
 
-macro_rules! as_text {
+macro_rules! serialize_as_text {
     ($($name:ty),*) => {$(
         impl Serialize for $name {
             fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
@@ -133,14 +135,14 @@
     )*};
 }
 
-as_text!(JobId, TaskId);
+serialize_as_text!(JobId, TaskId);
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
     #[test]
-    fn ids_have_one_form() {
+    fn malformed_ids_are_refused() {
         assert_eq!("j-000412/3".parse::<TaskId>().unwrap().index, 3);
         for bad in ["", "j-", "j-1a", "x-1", "j-1 ", "j--1", "j-1/"] {
             assert_eq!(bad.parse::<JobId>(), Err(BadId), "{bad}");
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -1,4 +1,4 @@
-//! Users: submitting, asking and cancelling.
+//! The users' API: submitting jobs, reading their status and cancelling them.
 
 use std::time::Duration;
 
@@ -10,120 +10,121 @@
 /// The largest number of tasks in one job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// How a job's tasks end.
+/// The kind of a job, which determines how its tasks start and end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
     /// Independent tasks that run to completion.
     #[serde(rename = "array")]
     Array,
-    /// Replicas that run until the job is cancelled.
+    /// Replicas of a service, which run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
-    /// Tasks that run to completion only all at the same time.
+    /// Tasks that run to completion and have to run all at the same time.
     #[serde(rename = "group")]
     Gang,
 }
 
-/// Most urgent first, so that the order of the values is the order of serving.
+/// The priority of a job. Declared from most to least urgent: jobs are served in the
+/// derived order, lowest value first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Services that people look at.
+    /// User-facing services.
     #[serde(rename = "critical")]
     Production,
-    /// Rush work.
+    /// Urgent work.
     #[serde(rename = "high")]
     High,
-    /// Ordinary work.
+    /// Regular work.
     #[serde(rename = "standard")]
     Normal,
-    /// Work for otherwise unused room.
+    /// Work for capacity that is otherwise unused.
     #[serde(rename = "idle")]
     Low,
 }
 
-/// What one task takes of its machine, or what a machine has.
+/// The resources that a task takes or that a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// Processors.
+    /// Number of processors.
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
 }
 
-/// A job as its user describes it.
+/// The specification of a job, as its user submits it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The name that the user chose.
+    /// The id that the user chose.
     #[serde(rename = "uid")]
     pub id: JobId,
-    /// The class that the operators' aims speak of.
+    /// The class of the job, which the operators' objectives refer to.
     #[serde(rename = "jobclass")]
     pub class: String,
-    /// The team that is charged.
+    /// The team that the job is charged to.
     #[serde(rename = "owner")]
     pub team: String,
-    /// How its tasks end.
+    /// The kind of the job.
     pub shape: Shape,
-    /// Who goes first.
+    /// The priority of the job.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// How many tasks there are.
+    /// Number of tasks.
     #[serde(rename = "shards")]
     pub tasks: u32,
-    /// Processors of each task.
+    /// Processors that each task takes.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// Accelerators of each task.
+    /// Accelerators that each task takes.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory of each task.
+    /// Memory that each task takes, in GB.
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    /// The image that each task needs.
+    /// The image that each task runs from.
     #[serde(rename = "bundle")]
     pub image: String,
-    /// The image's size.
+    /// Size of the image in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// The machine types allowed; none named: all.
+    /// The machine types that are allowed; `None` allows all.
     #[serde(rename = "flavors", default)]
     pub types: Option<Vec<String>>,
-    /// The only zone allowed.
+    /// The only zone that is allowed; `None` allows all.
     #[serde(rename = "site", default)]
     pub zone: Option<String>,
-    /// All tasks have to be in one zone.
+    /// Whether all tasks have to be in one zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
     /// Whether spot machines may be used.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time in seconds.
     #[serde(rename = "expect_s")]
     pub estimate_s: f64,
-    /// Progress between two checkpoints; 0: never saved.
+    /// Seconds of progress between two checkpoints; 0 if progress is never saved.
     #[serde(rename = "snapshot_s")]
     pub checkpoint_s: f64,
-    /// Time to save when stopped.
+    /// Seconds that a task needs to save its progress when it is stopped.
     #[serde(rename = "flush_s")]
     pub save_s: f64,
-    /// When the job should be complete, from its submission on.
+    /// Seconds from submission within which the job should be complete.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, each
-    /// named once.
+    /// Jobs that have to be done before any task of this job starts, sorted and
+    /// without duplicates.
     #[serde(
         default,
-        deserialize_with = "each_once",
+        deserialize_with = "sorted_and_deduplicated",
         skip_serializing_if = "Vec::is_empty"
     )]
     pub awaits: Vec<JobId>,
 }
 
-fn each_once<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<JobId>, D::Error> {
+fn sorted_and_deduplicated<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<JobId>, D::Error> {
     let ids: Option<Vec<JobId>> = Deserialize::deserialize(from)?;
     let mut ids = ids.unwrap_or_default();
     ids.sort();
@@ -131,19 +132,19 @@
     Ok(ids)
 }
 
-/// Why a submission is malformed.
+/// Errors in a submission.
 #[derive(Debug, Error)]
 pub enum BadJob {
-    /// It is no map of the documented fields.
+    /// The body is not a map of the specified fields.
     #[error(transparent)]
     Codec(#[from] CodecError),
-    /// A field has a value that makes no sense.
+    /// The value of a field is outside its range.
     #[error("`{0}` is out of range")]
     Range(&'static str),
 }
 
 impl JobSpec {
-    /// Reads and checks a submission.
+    /// Decodes and validates a submission.
     pub fn parse(body: &[u8]) -> Result<Self, BadJob> {
         let spec: Self = codec::decode(body)?;
         spec.check()?;
@@ -151,8 +152,8 @@
     }
 
     fn check(&self) -> Result<(), BadJob> {
-        // So large that sums stay exact, yet no machine comes near it.
-        const MOST: f64 = 1e9;
+        // Far above the resources of any machine, yet small enough for sums to stay exact.
+        const MAX_AMOUNT: f64 = 1e9;
         if !(1..=MAX_TASKS).contains(&self.tasks) {
             return Err(BadJob::Range("shards"));
         }
@@ -167,15 +168,15 @@
             ("due_s", self.deadline_s.unwrap_or(0.0)),
         ];
         for (name, value) in amounts {
-            if !(0.0..=MOST).contains(&value) {
+            if !(0.0..=MAX_AMOUNT).contains(&value) {
                 return Err(BadJob::Range(name));
             }
         }
-        // A description has to fit the store beside other records.
+        // The specification has to fit into the state service together with other records.
         let types = self.types.iter().flatten();
         let texts = [&self.class, &self.team, &self.image];
         if texts.into_iter().chain(types).any(|t| t.len() > 200) {
-            return Err(BadJob::Range("a name"));
+            return Err(BadJob::Range("length of a name"));
         }
         if self.types.as_ref().is_some_and(|t| t.len() > 64) {
             return Err(BadJob::Range("flavors"));
@@ -183,7 +184,7 @@
         Ok(())
     }
 
-    /// What each task takes.
+    /// The resources that each task takes.
     pub fn resources(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -192,29 +193,29 @@
         }
     }
 
-    /// Whether a task keeps its progress when it is stopped with time to save.
+    /// Whether a task keeps its progress when it is stopped with enough time to save it.
     pub fn can_save(&self) -> bool {
         self.checkpoint_s > 0.0
     }
 
-    /// Time to save when stopped.
+    /// The time that a task needs to save its progress when it is stopped.
     pub fn save_time(&self) -> Duration {
         Duration::from_secs_f64(self.save_s)
     }
 
-    /// Whether a machine type is among the allowed ones.
+    /// Whether the tasks may run on this machine type.
     pub fn allows_type(&self, name: &str) -> bool {
         self.types
             .as_ref()
             .is_none_or(|t| t.iter().any(|t| t == name))
     }
 
-    /// Whether a zone is allowed.
+    /// Whether the tasks may run in this zone.
     pub fn allows_zone(&self, name: &str) -> bool {
         self.zone.as_ref().is_none_or(|z| z == name)
     }
 
-    /// The most tasks that may be in one zone at a time.
+    /// The largest number of tasks that may be in one zone at the same time.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -224,39 +225,39 @@
     }
 }
 
-/// What users see of a job.
+/// The phase of a job, as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobPhase {
-    /// No task runs.
+    /// No task is running.
     Pending,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
     /// All tasks are done.
     Done,
-    /// Its user cancelled it.
+    /// The user has cancelled the job.
     Cancelled,
 }
 
-/// The answer to a submission, a question or a cancellation.
+/// The answer to a submission, a status query or a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job.
+    /// The job's id.
     #[serde(rename = "uid")]
     pub id: JobId,
-    /// Its phase.
+    /// The job's phase.
     pub phase: JobPhase,
-    /// Tasks done, for display.
+    /// Number of tasks that are done, for display only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks running, for display.
+    /// Number of running tasks, for display only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
 
-/// The body of every refusal.
+/// The body of every answer that refuses a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What is wrong, for people.
+    /// Human-readable reason of the refusal.
     pub error: String,
 }
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The documented forms, read and written back.
+//! Encoding and decoding of the formats that the protocol specifies.
 
 use oliveshift_wire::{
     cloud::MachineTypes,
@@ -10,7 +10,7 @@
 };
 use serde_json::{Value, json};
 
-/// JSON as the MessagePack that goes over the wire.
+/// Encodes a JSON value as the MessagePack that is sent on the wire.
 fn pack(value: &Value) -> Vec<u8> {
     rmp_serde::to_vec_named(value).expect("JSON can be packed")
 }
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn jobs_are_read_as_documented() {
+fn jobs_are_decoded_as_specified() {
     let spec = JobSpec::parse(&pack(&job())).expect("a good job");
     assert_eq!(
         (spec.shape, spec.priority),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn reports_and_orders_keep_their_form() {
+fn reports_and_orders_keep_their_format() {
     let text = json!({"host":"vm-1","endpoint":"10.1.0.1:9","flavor":"g","site":"a",
         "reclaimable":false,"tenure":2,"tick":9,"epoch":41,"warning_s":null,
         "shards":[{"shard":"j-7/2","try":9_007_199_254_740_991u64,"phase":"ended","cause":"no_room"},
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_stores_forms() {
+fn transactions_and_watch_events_keep_their_format() {
     let form = json!({"if":[{"path":"a/b","stamp":0}],
         "then":[{"write":"a/b","v":{"x":1},"grant":7},{"drop":"c"}]});
     let txn: Txn = decode(&pack(&form)).expect("a transaction");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn integers_do_for_amounts() {
+fn integers_are_accepted_for_amounts() {
     let form = json!({"flavors":[{"label":"g","vcpus":4,"accelerators":0,"ram_gb":16,"local_gb":60,
         "fetch_gb_per_s":1,"hourly":1,"low_price":0.25,"ready_s":20,"sites":["a"]}]});
     let types: MachineTypes = decode(&pack(&form)).expect("types");
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn messages_between_controllers_come_back() {
+fn peer_messages_round_trip() {
     let message = PeerMessage {
         from: "n-1".into(),
         incarnation: 3,
@@ -165,10 +165,10 @@
     assert!(borsh::from_slice::<PeerMessage>(&bytes[1..]).is_err());
 }
 
-/// A message as the commit named `production` in `deploy/service.toml` writes
-/// it: programs of that version refuse any other form.
+/// The expected bytes are those that the commit named `production` in `deploy/service.toml`
+/// writes. Programs of that version refuse any other encoding.
 #[test]
-fn messages_between_controllers_keep_their_form() {
+fn peer_messages_keep_their_encoding() {
     let task = |name: &str| name.parse().expect("a task");
     let message = PeerMessage {
         from: "n-1".into(),
@@ -201,17 +201,17 @@
          00000001000000080000006a2d303030343132000000000100000009000000766d2d30303030303201000000\
          080000006a2d30303034313202000000"
     );
-    let word = FormatLevelAnswer {
+    let answer = FormatLevelAnswer {
         node: "n-1".into(),
         incarnation: 3,
         level: 2,
     };
-    let bytes = borsh::to_vec(&word).expect("it can be written");
+    let bytes = borsh::to_vec(&answer).expect("it can be written");
     assert_eq!(bytes, b"\x03\0\0\0n-1\x03\0\0\0\0\0\0\0\x02\0\0\0");
 }
 
 #[test]
-fn awaited_jobs_are_read_as_documented() {
+fn awaited_jobs_are_decoded_as_specified() {
     let with = |awaits: Value| {
         let mut job = job();
         job["awaits"] = awaits;
