--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -1,40 +1,41 @@
-//! What operators say to a controller, as JSON on its internal address.
+//! The operators' API, as JSON on a controller's internal address.
 
 use serde::{Deserialize, Serialize};
 
-/// How far an upgrade has come.
+/// The progress of an upgrade.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpgradeStatus {
-    /// The controller that says so, and who leads.
+    /// The controller that answers.
     pub node: String,
-    /// Who leads by its view.
+    /// The leader as this controller knows it; `None` if it knows none.
     pub leader: Option<String>,
-    /// The format of records that this program can write.
+    /// The highest format level of records that this program supports.
     pub program: u32,
-    /// The format in which all controllers write now.
+    /// The format level in which all controllers write records now.
     pub format: u32,
-    /// All controllers named in the settings.
+    /// All controllers named in the settings, with their format levels.
     pub controllers: Vec<ControllerLevel>,
 }
 
-/// What is recorded of a controller.
+/// The recorded state of a controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControllerLevel {
-    /// Its name.
+    /// The controller's name.
     pub node: String,
-    /// Whether it is up.
+    /// Whether the controller is up.
     pub up: bool,
-    /// The format that it is known to write; none: the format does not change
-    /// before it is known.
+    /// The format level that it is known to support. While it is `None`, the
+    /// format level of records does not change.
     pub level: Option<u32>,
-    /// An operator has said that it never comes back.
+    /// Whether an operator has stated that it never comes back.
     pub written_off: bool,
 }
 
-/// An operator's word that a controller never comes back with an old program.
+/// An operator's statement that a controller never comes back with an old
+/// program, so that an upgrade no longer waits for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WriteOff {
-    /// The controller.
+    /// The controller that is written off.
     pub without: String,
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,45 +1,45 @@
-//! The cloud: machine types, renting, returning, listing.
+//! The cloud's API: machine types, and renting, returning and listing machines.
 
 use serde::{Deserialize, Serialize};
 
 use crate::job::Resources;
 
-/// One machine type.
+/// A machine type that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// The type's name.
     #[serde(rename = "label")]
     pub name: String,
-    /// Processors.
+    /// Number of processors.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
-    /// Memory.
+    /// Memory in GB.
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    /// Room for cached images.
+    /// Disk space for cached images, in GB.
     #[serde(rename = "local_gb")]
     pub cache_gb: f64,
-    /// Rate of image fetches.
+    /// Rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// Price per hour as an on-demand machine.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Price an hour as a spot machine.
+    /// Price per hour as a spot machine.
     #[serde(rename = "low_price")]
     pub spot_price: f64,
-    /// Usual boot time.
+    /// Usual boot time in seconds.
     #[serde(rename = "ready_s")]
     pub boot_s: f64,
-    /// Where it can be rented.
+    /// Zones in which the type can be rented.
     #[serde(rename = "sites")]
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// What a machine of this type has.
+    /// The resources of a machine of this type.
     pub fn resources(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -49,52 +49,52 @@
     }
 }
 
-/// All machine types.
+/// The answer that lists all machine types.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// The types.
+    /// All types on offer.
     #[serde(rename = "flavors")]
     pub types: Vec<MachineType>,
 }
 
-/// A wish for machines.
+/// A request to rent machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Names the wish; never used for another one.
+    /// Identifies the request; a name is never used for another request.
     #[serde(rename = "claim")]
     pub request: String,
-    /// The machine type.
+    /// The machine type to rent.
     #[serde(rename = "flavor")]
     pub kind: String,
-    /// The zone.
+    /// The zone to rent in.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether to rent spot machines instead of on-demand machines.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    /// How many, at most 50.
+    /// Number of machines to rent, at most 50.
     pub count: u32,
 }
 
-/// Names of machines, rented or to be returned.
+/// Names of the machines that were rented, or that are to be returned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// The machines' names.
     #[serde(rename = "hosts")]
     pub names: Vec<String>,
 }
 
-/// Where a machine stands with the cloud.
+/// The state of a machine in the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachinePhase {
-    /// Paid, not up yet.
+    /// Rented and charged for, but not up yet.
     Booting,
-    /// Up.
+    /// The machine is up.
     Running,
-    /// Stopped on its own.
+    /// Stopped without having been returned.
     Failed,
-    /// Something newer.
+    /// A phase that this program does not know.
     #[serde(other)]
     Other,
 }
@@ -102,31 +102,31 @@
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// The machine's name.
     #[serde(rename = "uid")]
     pub name: String,
-    /// Its type.
+    /// The machine's type.
     #[serde(rename = "flavor")]
     pub kind: String,
-    /// Its zone.
+    /// The zone it is in.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine.
     #[serde(rename = "reclaimable")]
     pub spot: bool,
-    /// Where it stands.
+    /// Its state in the cloud.
     pub phase: MachinePhase,
-    /// Age since it was rented.
+    /// Seconds since it was rented.
     pub age_s: f64,
 }
 
-/// A page of the cloud's list.
+/// A page of the cloud's list of machines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// The machines in the order of their names.
+    /// The machines on this page, ordered by name.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are more.
+    /// Whether further pages follow.
     #[serde(rename = "truncated", default)]
     pub more: bool,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,12 @@
-//! The formats in which oliveshift speaks: to its users, to workers, to the
-//! cloud, to the state service and between its controllers.
+//! The wire formats of oliveshift: the APIs for users, workers and operators,
+//! the clients of the cloud and the state service, the messages between
+//! controllers, and the settings file.
 //!
-//! The Rust names are the field's own (task, machine, zone, session, token);
-//! the deployment's names appear only here, in serde renames. Everything but
-//! the messages between controllers is MessagePack in maps; those are borsh.
+//! The Rust names are the usual terms (task, machine, zone, session, token).
+//! The names of the deployment's protocol appear only in the serde renames of
+//! this crate. Messages between controllers are encoded as borsh; the settings,
+//! the operators' API and the workflow API are JSON; everything else is
+//! MessagePack, with structs as maps.
 
 pub mod admin;
 pub mod cloud;
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,4 +1,4 @@
-//! The state service: keys, transactions, leases and watches.
+//! The state service's API: keys, transactions, leases and watches.
 
 use std::io;
 
@@ -14,20 +14,20 @@
     /// Its value.
     #[serde(rename = "v")]
     pub value: Value,
-    /// The revision of its last change.
+    /// The revision at which the key last changed.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A page of keys.
+/// A page of a list of keys.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// The keys in order.
+    /// The keys on this page, in order.
     pub items: Vec<Item>,
-    /// Whether there are more.
+    /// Whether further pages follow.
     #[serde(rename = "truncated", default)]
     pub more: bool,
-    /// The revision that the page shows.
+    /// The revision that the page represents.
     #[serde(rename = "generation")]
     pub revision: u64,
 }
@@ -38,7 +38,7 @@
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// The version that it has to have; 0: it does not exist.
+    /// The version that the key has to have; 0 if it must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -55,7 +55,7 @@
         /// The new value.
         #[serde(rename = "v")]
         value: Value,
-        /// The lease that the key ends with.
+        /// The lease with whose end the key is removed.
         #[serde(rename = "grant", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -67,13 +67,13 @@
     },
 }
 
-/// A transaction.
+/// A transaction: the changes are applied only if all conditions hold.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// What has to hold.
+    /// The conditions.
     #[serde(rename = "if", default)]
     pub conds: Vec<Cond>,
-    /// What is done then.
+    /// The changes.
     #[serde(rename = "then", default)]
     pub changes: Vec<Change>,
 }
@@ -81,31 +81,31 @@
 /// The answer to a transaction.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TxnAnswer {
-    /// The revision after it.
+    /// The revision after the transaction.
     #[serde(rename = "generation")]
     pub revision: u64,
-    /// The conditions that did not hold.
+    /// The keys of the conditions that did not hold.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<String>,
 }
 
-/// Asks for a lease.
+/// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// How long it lasts without renewal.
+    /// How long the lease lasts without renewal, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
 
-/// A lease.
+/// The answer to a request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Its number.
+    /// The id of the lease.
     #[serde(rename = "grant")]
     pub lease: u64,
 }
 
-/// One change in a watch's answer.
+/// A change in the answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Event {
@@ -114,7 +114,7 @@
         /// The key.
         #[serde(rename = "write")]
         key: String,
-        /// Its value.
+        /// The new value.
         #[serde(rename = "v")]
         value: Value,
         /// The revision of the change.
@@ -154,7 +154,7 @@
 }
 
 impl Event {
-    /// The key that has changed.
+    /// The key that was written or removed.
     pub fn key(&self) -> &str {
         match self {
             Self::Put { key, .. } | Self::Delete { key, .. } => key,
@@ -169,11 +169,11 @@
     }
 }
 
-/// The most that a transaction may take, in bytes of its JSON form.
+/// The largest size of a transaction, in bytes of its JSON form.
 pub const MAX_TXN_BYTES: usize = 64 * 1024;
 
-/// The size of a value or transaction as the limits count it: in its JSON
-/// form. What has none counts as larger than any limit.
+/// The size of a value or transaction as the state service's limits count it: the length
+/// of its JSON form in bytes. A value without a JSON form counts as larger than any limit.
 pub fn json_len<T: Serialize>(value: &T) -> usize {
     struct Count(usize);
     impl io::Write for Count {
