--- a/crates/testkit/src/api_client.rs
+++ b/crates/testkit/src/api_client.rs
@@ -1,34 +1,35 @@
-//! Somebody who uses the simulated service besides its usual users: a program
-//! of its own, such as one that serves workflows.
+//! Interface for an additional client of the simulated users' API, besides the simulated
+//! users, such as the workflow service.
 
 use std::time::Duration;
 
 use oliveshift_wire::{JobId, job::JobSpec};
 
-/// Something that a guest asks of the users' API.
+/// A request to the users' API.
 #[derive(Clone, Debug)]
 pub struct ApiRequest {
-    /// Names it; the answer carries it.
+    /// Identifies the request; its answer carries the same token.
     pub token: u64,
-    /// What.
+    /// The requested operation.
     pub what: ApiOperation,
 }
 
-/// What a guest wants.
+/// An operation of the users' API.
 #[derive(Clone, Debug)]
 pub enum ApiOperation {
     /// Submit a job.
     Submit(Box<JobSpec>),
-    /// Ask how a job is.
+    /// Query the status of a job.
     Poll(JobId),
     /// Cancel a job.
     Abort(JobId),
 }
 
-/// A user with a program of its own.
+/// An additional client of the users' API.
 pub trait ApiClient {
-    /// Time has passed; what it asks now.
+    /// Called as time passes; returns the requests to send now.
     fn step(&mut self, now: Duration) -> Vec<ApiRequest>;
-    /// Status and body; none: no answer came. An answer may come after that.
+    /// Called with the status and body of an answer, or with `None` if there was no answer;
+    /// an answer may still arrive after that.
     fn answered(&mut self, now: Duration, token: u64, answer: Option<(u16, Vec<u8>)>);
 }
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud.
+//! Simulated cloud.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,47 +12,48 @@
     job::Refusal,
 };
 
-/// A machine that the cloud has rented out.
+/// A rented machine, or one that was rented before.
 #[derive(Clone, Debug)]
 pub struct RentedMachine {
-    /// Its type.
+    /// Name of the machine type.
     pub kind: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine; otherwise it is on-demand.
     pub spot: bool,
-    /// When it was rented.
+    /// Time of the rental.
     pub rented_at: Duration,
-    /// When it is up; none: never.
+    /// Time at which it is running; `None` if it never boots.
     pub running_at: Option<Duration>,
-    /// When it went.
+    /// Time at which it was returned or lost.
     pub gone_at: Option<Duration>,
 }
 
-/// All machines, and what can be rented.
+/// State of the cloud: machines and machine types.
 pub struct Cloud {
-    /// Machine types.
+    /// Machine types that can be rented.
     pub types: Vec<MachineType>,
     /// Machines by name.
     pub machines: BTreeMap<String, RentedMachine>,
     claims: BTreeMap<String, Vec<String>>,
     next: u64,
-    /// Most machines of a type, zone and kind.
+    /// Maximum number of machines for each machine type, zone, and spot or on-demand.
     pub capacity: usize,
-    /// How far the list lags.
+    /// Lag of the machine list behind the real state.
     pub list_lag: Duration,
     rng: fastrand::Rng,
-    /// Nothing is drawn: all machines boot alike.
+    /// Draws nothing at random: all machines boot in the same time, and the list has a
+    /// constant lag.
     pub deterministic: bool,
-    /// All machines are up within two seconds.
+    /// Machines rented now boot within two seconds.
     pub fast_boot: bool,
 }
 
-/// How long a machine boots if nothing is drawn.
+/// Boot time of machines in a deterministic cloud.
 const DETERMINISTIC_BOOT_TIME: Duration = Duration::from_secs(12);
 
 impl Cloud {
-    /// A cloud with one small and one large type in some zones.
+    /// Creates a cloud with one small and one large machine type in the given zones.
     pub fn new(zones: &[String], seed: u64) -> Self {
         let kind = |name: &str, cpus: f64, price: f64| MachineType {
             name: name.into(),
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Rents a machine without being asked; it is up at once.
+    /// Adds a machine that is running at once, without a rental request.
     pub fn add_running(&mut self, now: Duration, kind: &str, zone: &str, spot: bool) -> String {
         let up = Some(now);
         self.add(now, kind, zone, spot, up)
@@ -107,7 +108,8 @@
         name
     }
 
-    /// Executes a request; the names are of machines that it deletes.
+    /// Executes a request. Returns status, body, and the names of machines that it returns
+    /// to the cloud.
     pub fn execute(&mut self, now: Duration, call: &Call) -> (u16, Vec<u8>, Vec<String>) {
         let path = call.path.split('?').next().unwrap_or_default();
         match (call.method, path) {
@@ -170,7 +172,8 @@
     }
 
     fn list(&mut self, now: Duration) -> MachineList {
-        // Up to twice the lag, so that a list may be older than the last.
+        // Drawn between zero and twice the lag, so that a list may be older than the
+        // previous one.
         let lag = match self.deterministic {
             true => self.list_lag,
             false => self.list_lag.mul_f64(self.rng.f64() * 2.0),
--- a/crates/testkit/src/contacts.rs
+++ b/crates/testkit/src/contacts.rs
@@ -1,26 +1,26 @@
-//! The last reports of a worker and what came of them, for the log of a lost lease.
+//! History of a worker's last reports and their outcomes, logged when its lease expires.
 
 use std::{collections::VecDeque, fmt, time::Duration};
 
-/// How many reports are kept.
+/// Maximum number of reports in the history.
 const MAX_REPORTS: usize = 8;
 
-/// What came of a report.
+/// Outcome of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// No answer yet, or none in time.
+    /// No answer so far.
     Unanswered,
-    /// An answer that renewed the lease.
+    /// Answered; the lease is renewed.
     Renewed,
-    /// An answer with a token that is lower than the worker's.
+    /// Answered with a fencing token of zero or lower than the worker's.
     Stale,
-    /// The worker is to report to this controller.
-    SentTo(usize),
-    /// Any other answer, by its status; 0: the connection failed.
+    /// The worker is redirected to this controller.
+    RedirectedTo(usize),
+    /// Any other answer, with its status; 0 if the connection failed.
     Refused(u16),
 }
 
-/// One report.
+/// One report in the history.
 #[derive(Clone, Copy, Debug)]
 struct Contact {
     node: usize,
@@ -28,14 +28,14 @@
     outcome: ReportOutcome,
 }
 
-/// The last reports of one worker, the oldest first.
+/// The last reports of one worker, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct ContactHistory {
     contacts: VecDeque<Contact>,
 }
 
 impl ContactHistory {
-    /// A report leaves for a controller.
+    /// Records a report sent to controller `node`.
     pub fn sent(&mut self, sent: Duration, node: usize) {
         if self.contacts.len() == MAX_REPORTS {
             self.contacts.pop_front();
@@ -47,7 +47,7 @@
         });
     }
 
-    /// The newest report has been answered.
+    /// Records the outcome of the newest report.
     pub fn answered(&mut self, outcome: ReportOutcome) {
         if let Some(contact) = self.contacts.back_mut() {
             contact.outcome = outcome;
@@ -68,7 +68,7 @@
                 ReportOutcome::Unanswered => write!(f, "no answer]")?,
                 ReportOutcome::Renewed => write!(f, "renewed]")?,
                 ReportOutcome::Stale => write!(f, "stale token]")?,
-                ReportOutcome::SentTo(to) => write!(f, "sent to n-{to}]")?,
+                ReportOutcome::RedirectedTo(to) => write!(f, "redirected to n-{to}]")?,
                 ReportOutcome::Refused(status) => write!(f, "status {status}]")?,
             }
         }
--- a/crates/testkit/src/draws.rs
+++ b/crates/testkit/src/draws.rs
@@ -1,10 +1,11 @@
-//! Days drawn from a seed, by the kinds of trouble that they mix.
+//! Fault scenarios drawn from a seed, one function for each mix of faults.
 
 use std::time::Duration;
 
 use crate::faults::{Fault, upgrade_complete_at};
 
-/// Draws a day's troubles, all of them over by `end`.
+/// Draws the basic mix of faults. They end by `end`, except for faulty machines and the
+/// restart after a crash.
 pub fn draw(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let s = Duration::from_secs;
@@ -51,8 +52,8 @@
     faults
 }
 
-/// Draws a day on which the program is replaced and the limits are lowered
-/// some time later, among the usual troubles.
+/// Draws the basic faults, a rolling upgrade, and lower limits of the state service some
+/// time after it.
 pub fn draw_rolling_upgrade(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
     let mut faults = draw(seed, nodes, end);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x726f_6c6c);
@@ -77,7 +78,7 @@
     faults
 }
 
-/// Draws a day on which controllers are behind among the usual troubles.
+/// Draws the basic faults, and controllers whose input, output or answers to workers lag.
 pub fn draw_lag(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
     let mut faults = draw(seed, nodes, end);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x6265_6869);
@@ -109,8 +110,7 @@
     faults
 }
 
-/// Draws a day on which controllers have too little processor time among the
-/// usual troubles.
+/// Draws the basic faults, and controllers that have too little processor time.
 pub fn draw_slow_controllers(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
     let mut faults = draw(seed, nodes, end);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x736c_6f77);
@@ -127,9 +127,9 @@
     faults
 }
 
-/// Draws a day on which controllers are back at once, the usual ends included:
-/// one by one, all together, several times within seconds, and in the middle of
-/// an election, while late copies of old messages are about.
+/// Draws the basic faults with quick restarts instead of crashes, and further restarts: of
+/// single controllers, of all of them, several times within seconds, and during an election.
+/// Late copies of messages are delivered throughout.
 pub fn draw_quick_restarts(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x7175_6963);
     let ms = Duration::from_millis;
@@ -150,13 +150,13 @@
         let mut at = ms(rng.u64(5_000..last));
         let node = rng.usize(0..nodes);
         match rng.u32(0..4) {
-            // Again before anybody has noticed.
+            // A restart that is too quick for the peers to notice.
             0 => faults.push(Fault::Restart {
                 node,
                 at,
                 back: ms(rng.u64(20..200)),
             }),
-            // Again and again, soon after each has come up.
+            // Repeated restarts, each soon after the process is running again.
             1 => {
                 for _ in 0..rng.usize(3..12) {
                     let back = ms(rng.u64(20..600));
@@ -164,7 +164,7 @@
                     at += back + ms(rng.u64(100..1500));
                 }
             }
-            // Gone long enough for an election, and others in the middle of it.
+            // Down long enough for an election; the other controllers restart during it.
             2 => {
                 let back = ms(rng.u64(2800..4500));
                 faults.push(Fault::Restart { node, at, back });
@@ -178,7 +178,7 @@
                     });
                 }
             }
-            // All, at about the same time, twice.
+            // All controllers at about the same time, twice.
             _ => {
                 for node in 0..nodes {
                     let at = at + ms(rng.u64(0..400));
@@ -208,10 +208,10 @@
     faults
 }
 
-/// Draws a day with what the operators' on-call people met, two or three at a
-/// time on top of quick restarts: a controller stands still for seconds while its
-/// clocks run on, one is gone for a minute or more, one reaches its workers and
-/// not the state service or the reverse, one is turned away alone.
+/// Draws two to four faults that the operators' on-call engineers have seen in production,
+/// on top of [`draw_quick_restarts`]: a controller is paused for seconds while its clocks
+/// run on, is down for a minute or more, reaches its workers but not the state service or
+/// the reverse, or is the only one that the state service rejects.
 pub fn draw_incidents(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
     let mut faults = draw_quick_restarts(seed, nodes, end);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x6f6e_6361);
@@ -222,7 +222,7 @@
         let from = ms(rng.u64(15_000..last));
         let until = (from + ms(rng.u64(5_000..50_000))).min(end);
         faults.push(match rng.u32(0..8) {
-            // Below, about and beyond the leases of controllers and workers.
+            // Shorter than, close to, and longer than the leases of controllers and workers.
             0..3 => Fault::ProcessPause {
                 node,
                 from,
@@ -246,8 +246,8 @@
     faults
 }
 
-/// Draws a day with the troubles of the operators' letter on meetings, two to
-/// four of them on top of what [`draw_incidents`] draws.
+/// Draws two to four faults of the kinds whose combinations operators reported, on top of
+/// [`draw_incidents`], and adds those of [`draw_observers`].
 pub fn draw_combined_faults(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
     let mut faults = draw_incidents(seed, nodes, end);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x6d65_6574);
@@ -259,7 +259,7 @@
         let (node, rest) = (rng.usize(0..nodes), rng.usize(0..3));
         let one_in = rng.u32(2..8);
         if rng.u32(0..11) == 0 {
-            // A leader that workers and users still reach.
+            // A leader without state service and peers that workers and users still reach.
             faults.push(Fault::CutState { node, from, until });
             faults.push(Fault::CutPeers { node, from, until });
             continue;
@@ -278,7 +278,7 @@
             2 => Fault::AnswersLost { rest, from, until },
             3 => Fault::ReportsLost { rest, from, until },
             4 => {
-                // Below, about and beyond a lease.
+                // Shorter than, close to, and longer than a lease.
                 let until = from + ms(rng.u64(3_000..20_000));
                 Fault::WorkerHang { rest, from, until }
             }
@@ -308,8 +308,8 @@
     faults
 }
 
-/// Adds up to two troubles that show what users and new leaders get to see: lost
-/// answers, reports kept for the next leader, machines up at once, close looks.
+/// Adds up to two faults that test what users and new leaders observe: lost answers,
+/// reports kept for the next leader, fast boots, and follow-up requests.
 fn draw_observers(faults: &mut Vec<Fault>, seed: u64, end: Duration) {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x6c6f_6f6b);
     let ms = Duration::from_millis;
--- a/crates/testkit/src/evidence.rs
+++ b/crates/testkit/src/evidence.rs
@@ -1,118 +1,118 @@
-//! What really came about on a day: a test of two troubles that meet has to show
-//! that they met.
+//! Record of what happened in a run. A test of two faults that coincide has to show that
+//! they did.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use oliveshift_wire::JobId;
 
-/// A cancellation that a user was told of for the first time.
+/// The first answer to a user that shows a job as cancelled.
 #[derive(Clone, Debug)]
 pub struct Cancelled {
-    /// When.
+    /// Time of the answer.
     pub at: Duration,
-    /// Which job.
+    /// The cancelled job.
     pub job: JobId,
-    /// The controller that said so.
+    /// Index of the controller that answered.
     pub by: usize,
-    /// How many of its tasks were on machines then.
+    /// Number of its tasks that were on machines then.
     pub on: usize,
 }
 
-/// A transaction that got no answer and was carried out late.
+/// A transaction that got no answer and was executed late.
 #[derive(Clone, Debug)]
 pub struct LateWrite {
-    /// When.
+    /// Time of the execution.
     pub at: Duration,
     /// Whether its conditions still held.
     pub took_effect: bool,
-    /// How many of the same controller were carried out since it was sent.
+    /// Number of transactions of the same controller executed since it was sent.
     pub overtaken_by: usize,
 }
 
-/// A machine that hung and went on.
+/// A machine that resumed after a hang.
 #[derive(Clone, Debug)]
 pub struct Hung {
-    /// When it went on.
+    /// Time at which it resumed.
     pub at: Duration,
-    /// Tasks on it when it did: its lease had not ended.
+    /// Number of tasks on it at that time; more than zero if its lease had not expired.
     pub tasks: usize,
 }
 
-/// A direct order that was held up and then carried out.
+/// A direct order that arrived late.
 #[derive(Clone, Copy, Debug)]
 pub struct LateOrder {
-    /// When it arrived.
+    /// Time of arrival.
     pub at: Duration,
-    /// The process that sent it had ended by then.
+    /// Whether the process that sent it had ended by then.
     pub sender_ended: bool,
-    /// The worker had heard of a later holder, so it did nothing.
+    /// Whether the worker had seen a higher fencing token, so that it rejects the order.
     pub fenced: bool,
 }
 
-/// Counts and times, gathered as a day goes on.
+/// Counts and times gathered during a run.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Times that a controller was told that the changes it asks for are no longer
-    /// kept.
+    /// Number of requests for changes that the state service no longer kept.
     pub too_old: usize,
-    /// When somebody began to lead, and who.
+    /// Times at which a controller became leader, and its index.
     pub leader_changes: Vec<(Duration, usize)>,
-    /// When a controller began anew.
+    /// Times at which a controller process started, and its index.
     pub controller_starts: Vec<(Duration, usize)>,
-    /// When a report arrived after a newer one of its machine, and whether it was
-    /// of an earlier session.
+    /// Times at which a report arrived after a newer one of the same machine, and whether it
+    /// belongs to an earlier session.
     pub old_reports: Vec<(Duration, bool)>,
-    /// Reports sent before the lead changed that arrived after it at whoever leads.
+    /// Arrival times at the current leader of reports sent before it became leader.
     pub reports_across_leaders: Vec<Duration>,
-    /// When a worker accepted an answer, and whose.
+    /// Times at which a controller's answer reached a worker, and the controller's index.
     pub lease_renewals: Vec<(Duration, usize)>,
-    /// Cancellations, as users were told of them.
+    /// Cancelled jobs, as first shown to users.
     pub cancelled: Vec<Cancelled>,
-    /// Writes carried out late.
+    /// Transactions executed late.
     pub late_writes: Vec<LateWrite>,
-    /// Answers to reports that were lost on their way to a deaf machine.
+    /// Answers to reports lost by [`Fault::AnswersLost`](crate::Fault::AnswersLost).
     pub lost_report_answers: usize,
-    /// Direct orders that a machine carried out while it reached no controller.
+    /// Direct orders delivered while [`Fault::ReportsLost`](crate::Fault::ReportsLost) affected
+    /// the machine.
     pub orders_during_report_loss: usize,
-    /// Machines that hung and went on.
+    /// Machines that resumed after a hang.
     pub hung: Vec<Hung>,
-    /// Reports of workers that controllers have forwarded to each other.
+    /// Reports of workers that controllers forwarded to each other.
     pub forwarded_reports: usize,
-    /// Direct orders carried out 2 s or more after they were sent.
+    /// Direct orders that were held up and delivered late, after at least 2 s or at the end
+    /// of a worker's hang.
     pub delayed_orders: usize,
-    /// Requests at the moment of a job's end: cancellations, questions, repeated
-    /// submissions.
+    /// Requests at the end of a job: cancellations, queries, repeated submissions.
     pub requests_at_job_end: [usize; 3],
-    /// The same, one by one.
+    /// Direct orders that arrived late.
     pub late_orders: Vec<LateOrder>,
-    /// Transactions that were executed at once and whose answers were lost.
+    /// Transactions that were executed at once but whose answers were lost.
     pub lost_answers: usize,
-    /// Copies of reports that were kept for a new leader and sent to it as it began to
+    /// Copies of reports that were kept for a new leader and sent to it when it began to
     /// lead.
     pub reports_for_leader: usize,
-    /// When tasks started on machines which had been up for less than 5 s.
+    /// Start times of tasks on machines that had been running for less than 5 s.
     pub early_starts: Vec<Duration>,
-    /// Answers to users who looked closely: to questions, repeated submissions and
+    /// Answers to follow-up requests of users: to queries, repeated submissions and
     /// cancellations.
     pub follow_up_answers: [usize; 3],
-    /// Those of them that were asked before another answer arrived, and arrived
-    /// after it.
+    /// Those of them whose request was sent before another answer about the job arrived, and
+    /// that arrived after it.
     pub overtaken_follow_ups: usize,
-    /// Odd requests: repeats of submissions that are open and cancellations of what
-    /// is done, as they were sent; jobs that can't run and jobs that lack a field,
-    /// as they were refused with the status that each calls for.
+    /// Unusual requests: repeated submissions of open jobs and cancellations of jobs that
+    /// are done, counted when sent; jobs that cannot run (status 422) and jobs that lack a
+    /// field (status 400), counted when rejected with the expected status.
     pub unusual_requests: [usize; 4],
-    /// Answers of the state service that were late by a second or more.
+    /// Answers of the state service delayed by a second or more.
     pub slow_answers: usize,
-    /// The longest between two answers to questions about one accepted job, once
-    /// troubles were over.
+    /// Longest time between two answers about the same accepted job, counted from the end of
+    /// the last fault.
     pub longest_unanswered: Duration,
-    /// Writes by each controller so far, as they were carried out.
+    /// Number of executed transactions of each controller.
     pub(crate) writes: BTreeMap<usize, usize>,
 }
 
 impl Evidence {
-    /// How often the lead changed within a span.
+    /// Number of leader changes within a time span.
     pub fn leaders_in(&self, span: std::ops::Range<Duration>) -> usize {
         let within = |(at, _): &&(Duration, usize)| span.contains(at);
         self.leader_changes.iter().filter(within).count()
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -1,8 +1,8 @@
-//! What can go wrong, scripted or drawn from a seed.
+//! Faults that a simulated run injects, scripted or drawn from a seed.
 
 use std::{ops::Range, time::Duration};
 
-/// The way of a message between a controller and a machine.
+/// Direction of a message between a controller and a worker's machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// Reports, and answers to direct orders.
@@ -11,358 +11,357 @@
     ToMachine,
 }
 
-/// One trouble.
+/// One injected fault.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// A controller is killed; it comes back some seconds later.
+    /// A controller process is killed and restarts after [`RESTART_DELAY`].
     Crash {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// A controller is killed and is back after a while of any length.
+    /// A controller process is killed and restarts after a given delay.
     Restart {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
-        /// After how long.
+        /// Delay until the restart.
         back: Duration,
     },
-    /// What controllers ask of the state service, the cloud and each other,
-    /// what workers report and what users submit and cancel comes once more,
-    /// late: one of so many messages. An order to a worker does so that got no
-    /// answer; its sender may have ended meanwhile.
+    /// A late copy of one in `one_in` messages is delivered: writes of controllers to the
+    /// state service and the cloud, messages between controllers, reports of workers, and submissions and
+    /// cancellations by users. A direct order is delivered late only if it got no answer;
+    /// its sender may have ended by then.
     DuplicateMessages {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller and the state service do not hear each other.
+    /// No messages pass between a controller and the state service.
     CutState {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// The state service refuses one controller.
+    /// The state service rejects the requests of one controller.
     StateRefusesNode {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// The state service refuses everybody.
+    /// The state service rejects all requests.
     StateOutage {
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// The cloud refuses everybody.
+    /// The cloud rejects all requests.
     CloudOutage {
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller and the machines of a zone do not hear each other; what is
-    /// sent meanwhile arrives afterwards.
+    /// No messages pass between one or all controllers and some machines; what is sent
+    /// meanwhile arrives when the fault ends.
     CutWorkers {
-        /// Which controller; none: all of them.
+        /// Index of the controller; `None`: all controllers.
         node: Option<usize>,
-        /// Which machines: those whose number leaves this rest by three.
+        /// Affected machines: those whose number modulo 3 equals this; `None`: all.
         rest: Option<usize>,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// What a controller and some machines send each other is held up one way, and
-    /// arrives afterwards.
+    /// Messages between a controller and some machines are held up in one direction and
+    /// arrive when the fault ends.
     OneWay {
-        /// Which controller.
+        /// Index of the controller.
         node: usize,
-        /// Which machines: those whose number leaves this rest by three.
+        /// Affected machines: those whose number modulo 3 equals this.
         rest: usize,
-        /// Which way.
+        /// The blocked direction.
         direction: Direction,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
     /// Connections between controllers are refused.
     PeersUnreachable {
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Controllers of the first level are replaced by the present one, one
-    /// after the other: each is killed and comes back new. One that dies before
-    /// its turn comes back old.
+    /// Controllers start at the first format level and are upgraded to the supported level
+    /// one by one: each is killed and restarts with the new program. One that dies before
+    /// its turn restarts with the old program.
     RollingUpgrade {
-        /// Who is first; the others follow in order.
+        /// Index of the first controller; the others follow in order.
         first: usize,
-        /// When the first is killed.
+        /// Time at which the first is killed.
         at: Duration,
-        /// How long after it the next one is.
+        /// Interval between two upgrades.
         every: Duration,
     },
-    /// A controller dies and never comes back.
+    /// A controller process is killed and never restarts.
     PermanentLoss {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// An operator tells a controller that another never comes back.
+    /// An operator tells a controller that another one will not return.
     WriteOff {
-        /// Which one never does.
+        /// Index of the controller that will not return.
         node: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// The state service lowers its limits to those that the settings announce.
+    /// The state service lowers its limits to the values announced in the settings.
     LowerStateLimits {
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// The answers to one in so many transactions are lost, though they are executed
-    /// at once.
+    /// The answers to one in `one_in` transactions are lost; the transactions themselves
+    /// are executed at once.
     LostAnswers {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller stands still while its clocks run on: what is sent to it
-    /// waits, connections included.
+    /// A controller process is paused while its clocks run on. Messages and connections
+    /// to it wait.
     ProcessPause {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller is behind: what reaches it is taken in, and what it sends
-    /// leaves, so much later each.
+    /// A controller processes its input, and sends its output, with a delay on each.
     ControllerLag {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// By how much.
+        /// Added delay.
         lag: Duration,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller has little processor time: each request that it answers
-    /// takes so long.
+    /// A controller has little processor time: each request that it answers takes `each`.
     SlowController {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// How long.
+        /// Time per request.
         each: Duration,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller's answers to workers take so much longer, and what it sends
-    /// them directly overtakes them.
+    /// A controller's answers to reports of workers are delayed, so its direct orders
+    /// overtake them.
     LateAnswers {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// By how much.
+        /// Added delay.
         lag: Duration,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Connections come in at all controllers of which nothing is heard ever
-    /// again, as of machines whose network holds what they send.
+    /// Connections are opened to all controllers and never carry any data, as from machines
+    /// whose network holds back what they send.
     SilentConnections {
-        /// How many a second at each.
+        /// Connections per second at each controller.
         rate: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Of transactions one in so many gets no answer and is carried out 2 s to
-    /// 12 s later, after newer ones of the same controller.
+    /// One in `one_in` transactions gets no answer and is executed 2 s to 12 s later, after
+    /// newer ones of the same controller.
     LateWrites {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A copy of one in so many reports arrives again, 2 s to 20 s later, which is
-    /// well over a lease, at some controller.
+    /// A copy of one in `one_in` reports arrives at some controller 2 s to 20 s later, which
+    /// is well over a lease.
     LateReports {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A copy of one in so many reports is kept until somebody else leads, and then
-    /// brought to every controller.
+    /// Copies of one in `one_in` reports are kept until the leader changes and are then
+    /// delivered to every controller.
     ReportsForNextLeader {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Machines rented meanwhile are up within two seconds.
+    /// Machines rented during the fault are running within two seconds.
     FastBoots {
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Whenever a user is told that a job is accepted, done or cancelled, the same
-    /// user asks at all controllers, again and again within milliseconds, and
-    /// repeats the submission; some cancel at once.
+    /// Whenever a user learns that a job is accepted, done or cancelled, the same user
+    /// queries the job or repeats the submission at all controllers, several times within
+    /// milliseconds. Some users cancel at once.
     FollowUpRequests {
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Reports of some machines arrive; the answers, and direct orders, are lost.
+    /// Reports of some machines arrive, but the answers and direct orders to them are lost.
     AnswersLost {
-        /// Which machines: those whose number leaves this rest by three.
+        /// Affected machines: those whose number modulo 3 equals this.
         rest: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Some machines reach no controller; direct orders reach them.
+    /// Reports of some machines reach no controller; direct orders still reach the machines.
     ReportsLost {
-        /// Which machines: those whose number leaves this rest by three.
+        /// Affected machines: those whose number modulo 3 equals this.
         rest: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Some machines hang: their tasks don't go on, nothing leaves, and what is sent
-    /// to them waits. Their lease runs on.
+    /// Some machines hang: their tasks make no progress, they send nothing, and messages to
+    /// them wait. Their leases keep running.
     WorkerHang {
-        /// Which machines: those whose number leaves this rest by three.
+        /// Affected machines: those whose number modulo 3 equals this.
         rest: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller and all others do not hear each other.
+    /// No messages pass between one controller and its peers.
     CutPeers {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A zone is cut off from everything else: its controllers and machines hear
-    /// only each other.
+    /// A zone is partitioned from everything else: its controllers and machines reach only
+    /// each other.
     ZoneCut {
-        /// Its number.
+        /// Index of the zone.
         zone: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Some machines stop with all that is on them.
+    /// Some machines fail and lose all their tasks.
     MachineCrash {
-        /// Which machines: those whose number leaves this rest by three.
+        /// Affected machines: those whose number modulo 3 equals this.
         rest: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// The state service answers everybody so much later.
+    /// All answers of the state service are delayed.
     SlowState {
-        /// By how much.
+        /// Added delay.
         lag: Duration,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// One in so many direct orders is held up for 2 s to 16 s, unanswered, and then
-    /// carried out if token and session still match, whoever sends orders by then.
+    /// One in `one_in` direct orders is delayed by 2 s to 16 s without an answer, and then
+    /// executed if token and session still match, even if another controller sends orders
+    /// by then.
     DelayedOrders {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Users call off so many jobs that run, at the same moment.
+    /// Users cancel several running jobs at the same time.
     CancelBurst {
-        /// How many.
+        /// Number of jobs.
         count: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// One in so many jobs that end is called off, asked for or submitted once
-    /// more at the moment of its end.
+    /// One in `one_in` jobs is cancelled, queried or submitted again at the moment it ends.
     RequestsAtJobEnd {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Users repeat submissions, call off what is done, and submit jobs that fit no
+    /// Users repeat submissions, cancel jobs that are done, and submit jobs that fit no
     /// machine or lack a field, each once a second.
     UnusualRequests {
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// The cloud takes spot machines, without notice.
+    /// The cloud reclaims spot machines without notice.
     SpotReclaim {
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// A machine fails all its tasks.
+    /// Every task on one machine fails.
     FaultyMachine {
-        /// Its number.
+        /// Index of the machine among all workers, ordered by name.
         machine: usize,
-        /// From when.
+        /// Start of the fault, which has no end.
         at: Duration,
     },
 }
 
 impl Fault {
-    /// From when until when it lasts; none if it comes and is over at once.
+    /// Time span of a fault with a duration; `None` for a fault at one point in time and for
+    /// one without an end.
     pub fn span(&self) -> Option<Range<Duration>> {
         match *self {
             Self::CutState { from, until, .. }
@@ -407,8 +406,9 @@
     }
 }
 
-/// When the last of a day's troubles is over; a controller that ended is given
-/// the time to come back. What never ends is not counted.
+/// Time at which the last of `faults` has ended, including the restart of killed
+/// controllers and the delivery of delayed messages. Other faults without a
+/// span do not count.
 pub fn last_fault_end(faults: &[Fault]) -> Duration {
     let ends = faults.iter().map(|fault| match *fault {
         Fault::Crash { at, .. } => at + RESTART_DELAY,
@@ -424,16 +424,17 @@
     ends.max().unwrap_or_default()
 }
 
-/// How late a write, and a copy of a report, may come.
+/// Maximum delay of a write under [`Fault::LateWrites`].
 pub const MAX_WRITE_DELAY: Duration = Duration::from_secs(12);
+/// Maximum delay of a copied report under [`Fault::LateReports`].
 pub const MAX_REPORT_DELAY: Duration = Duration::from_secs(20);
-/// How late a held order may come.
+/// Maximum delay of a direct order under [`Fault::DelayedOrders`].
 pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(16);
 
-/// How long a controller takes to come back.
+/// Time until a killed controller restarts, unless the fault sets another.
 pub const RESTART_DELAY: Duration = Duration::from_secs(5);
 
-/// When all controllers have the present program.
+/// Time at which all controllers run the new program; zero without a rolling upgrade.
 pub fn upgrade_complete_at(faults: &[Fault], nodes: usize) -> Duration {
     let rolls = faults.iter().filter_map(|f| match f {
         Fault::RollingUpgrade { at, every, .. } => {
--- a/crates/testkit/src/handover.rs
+++ b/crates/testkit/src/handover.rs
@@ -1,10 +1,10 @@
-//! Days on which blocks change hands while the old holder and the new one are cut from
-//! different workers.
+//! Fault scenarios in which blocks change their holder while the old and the new holder
+//! are partitioned from different workers.
 //!
-//! A lease of a worker can be renewed by whoever holds its block. What a holder
-//! concludes from the silence of a worker is wrong if the block is somebody else's
-//! meanwhile, so these days let the state service refuse a controller for about as long
-//! as a worker's lease, and draw the settings on which the outcome depends.
+//! Any current holder of a block can renew the leases of its workers. A holder that treats
+//! a worker's silence as an expired lease is wrong if the block has another holder by then.
+//! These scenarios therefore let the state service reject a controller for about the length
+//! of a worker's lease, and draw the timing settings on which the outcome depends.
 
 use std::time::Duration;
 
@@ -12,14 +12,15 @@
 
 const S: Duration = Duration::from_secs(1);
 const MS: Duration = Duration::from_millis(1);
-/// What the settings need between `lease_s` and `cancel_s`, as a share of the lease and
-/// beyond that, so that a controller starts.
+/// A controller starts only if `cancel_s` is at least `lease_s` times this factor, plus
+/// [`MIN_CANCEL_MARGIN`].
 const LEASE_DRIFT_FACTOR: f64 = 1.002;
+/// Minimum of `cancel_s` beyond the lease with its drift.
 const MIN_CANCEL_MARGIN: Duration = Duration::from_millis(3600);
 
-/// Draws the faults of a day. Every half minute or so the state service refuses one
-/// controller; within a second of that it loses some workers, and the others lose
-/// other ones. All is over by `end`.
+/// Draws a scenario in which, every 30 s to 45 s, the state service rejects one controller.
+/// Within a second that controller is partitioned from a third of the machines, and its
+/// peers from another third. All faults end by `end`.
 pub fn draw_handovers(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut faults = Vec::new();
@@ -48,10 +49,11 @@
     faults
 }
 
-/// Draws the faults of a day with links by pair: between each controller and each third
-/// of the machines, both ways, one direction or not at all, while controllers are refused by
-/// the state service, cut from it, end and come back within moments, and old messages
-/// are about. All is over by `end`.
+/// Draws a scenario with link faults per pair of a controller and a third of the machines:
+/// no fault, a partition, or a block in one direction. Meanwhile controllers are rejected
+/// by the state service, partitioned from it, or restarted within seconds, and one further
+/// fault is active, such as late copies of messages. All faults end by `end`, except a
+/// faulty machine, which has no end.
 pub fn draw_links(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x6c69_6e6b);
     let mut faults = Vec::new();
@@ -126,13 +128,14 @@
     faults
 }
 
-/// Draws settings under which a controller starts: leases from 6 s to 40 s, and from
-/// hardly more time for a cancellation than a lease to three times that. Clocks drift.
+/// Draws timing settings under which a controller starts: leases from 6 s to 40 s, and a
+/// cancellation time between the permitted minimum and three times the lease (or that
+/// minimum, if it is longer). Clocks drift.
 pub fn draw_timing(seed: u64) -> Timing {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x7469_6d65);
     let lease = MS * rng.u32(6_000..40_000);
     let least = lease.mul_f64(LEASE_DRIFT_FACTOR) + MIN_CANCEL_MARGIN;
-    // Close to the least as often as far from it.
+    // Squaring favors values close to the minimum.
     let beyond = rng.f64().powi(2);
     let cancel = least + (lease * 3).saturating_sub(least).mul_f64(beyond);
     Timing {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,9 +1,9 @@
-//! A world in simulated time for oliveshift's tests.
+//! Deterministic simulation of a deployment for oliveshift's tests.
 //!
-//! Whole controllers run against stand-ins for the state service, the cloud
-//! and the workers that speak the published protocol, under scripted or drawn
-//! faults, while a checker watches for every rule. Everything follows from a
-//! seed, so a failure always comes back.
+//! Complete controllers run in simulated time against simulated state service, cloud
+//! and workers that speak the published protocol. Faults are scripted or drawn from a
+//! seed, and a checker verifies the rules of the protocol. A run depends only on its
+//! seed and parameters, so every failure can be reproduced.
 
 pub mod api_client;
 pub mod cloud;
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -1,4 +1,4 @@
-//! The policy once more, slow and plain, for the real one to be compared with.
+//! Reference implementation of the policy, slow and simple, to compare the real one with.
 
 use std::{cmp::Ordering::Equal, collections::BTreeMap, time::Duration};
 
@@ -14,13 +14,13 @@
     job::{Priority, Resources},
 };
 
-/// The score by the words of the paper and of our additions, each computed by
-/// itself.
+/// Placement score: the terms of the paper and the additions of this project, each
+/// computed separately. `None` if the task does not fit.
 pub fn score(task: &Task, on: &Candidate, w: &Weights) -> Option<f64> {
-    let roomy = task.need.cpus - on.free.cpus < 1e-6
+    let has_capacity = task.need.cpus - on.free.cpus < 1e-6
         && task.need.gpus - on.free.gpus < 1e-6
         && task.need.memory_gb - on.free.memory_gb < 1e-6;
-    if !roomy {
+    if !has_capacity {
         return None;
     }
     let used_cpu = 1.0 - on.free.cpus / on.total.cpus;
@@ -51,7 +51,8 @@
     Some(sum)
 }
 
-/// The top scorer, by trying each against all others.
+/// Index of the candidate with the best score, found by comparing each with all others;
+/// the first of equal ones.
 pub fn best_machine(task: &Task, all: &[Candidate], w: &Weights) -> Option<usize> {
     (0..all.len()).find(|i| {
         let Some(mine) = score(task, &all[*i], w) else {
@@ -64,27 +65,27 @@
     })
 }
 
-/// A job by its own record.
+/// A job as recorded.
 #[derive(Clone, Debug)]
 pub struct PlainJob {
-    /// What it asks for.
+    /// Its own demand.
     pub own: JobDemand,
     /// The jobs that it awaits.
     pub awaits: Vec<u32>,
-    /// What its record says.
+    /// Recorded state.
     pub recorded: AwaitedState,
 }
 
-/// Jobs by their numbers.
+/// Jobs by number.
 pub type PlainJobs = BTreeMap<u32, PlainJob>;
 
-/// Whether a job is cancelled, by its record or with one before it.
+/// Whether a job is recorded as cancelled or depends on one that is.
 fn is_cancelled(jobs: &PlainJobs, id: u32) -> bool {
     let job = &jobs[&id];
     job.recorded == AwaitedState::Cancelled || job.awaits.iter().any(|a| is_cancelled(jobs, *a))
 }
 
-/// How an open job stands, by looking at all that it needs.
+/// Readiness of an open job, computed from all jobs that it depends on.
 pub fn readiness(jobs: &PlainJobs, id: u32) -> Readiness {
     if is_cancelled(jobs, id) {
         return Readiness::Cancelled;
@@ -99,7 +100,8 @@
     Readiness::Ready(since)
 }
 
-/// What an open job may claim, by looking at all that need it.
+/// Effective priority of an open job, computed from all jobs that depend on it; `None` if
+/// the job is cancelled.
 pub fn effective_priority(jobs: &PlainJobs, id: u32) -> Option<EffectivePriority> {
     if is_cancelled(jobs, id) {
         return None;
@@ -124,8 +126,8 @@
     })
 }
 
-/// When the last task of the last of `jobs` starts, by each line that it stands
-/// in, reckoned anew from all of them.
+/// Time until the last task of `jobs` starts on one shared resource with `free` capacity,
+/// computed anew from all of them.
 fn last_start_s(all: &[WaitingJob], jobs: &[usize], resource: usize, free: f64) -> f64 {
     let mine = jobs.iter().flat_map(|at| {
         let job = &all[*at];
@@ -140,8 +142,8 @@
     }
 }
 
-/// The order of serving, job by job and tier by tier, with all sums made anew
-/// each time.
+/// The order in which jobs are served, determined job by job and tier by tier, with all
+/// sums computed anew each time.
 pub fn order(all: &[WaitingJob], resources: &[SharedResource]) -> Vec<usize> {
     let mut left: Vec<usize> = (0..all.len()).collect();
     left.sort_by_key(|at| (all[*at].band, all[*at].order_ms, *at));
@@ -192,7 +194,8 @@
             now.retain(|at| !kept.contains(at));
             let (first, mut rest): (Vec<_>, Vec<_>) = kept.into_iter().partition(|at| held(*at));
             order.extend(first);
-            // Smith's rule: the largest of those that may be the last goes last.
+            // Smith's rule, backwards: of the jobs that still start in time in last place, the
+            // one with the most work goes last.
             let has_aim = |at: &usize| all[*at].latest_starts_s.len() > tier;
             let places: Vec<bool> = rest.iter().map(has_aim).collect();
             let without: Vec<usize> = rest.iter().copied().filter(|at| !has_aim(at)).collect();
@@ -229,7 +232,7 @@
     order
 }
 
-/// Max-min shares by giving everybody who still asks a little at a time.
+/// Max-min fair shares, computed by giving a small step to each demand that is not yet met.
 pub fn max_min(asked: &[f64], whole: f64) -> Vec<f64> {
     let mut given = vec![0.0; asked.len()];
     let mut left = whole;
@@ -248,36 +251,36 @@
     }
 }
 
-/// How many of a want's tasks find no room, task by task and machine by machine.
-pub fn allocate(want: &CapacityRequest, rooms: &mut [(Offer, Resources)]) -> u32 {
-    let mut left = want.tasks;
-    for (_, free) in rooms
+/// Number of tasks of a request that fit on no machine, allocated one by one.
+pub fn allocate(request: &CapacityRequest, capacities: &mut [(Offer, Resources)]) -> u32 {
+    let mut left = request.tasks;
+    for (_, free) in capacities
         .iter_mut()
-        .filter(|(offer, _)| offer_allowed(want, offer))
+        .filter(|(offer, _)| offer_allowed(request, offer))
     {
-        while left > 0 && fits(&want.need, free) {
-            *free = minus(free, &want.need);
+        while left > 0 && fits(&request.need, free) {
+            *free = minus(free, &request.need);
             left -= 1;
         }
     }
     left
 }
 
-/// What to rent, machine by machine: of all offers the cheapest for a task.
+/// Machines to rent, chosen one by one: each time the offer with the lowest price per task.
 pub fn machines_to_rent(
-    wants: &[CapacityRequest],
-    rooms: &mut Vec<(Offer, Resources)>,
+    requests: &[CapacityRequest],
+    capacities: &mut Vec<(Offer, Resources)>,
     types: &[MachineType],
     closed: &[Offer],
     most: usize,
 ) -> Vec<Offer> {
     let mut rent: Vec<Offer> = Vec::new();
-    for want in wants {
-        let mut left = allocate(want, rooms);
+    for request in requests {
+        let mut left = allocate(request, capacities);
         while left > 0 && rent.len() < most {
             let mut offers = Vec::new();
             for kind in types {
-                let room = count_fitting(&want.need, &kind.resources()).min(left);
+                let fitting = count_fitting(&request.need, &kind.resources()).min(left);
                 for (spot, price) in [(true, kind.spot_price), (false, kind.price)] {
                     for zone in &kind.zones {
                         let offer = Offer {
@@ -286,10 +289,11 @@
                             spot,
                         };
                         let there = rent.iter().filter(|o| o.zone == *zone).count();
-                        let allowed = offer_allowed(want, &offer) && (spot || !want.spot_only);
-                        if room > 0 && allowed && !closed.contains(&offer) {
-                            let rank = (price / f64::from(room), there, offers.len());
-                            offers.push((rank, offer, kind.resources(), room));
+                        let allowed =
+                            offer_allowed(request, &offer) && (spot || !request.spot_only);
+                        if fitting > 0 && allowed && !closed.contains(&offer) {
+                            let rank = (price / f64::from(fitting), there, offers.len());
+                            offers.push((rank, offer, kind.resources(), fitting));
                         }
                     }
                 }
@@ -297,15 +301,15 @@
             let least = offers
                 .into_iter()
                 .min_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(Equal));
-            let Some((_, offer, total, room)) = least else {
+            let Some((_, offer, total, fitting)) = least else {
                 break;
             };
             let mut free = total;
-            for _ in 0..room {
-                free = minus(&free, &want.need);
+            for _ in 0..fitting {
+                free = minus(&free, &request.need);
             }
-            left -= room;
-            rooms.push((offer.clone(), free));
+            left -= fitting;
+            capacities.push((offer.clone(), free));
             rent.push(offer);
         }
     }
--- a/crates/testkit/src/net.rs
+++ b/crates/testkit/src/net.rs
@@ -1,4 +1,4 @@
-//! The sockets of the controllers, as their system counts them.
+//! Simulated sockets of the controllers, as the operating system counts them.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -7,65 +7,66 @@
 
 use oliveshift_core::{CallId, SocketId, sockets::OutboundKind};
 
-/// For how long a connection that a call was made over is idle.
+/// Time after which an idle outbound connection is closed.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What inbound of connections.
+/// Counts of connections, and of requests by users and probes, over all controllers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionCounts {
-    /// Most open at a time at one controller.
+    /// Maximum number of sockets open at the same time at one controller.
     pub peak: usize,
-    /// Came in beyond the limit, so that the system refused them.
+    /// Inbound connections refused by the operating system because of the socket limit.
     pub refused: usize,
-    /// Users whose connection was closed while they waited for their answer.
+    /// Connections of users that were closed while the user waited for an answer.
     pub users_cut: usize,
-    /// The same for the load balancer's probes, which wait a second.
+    /// Connections of the load balancer's probes that were closed while the probe waited; a
+    /// probe waits one second.
     pub probes_cut: usize,
-    /// Users who had no answer within the two seconds that they wait, and
-    /// probes answered after their second.
+    /// Requests of users without an answer within their timeout of two seconds, and probes
+    /// answered after their timeout of one second.
     pub late: (usize, usize),
     /// Requests of users and probes.
     pub asked: usize,
 }
 
-/// The sockets of one life of a controller.
+/// Sockets of one controller process.
 #[derive(Debug, Default)]
 pub struct Sockets {
     inbound: BTreeSet<SocketId>,
     calls: HashMap<CallId, (OutboundKind, String)>,
-    /// Connections without a use: since when, by address.
+    /// Idle outbound connections: the time since when they are idle, by address.
     idle: BTreeMap<String, Duration>,
 }
 
 impl Sockets {
-    /// How many are open.
+    /// Number of open sockets.
     pub fn open_count(&self) -> usize {
         self.inbound.len() + self.calls.len() + self.idle.len()
     }
 
-    /// One inbound in.
+    /// Records an inbound connection.
     pub fn connection_opened(&mut self, id: SocketId) {
         self.inbound.insert(id);
     }
 
-    /// Whether it is open.
+    /// Whether an inbound connection is open.
     pub fn is_open(&self, id: SocketId) -> bool {
         self.inbound.contains(&id)
     }
 
-    /// One that inbound in has ended; false if it had already.
+    /// Records the end of an inbound connection; false if it is not open.
     pub fn connection_closed(&mut self, id: SocketId) -> bool {
         self.inbound.remove(&id)
     }
 
-    /// The controller makes a call.
+    /// Records an outbound call, which uses an idle connection to the address if there is one.
     pub fn call_started(&mut self, id: CallId, kind: OutboundKind, address: &str) {
         self.idle.remove(address);
         self.calls.insert(id, (kind, address.to_owned()));
     }
 
-    /// A call is over; its connection is idle if it got an answer. Only those
-    /// to workers are many enough to be counted.
+    /// Records the end of a call. An answered call leaves its connection idle. Idle
+    /// connections are counted only for workers; those to other peers are few.
     pub fn call_finished(&mut self, now: Duration, id: CallId, answered: bool) {
         if let Some((OutboundKind::Orders, address)) = self.calls.remove(&id)
             && answered
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Closes the longest unused.
+    /// Closes the `count` connections that have been idle longest.
     pub fn close_idle(&mut self, count: usize) {
         let mut oldest: Vec<_> = self.idle.iter().map(|(a, at)| (*at, a.clone())).collect();
         oldest.sort();
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Closes what has had no use for long; how many are idle, by kind.
+    /// Closes connections idle for longer than the timeout; returns the number of idle
+    /// connections by [`OutboundKind`].
     pub fn idle_counts(&mut self, now: Duration) -> [usize; 3] {
         self.idle
             .retain(|_, at| now < *at + IDLE_CONNECTION_TIMEOUT);
--- a/crates/testkit/src/parallel.rs
+++ b/crates/testkit/src/parallel.rs
@@ -1,4 +1,4 @@
-//! Many days at once, on all processors.
+//! Runs of many seeds in parallel, on all processors.
 
 use std::{
     ops::Range,
@@ -6,7 +6,8 @@
     thread,
 };
 
-/// Plays days side by side, by their seeds; a panic of one is passed on.
+/// Calls `play` for each seed, with one thread per processor; a panic in any call is
+/// propagated.
 pub fn run_seeds_in_parallel(seeds: Range<u64>, play: impl Fn(u64) + Sync) {
     let next = AtomicU64::new(seeds.start);
     let threads = thread::available_parallelism().map_or(1, usize::from);
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -1,4 +1,4 @@
-//! The protocol's rules, watched from outside.
+//! Checks the rules of the protocol from outside, by what users and machines observe.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,96 +10,99 @@
     job::{JobPhase, JobSpec, Shape},
 };
 
-/// A broken rule.
+/// A rule of the protocol that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RuleViolation {
-    /// A task started on one machine while it was on another.
+    /// A task started on one machine while it was still on another.
     RanTwice,
-    /// A team used more than its limit.
+    /// A team used more processors than its limit.
     Quota,
-    /// A task started where its job does not allow.
+    /// A task started on a machine type, in a zone or on a spot machine that its job does
+    /// not allow.
     WrongPlace,
-    /// A cancelled job's task was on a machine too late.
+    /// A task of a cancelled job was on a machine after the cancellation time.
     RanCancelled,
-    /// An accepted job was denied.
+    /// An accepted job was reported as nonexistent or impossible.
     Forgotten,
-    /// A job that nobody submitted was shown.
+    /// A job that was never submitted was reported, or awaited by an accepted job.
     Invented,
-    /// A job was called done before its tasks were.
+    /// A job was reported done before all its tasks were, or is a service.
     NotDone,
-    /// A final phase was taken back.
+    /// A job left a final phase, or was cancelled without a request.
     WentBack,
     /// A task started before all jobs that its job awaits were done.
     TooEarly,
-    /// A job was called open although one before it had been cancelled for
-    /// long.
+    /// A job was reported open although a job that it depends on, or itself, had been
+    /// reported cancelled for longer than the cancellation time.
     Orphaned,
-    /// A job was accepted that can't run or lacks a field, or was refused with
-    /// another status than that calls for.
+    /// A job that cannot run or lacks a field was accepted, or rejected with the wrong
+    /// status.
     Unfit,
-    /// A controller has found an invariant of its own violated.
+    /// A controller detected a violation of its own invariants.
     Invariant,
-    /// A job was left waiting though a machine that fits had room and its team was
-    /// under its limit, with no trouble left.
+    /// A job kept waiting after the last fault although a suitable machine had free capacity
+    /// and the team was below its limit.
     LeftWaiting,
 }
 
-/// A machine as the rules see it.
+/// Properties of a machine that the rules depend on.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Its type.
+    /// Name of the machine type.
     pub kind: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine; otherwise it is on-demand.
     pub spot: bool,
 }
 
-/// Watches what happens and notes what must not.
+/// Follows the events of a run and records violations of the rules.
 #[derive(Debug, Default)]
 pub struct RuleChecker {
-    /// All jobs ever submitted.
+    /// All submitted jobs.
     pub jobs: BTreeMap<JobId, JobSpec>,
-    /// Most processors of each team.
+    /// Maximum processors of each team.
     pub limits: BTreeMap<String, f64>,
-    /// Time until a cancelled job's tasks have to be gone.
+    /// Time within which the tasks of a cancelled job must have left their machines.
     pub cancel: Duration,
     /// Completed tasks.
     pub done: BTreeSet<TaskId>,
-    /// What was broken, and when.
+    /// Violations with their times and descriptions.
     pub violations: Vec<(Duration, RuleViolation, String)>,
-    /// Tasks that ended with their machine or with the lease of their worker.
+    /// Number of tasks lost with their machine or with the lease of their worker.
     pub lost: usize,
-    /// Tasks started.
+    /// Number of task starts.
     pub started: u64,
-    /// Which, and when.
+    /// Started tasks with their start times.
     pub starts: Vec<(Duration, TaskId)>,
-    /// How many of them after their user was told that the job is cancelled.
+    /// Number of starts after a user was told that the job is cancelled.
     pub late_starts: usize,
-    /// When tasks started on machines that had just come up.
+    /// Start times of tasks on machines that had just booted.
     pub starts_on_new: Vec<Duration>,
-    /// When each task that is done was.
+    /// Completed tasks with their completion times.
     pub ends: Vec<(Duration, TaskId)>,
-    /// When a team was within one task of its limit.
+    /// Times at which a start left a team without room for another task of that size.
     pub at_limit: Vec<(Duration, String)>,
-    /// When the last task of each job that is done was.
+    /// Completion time of the last task of each completed job.
     pub ended: BTreeMap<JobId, Duration>,
-    /// How many tasks of each job are done.
+    /// Number of completed tasks of each job.
     done_counts: BTreeMap<JobId, u32>,
+    /// Machines that each task is on.
     on: BTreeMap<TaskId, BTreeMap<String, Site>>,
-    /// Accepted jobs, and when their users first heard so.
+    /// Accepted jobs, and the time at which a user first learned of it.
     accepted: BTreeMap<JobId, Duration>,
-    /// What was told of each job last, and when.
+    /// Last phase reported for each job, and its time.
     told: BTreeMap<JobId, (Duration, JobPhase)>,
-    /// Jobs that their users asked to cancel.
+    /// Jobs that their users requested to cancel.
     pub asked_to_cancel: BTreeSet<JobId>,
+    /// Cancelled jobs whose tasks are still checked, and the time of the first report.
     cancelled: BTreeMap<JobId, Duration>,
-    /// When each user was first told that a job is cancelled.
+    /// Time at which each job was first reported as cancelled.
     told_cancelled: BTreeMap<JobId, Duration>,
 }
 
 impl RuleChecker {
-    /// RuleChecker for teams with these limits.
+    /// Creates a checker for the given limits of teams and cancellation time.
     pub fn new(limits: BTreeMap<String, f64>, cancel: Duration) -> Self {
         Self {
             limits,
@@ -108,11 +111,11 @@
         }
     }
 
-    fn broke(&mut self, now: Duration, rule: RuleViolation, what: String) {
+    fn record_violation(&mut self, now: Duration, rule: RuleViolation, what: String) {
         self.violations.push((now, rule, what));
     }
 
-    /// A task has its image on a machine.
+    /// Records that a task starts running on a machine, and checks all rules on starts.
     pub fn task_started(&mut self, now: Duration, task: &TaskId, machine: &str, site: &Site) {
         self.started += 1;
         self.starts.push((now, task.clone()));
@@ -122,8 +125,8 @@
         };
         let elsewhere = self.on.get(task).is_some_and(|m| !m.is_empty());
         if elsewhere {
-            let where_ = format!("{task} on {machine} and {:?}", self.on[task].keys());
-            self.broke(now, RuleViolation::RanTwice, where_);
+            let machines = format!("{task} on {machine} and {:?}", self.on[task].keys());
+            self.record_violation(now, RuleViolation::RanTwice, machines);
         }
         let on = self.on.entry(task.clone()).or_default();
         on.insert(machine.to_owned(), site.clone());
@@ -131,7 +134,7 @@
             || !spec.allows_zone(&site.zone)
             || (site.spot && !spec.spot)
         {
-            self.broke(
+            self.record_violation(
                 now,
                 RuleViolation::WrongPlace,
                 format!("{task} on {machine}"),
@@ -139,7 +142,7 @@
         }
         let early = spec.awaits.iter().find(|id| !self.is_done(id));
         if let Some(awaited) = early.cloned() {
-            self.broke(
+            self.record_violation(
                 now,
                 RuleViolation::TooEarly,
                 format!("{task} before {awaited}"),
@@ -149,7 +152,7 @@
         if zones.values().any(|n| *n > spec.max_tasks_per_zone())
             || (spec.one_zone && zones.len() > 1)
         {
-            self.broke(
+            self.record_violation(
                 now,
                 RuleViolation::WrongPlace,
                 format!("{task}: zones {zones:?}"),
@@ -158,7 +161,7 @@
         let used = self.cpus_used(&spec.team);
         let limit = self.limits.get(&spec.team).copied().unwrap_or(0.0);
         if limit > 0.0 && used > limit + 1e-6 {
-            self.broke(
+            self.record_violation(
                 now,
                 RuleViolation::Quota,
                 format!("{} uses {used}", spec.team),
@@ -170,14 +173,14 @@
         self.check_cancelled_jobs(now);
     }
 
-    /// The processors that a team's tasks take.
+    /// Number of processors used by a team's tasks.
     pub fn cpus_used(&self, team: &str) -> f64 {
         let on = self.on.iter().filter(|(_, m)| !m.is_empty());
         let specs = on.filter_map(|(t, _)| self.jobs.get(&t.job));
         specs.filter(|s| s.team == team).map(|s| s.cpus).sum()
     }
 
-    /// How many tasks of a job are on machines, by zone.
+    /// Number of tasks of a job that are on machines, by zone.
     pub fn tasks_by_zone(&self, job: &JobId) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
         for (_, machines) in self.on.range(job.task(0)..=job.task(u32::MAX)) {
@@ -188,30 +191,35 @@
         zones
     }
 
-    /// How many tasks of a job are done.
+    /// Number of completed tasks of a job.
     pub fn done_tasks(&self, job: &JobId) -> u32 {
         self.done_counts.get(job).copied().unwrap_or(0)
     }
 
-    /// Whether a job was accepted, runs until it is done and was not called off.
+    /// Whether a job was accepted, all jobs that it awaits are done, and neither it nor a job
+    /// that it depends on was requested to cancel.
     pub fn is_runnable(&self, job: &JobId) -> bool {
-        let called_off = !self.with_needed(job).is_disjoint(&self.asked_to_cancel);
+        let cancel_requested = !self
+            .with_dependencies(job)
+            .is_disjoint(&self.asked_to_cancel);
         let ready = |spec: &JobSpec| spec.awaits.iter().all(|id| self.is_done(id));
-        self.accepted.contains_key(job) && !called_off && self.jobs.get(job).is_some_and(ready)
+        self.accepted.contains_key(job)
+            && !cancel_requested
+            && self.jobs.get(job).is_some_and(ready)
     }
 
-    /// Whether a user has been told of the job's end.
+    /// Whether the last report to a user shows the job as done or cancelled.
     pub fn is_ended(&self, job: &JobId) -> bool {
         let told = self.told.get(job).map(|(_, phase)| *phase);
         matches!(told, Some(JobPhase::Done | JobPhase::Cancelled))
     }
 
-    /// Notes what somebody else who watches has found.
+    /// Records a violation found by another check.
     pub fn report(&mut self, now: Duration, rule: RuleViolation, what: String) {
-        self.broke(now, rule, what);
+        self.record_violation(now, rule, what);
     }
 
-    /// A task has completed.
+    /// Records that a task has completed; repeated completions are ignored.
     pub fn task_completed(&mut self, now: Duration, task: &TaskId) {
         if !self.done.insert(task.clone()) {
             return;
@@ -230,8 +238,8 @@
         self.jobs.get(job).is_some_and(all)
     }
 
-    /// All jobs that a job needs, directly or through others, and itself.
-    fn with_needed(&self, job: &JobId) -> BTreeSet<JobId> {
+    /// The job itself and all jobs that it depends on, directly or indirectly.
+    fn with_dependencies(&self, job: &JobId) -> BTreeSet<JobId> {
         let mut all = BTreeSet::new();
         let mut next = vec![job.clone()];
         while let Some(id) = next.pop() {
@@ -243,7 +251,7 @@
         all
     }
 
-    /// A task has left a machine.
+    /// Records that a task has left a machine.
     pub fn task_left(&mut self, task: &TaskId, machine: &str) {
         if let Some(on) = self.on.get_mut(task) {
             on.remove(machine);
@@ -253,7 +261,7 @@
         }
     }
 
-    /// Looks for tasks of cancelled jobs; called often.
+    /// Checks for tasks of cancelled jobs that are still on machines; called at every step.
     pub fn check_cancelled_jobs(&mut self, now: Duration) {
         let mut late = Vec::new();
         for (job, at) in &self.cancelled {
@@ -266,25 +274,25 @@
         }
         for (job, task) in late {
             self.cancelled.remove(&job);
-            self.broke(now, RuleViolation::RanCancelled, task.to_string());
+            self.record_violation(now, RuleViolation::RanCancelled, task.to_string());
         }
     }
 
-    /// A user asks to cancel.
+    /// Records that a user requests to cancel a job.
     pub fn cancel_requested(&mut self, job: &JobId) {
         self.asked_to_cancel.insert(job.clone());
     }
 
-    /// A user, who asked at some time, has been told of a job's phase.
+    /// Records the phase of a job that a user is told in answer to a request sent at `asked`.
     pub fn phase_reported(&mut self, now: Duration, asked: Duration, job: &JobId, phase: JobPhase) {
         let Some(spec) = self.jobs.get(job).cloned() else {
-            return self.broke(now, RuleViolation::Invented, job.to_string());
+            return self.record_violation(now, RuleViolation::Invented, job.to_string());
         };
         if !self.accepted.contains_key(job) {
             self.accepted.insert(job.clone(), now);
             let unknown = spec.awaits.iter().find(|id| !self.jobs.contains_key(*id));
             if let Some(unknown) = unknown {
-                self.broke(
+                self.record_violation(
                     now,
                     RuleViolation::Invented,
                     format!("{job} awaits {unknown}"),
@@ -297,10 +305,10 @@
             && before != phase
         {
             if asked < at && !is_final(phase) {
-                // Two answers on their way at once may overtake each other.
+                // Answers to concurrent requests may arrive out of order.
                 return;
             }
-            self.broke(
+            self.record_violation(
                 now,
                 RuleViolation::WentBack,
                 format!("{job}: {before:?}, {phase:?}"),
@@ -310,41 +318,44 @@
         match phase {
             JobPhase::Done => {
                 if !self.is_done(job) || spec.shape == Shape::Service {
-                    self.broke(now, RuleViolation::NotDone, job.to_string());
+                    self.record_violation(now, RuleViolation::NotDone, job.to_string());
                 }
             }
             JobPhase::Cancelled => {
-                if self.with_needed(job).is_disjoint(&self.asked_to_cancel) {
-                    self.broke(
+                if self
+                    .with_dependencies(job)
+                    .is_disjoint(&self.asked_to_cancel)
+                {
+                    self.record_violation(
                         now,
                         RuleViolation::WentBack,
-                        format!("{job}: not its user's wish"),
+                        format!("{job}: cancelled without a request"),
                     );
                 }
                 self.cancelled.entry(job.clone()).or_insert(now);
                 self.told_cancelled.entry(job.clone()).or_insert(now);
             }
             JobPhase::Pending | JobPhase::Running => {
-                let needed = self.with_needed(job);
+                let needed = self.with_dependencies(job);
                 let long = |at: &Duration| now > *at + self.cancel;
                 let told = needed.iter().filter_map(|id| self.told_cancelled.get(id));
                 if told.into_iter().any(long) {
-                    self.broke(now, RuleViolation::Orphaned, job.to_string());
+                    self.record_violation(now, RuleViolation::Orphaned, job.to_string());
                 }
             }
         }
     }
 
-    /// A user, who asked at some time, has been told that there is no such job, or
-    /// that it can't be.
+    /// Records that a user is told, in answer to a request sent at `asked`, that a job does
+    /// not exist or is not possible.
     pub fn job_denied(&mut self, now: Duration, asked: Duration, job: &JobId) {
-        // Whoever asked before the acceptance was heard may hear the older answer.
+        // A request sent before the user learned of the acceptance may get an older answer.
         if self.accepted.get(job).is_some_and(|at| *at <= asked) {
-            self.broke(now, RuleViolation::Forgotten, job.to_string());
+            self.record_violation(now, RuleViolation::Forgotten, job.to_string());
         }
     }
 
-    /// Accepted jobs whose users have not been told of an end.
+    /// Accepted jobs, except services, that were not reported done or cancelled.
     pub fn open_jobs(&self) -> Vec<JobId> {
         let ended = |j: &&JobId| !self.is_ended(j);
         let arrays = |j: &&JobId| self.jobs[*j].shape != Shape::Service;
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service.
+//! Simulated state service.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,46 +27,46 @@
     expires_at: Duration,
 }
 
-/// The store, its log and its leases.
+/// Keys and values, the log of changes, and leases.
 #[derive(Default)]
 pub struct StateService {
     revision: u64,
     keys: BTreeMap<String, Entry>,
     log: Vec<(u64, Event)>,
-    /// How many of the newest changes are kept; none: all of them.
+    /// Number of newest changes that are retained; `None` for all.
     max_log_events: Option<usize>,
     leases: BTreeMap<u64, LeaseEntry>,
     next_lease_id: u64,
     limits: Limits,
-    /// Changes that may be made now.
+    /// Changes permitted now, as tokens of a bucket filled at `write_rps`.
     tokens: f64,
     tokens_updated_at: Duration,
-    /// Transactions refused for their size, and for coming too fast.
+    /// Number of transactions rejected for their size, and for exceeding the rate.
     pub refused: (usize, usize),
-    /// Requests for changes that were no longer kept.
+    /// Number of requests for changes that were no longer retained.
     pub too_old: usize,
 }
 
-/// What the store takes.
+/// Limits on transactions.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Limits {
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// Largest value, in bytes of its JSON form.
+    /// Maximum size of a value, in bytes of its JSON form.
     pub value_bytes: usize,
-    /// Changes a second; a second's worth may come at once.
+    /// Maximum rate of changes per second, with a burst of up to one second's worth.
     pub write_rps: f64,
 }
 
-/// What a request leads to.
+/// Result of a request.
 pub enum StateResponse {
-    /// An answer.
+    /// An answer with status and body.
     Answer(u16, Vec<u8>),
-    /// A watch that waits for news.
+    /// A watch that waits for changes.
     Wait {
-        /// Changes after this revision.
+        /// The watch waits for changes after this revision.
         after: u64,
-        /// For how long.
+        /// Maximum time to wait.
         block: Duration,
     },
 }
@@ -84,7 +84,7 @@
 }
 
 impl StateService {
-    /// An empty store.
+    /// Creates an empty state service.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Other limits lease from now on. What is stored stays.
+    /// Sets new limits. Stored values that exceed them stay.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Only so many of the newest changes are kept from now on: whoever asks for
-    /// older ones has to read all keys again.
+    /// Limits the log to the newest `most` changes. A client that requests older ones has to
+    /// read all keys again.
     pub fn retain_changes(&mut self, most: usize) {
         self.max_log_events = Some(most);
     }
@@ -174,7 +174,8 @@
         StateResponse::Answer(200, encode(&page))
     }
 
-    /// The answer to whoever asks for all changes after a revision.
+    /// Status and body of the answer with all changes after a revision; 410 if some of them
+    /// are no longer retained.
     pub fn changes(&mut self, after: u64) -> (u16, Vec<u8>) {
         let most = self.max_log_events.unwrap_or(usize::MAX);
         let dropped = self.log.len().saturating_sub(most);
@@ -191,18 +192,18 @@
         (200, encode(&events))
     }
 
-    /// A key's version and value.
+    /// Version and value of a key.
     pub fn entry(&self, key: &str) -> Option<(u64, &Value)> {
         let entry = self.keys.get(key);
         entry.map(|e| (e.version, &e.value))
     }
 
-    /// The revision of the last change.
+    /// Revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether a transaction max_log_events to the sizes allowed.
+    /// Whether a transaction is within the size limits.
     fn is_within_limits(&self, txn: &Txn) -> bool {
         let small = |change: &Change| match change {
             Change::Put { value, .. } => json_len(value) <= self.limits.value_bytes,
@@ -214,7 +215,7 @@
             && json_len(txn) <= MAX_TXN_BYTES
     }
 
-    /// Whether so many changes may be made now.
+    /// Takes tokens for a number of changes; false if the rate limit does not permit them.
     fn take_tokens(&mut self, now: Duration, changes: f64) -> bool {
         let rate = self.limits.write_rps;
         let passed = now.saturating_sub(self.tokens_updated_at).as_secs_f64();
@@ -230,11 +231,14 @@
     fn txn(&mut self, now: Duration, txn: Txn) -> StateResponse {
         if !self.is_within_limits(&txn) {
             self.refused.0 += 1;
-            return error(400, "too large");
+            return error(
+                400,
+                "transaction too large: too many operations or a value or body beyond its limit",
+            );
         }
         if !self.take_tokens(now, txn.changes.len() as f64) {
             self.refused.1 += 1;
-            return error(429, "too many changes");
+            return error(429, "too many changes per second");
         }
         for change in &txn.changes {
             if let Change::Put { lease: Some(l), .. } = change
@@ -293,7 +297,7 @@
         self.log.push((version, event));
     }
 
-    /// Ends leases that were not renewed in time.
+    /// Expires leases that were not renewed in time, and deletes the keys attached to them.
     pub fn expire_leases(&mut self, now: Duration) {
         let over: BTreeSet<_> = self
             .leases
@@ -318,7 +322,7 @@
         }
     }
 
-    /// After an outage every lease has its full time again.
+    /// Renews all leases for their full time; called at the end of an outage.
     pub fn refresh_leases(&mut self, now: Duration) {
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.ttl;
--- a/crates/testkit/src/tools.rs
+++ b/crates/testkit/src/tools.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the tools of the examples.
+//! Simulated tools of the example workflows.
 
-/// The files that a tool of this class leaves behind.
+/// Names of the output files of the tool that a job class stands for.
 pub fn output_files(class: &str) -> &'static [&'static str] {
     match class {
         "tile-split" => &["sheet.tiles"],
--- a/crates/testkit/src/upper_bound.rs
+++ b/crates/testkit/src/upper_bound.rs
@@ -1,28 +1,28 @@
-//! The best that could have been done with the machines that exist: a slow
-//! plain allocation that knows all arrivals beforehand.
+//! Reference for how many jobs the existing machines could complete: a slow and simple
+//! offline allocation that knows all arrivals in advance.
 //!
-//! Machines are a fluid running, as if tasks could be stopped and moved at no cost
-//! and images were everywhere. So no scheduler reaches it; how near one comes is
-//! what counts.
+//! The processors of all machines form one divisible resource: tasks can be stopped and
+//! moved at no cost, and images are present everywhere. No real scheduler reaches these
+//! counts; they show how close the scheduler gets.
 
 use std::{collections::BTreeMap, time::Duration};
 
-/// A job that ends by itself.
+/// A submitted job that runs to completion (not a service).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its class.
+    /// Class of the job.
     pub class: String,
-    /// Its team.
+    /// Team that owns the job.
     pub team: String,
-    /// When it was submitted.
+    /// Time of submission.
     pub at: Duration,
-    /// When it has to be done to be in time.
+    /// Deadline: the job is in time if it is done by then.
     pub due: Duration,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Processors of each.
+    /// Processors per task.
     pub cpus: f64,
-    /// How long each runs.
+    /// Run time of each task.
     pub run_time: Duration,
 }
 
@@ -32,29 +32,28 @@
     }
 }
 
-/// Machines of one size, services aside.
+/// Machines of one size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachinePool {
-    /// Processors of each machine: a task with more does not fit.
+    /// Processors of each machine: a task that needs more does not fit.
     pub cpus_per_machine: f64,
-    /// Processors of all of them that are there for jobs.
+    /// Total processors of these machines, less those that services use.
     pub cpus: f64,
 }
 
-/// How many jobs of a class or team were submitted, could be done by the end,
-/// and could be done in time.
+/// Counts of jobs of one class or team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct JobCounts {
-    /// Submitted.
+    /// Submitted jobs.
     pub submitted: u32,
-    /// Could be done by the end.
+    /// Jobs that can be done by the end of the run.
     pub done: u32,
-    /// Could be done in time.
+    /// Jobs that can be done by their deadline.
     pub in_time: u32,
 }
 
-/// What could be done by `end`, by class and by `team NAME`. A team uses at most
-/// its processors of `limits`.
+/// Counts the jobs that can be done by `end`, keyed by class and by `team NAME`. A team
+/// uses at most as many processors as `limits` gives it.
 pub fn achievable_jobs(
     jobs: &[Arrival],
     pools: &[MachinePool],
@@ -78,11 +77,11 @@
     sums
 }
 
-/// Whether a job is among those that share something.
+/// Whether a job belongs to a group of jobs that share a processor limit.
 type GroupFilter = Box<dyn Fn(&Arrival) -> bool>;
 
-/// The jobs that can be over by their times: the least work first, each taken
-/// if all taken so far still can.
+/// Selects jobs that can be done by their deadlines (`until`), greedily in order of
+/// increasing work: a job is selected if all jobs selected so far still meet theirs.
 fn feasible_jobs(
     jobs: &[Arrival],
     pools: &[MachinePool],
@@ -91,7 +90,8 @@
 ) -> Vec<usize> {
     let mut by_work: Vec<usize> = (0..jobs.len()).collect();
     by_work.sort_by(|a, b| jobs[*a].work().total_cmp(&jobs[*b].work()));
-    // What shares a limit: machines that are large enough, and a team's limit.
+    // Groups with a common limit: jobs that need machines of at least some size, and
+    // jobs of a team with a limit.
     let sizes: Vec<f64> = pools.iter().map(|p| p.cpus_per_machine).collect();
     let mut groups: Vec<(GroupFilter, f64)> = Vec::new();
     for size in sizes {
@@ -102,7 +102,7 @@
             .map(|p| p.cpus_per_machine)
             .filter(|each| *each < size);
         let smaller = smaller.fold(0.0, f64::max);
-        // Those that fit nothing smaller have only these machines.
+        // Jobs whose tasks fit no smaller machine can use only these machines.
         groups.push((Box::new(move |job| job.cpus > smaller), cpus));
     }
     for (team, limit) in limits {
@@ -130,8 +130,8 @@
     chosen
 }
 
-/// Whether all of some jobs can be over by their times on so many processors:
-/// whoever has to be over first goes first, whenever that is someone else.
+/// Whether all of `some` jobs can be done by their deadlines on `cpus` processors under
+/// preemptive earliest-deadline-first scheduling.
 fn all_meet_deadlines(
     jobs: &[Arrival],
     some: &[usize],
@@ -190,8 +190,8 @@
     }
 
     #[test]
-    fn the_small_ones_make_the_most_jobs() {
-        // 8 processors for 100 s: 800 of 1,240.
+    fn least_work_first_completes_the_most_jobs() {
+        // 8 processors for 100 s give 800 processor seconds of the 1,240 asked for.
         let pools = [MachinePool {
             cpus_per_machine: 8.0,
             cpus: 8.0,
@@ -200,12 +200,13 @@
         jobs.extend((0..11).map(|i| job(i, 50, 4, 1.0)));
         let end = Duration::from_secs(100);
         let best = achievable_jobs(&jobs, &pools, &BTreeMap::new(), end)["a"];
-        // Ten of 40 in 50 s on 8; by the end all eleven, and not the large one.
+        // In 50 s, 8 processors complete ten jobs of 40 processor seconds; by the end all
+        // eleven are done, but not the large one.
         assert_eq!((best.submitted, best.done, best.in_time), (12, 11, 10));
     }
 
     #[test]
-    fn large_tasks_have_large_machines_only() {
+    fn large_tasks_run_on_large_machines_only() {
         let pools = [
             MachinePool {
                 cpus_per_machine: 4.0,
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a machine's worker.
+//! Simulated worker of a machine.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,7 +14,7 @@
     rules::{RuleChecker, Site},
 };
 
-/// For so long a machine counts as new.
+/// Time after its start for which a machine counts as new.
 const NEW_MACHINE_AGE: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug, PartialEq)]
@@ -25,24 +25,24 @@
     Exited(EndCause),
 }
 
-/// One worker.
+/// A worker and the tasks on its machine.
 #[derive(Debug)]
 pub struct Worker {
-    /// The machine's name, which serves as its address too.
+    /// Name of the machine, also used as its address.
     pub name: String,
-    /// What the rules see.
+    /// Properties of the machine that the rules depend on.
     pub site: Site,
-    /// Fails every task.
+    /// Whether every task on it fails.
     pub faulty: bool,
-    /// When the cloud takes it, if that has been announced.
+    /// Time at which the cloud reclaims the machine, if that has been announced.
     pub reclaim_at: Option<Duration>,
-    /// The node that it reports to.
+    /// Index of the controller that it reports to.
     pub target: usize,
-    /// The report in flight, and when it was sent.
+    /// Identifier of the report in flight, and the time at which it was sent.
     pub in_flight: Option<(u64, Duration)>,
-    /// When it reports next.
+    /// Time of the next report.
     pub report_at: Duration,
-    /// Its last reports.
+    /// Its last reports and their outcomes.
     pub contacts: ContactHistory,
     kind: MachineType,
     started_at: Duration,
@@ -56,7 +56,7 @@
 }
 
 impl Worker {
-    /// A worker that has just come up.
+    /// Creates a worker that starts now, with a full lease.
     pub fn new(
         name: String,
         site: Site,
@@ -85,31 +85,32 @@
         }
     }
 
-    /// The machine's processors.
+    /// Number of processors of the machine.
     pub fn cpus(&self) -> f64 {
         self.kind.cpus
     }
 
-    /// What no task takes: processors and memory in GB.
+    /// Unused processors, and unused memory in GB.
     pub fn free(&self, rules: &RuleChecker) -> (f64, f64) {
         let (cpus, memory) = self.used(rules);
         (self.kind.cpus - cpus, self.kind.memory_gb - memory)
     }
 
-    /// How many tasks are on it.
+    /// Number of tasks on the machine; exited tasks do not count.
     pub fn tasks(&self) -> usize {
         let on = |s: &&Stage| !matches!(s, Stage::Exited(_));
         self.tasks.values().filter(on).count()
     }
 
-    /// It hangs: only its lease goes on.
+    /// Advances time while the machine hangs: its tasks make no progress, but are dropped
+    /// when its lease expires.
     pub fn check_lease_while_hung(&mut self, now: Duration, rules: &mut RuleChecker) {
         if now > self.lease_renewed_at + self.lease {
             self.drop_tasks(rules);
         }
     }
 
-    /// It goes on after hanging for a while, which its tasks have missed.
+    /// Resumes after a hang; the deadlines of its tasks move by its duration `after`.
     pub fn resume(&mut self, after: Duration) {
         for stage in self.tasks.values_mut() {
             match stage {
@@ -121,17 +122,17 @@
         }
     }
 
-    /// The session that it is in.
+    /// Current session number.
     pub fn session(&self) -> u64 {
         self.session
     }
 
-    /// The highest token that it has seen.
+    /// Highest fencing token that it has seen.
     pub fn token(&self) -> u64 {
         self.token
     }
 
-    /// Its next message.
+    /// Builds the next report.
     pub fn report(&mut self, now: Duration) -> Report {
         self.seq += 1;
         let tasks = self.tasks.iter().map(|((task, attempt), stage)| {
@@ -165,7 +166,8 @@
         }
     }
 
-    /// An answer to a report of this session, sent at `sent`.
+    /// Handles an answer to a report of this session that was sent at `sent`. The lease is
+    /// renewed from `sent`, unless the fencing token is stale.
     pub fn handle_report_answer(
         &mut self,
         now: Duration,
@@ -183,15 +185,15 @@
         self.execute(now, answer.orders, rules);
     }
 
-    /// Direct orders; the status that they get.
+    /// Executes direct orders, unless token or session is stale; returns the HTTP status.
     pub fn handle_direct_orders(
         &mut self,
         now: Duration,
         orders: DirectOrders,
         rules: &mut RuleChecker,
     ) -> u16 {
-        // A machine that hung for longer than its lease finds that out before it reads
-        // what has waited for it.
+        // A machine that hung for longer than its lease must drop its tasks before it
+        // executes orders that waited meanwhile.
         self.advance(now, rules);
         let stale = orders.token < self.token;
         self.token = self.token.max(orders.token);
@@ -289,17 +291,17 @@
         self.schedule_early_report(now);
     }
 
-    /// A change is worth an early report.
+    /// Brings the next report forward to at most 500 ms from now, because a task changed.
     fn schedule_early_report(&mut self, now: Duration) {
         self.report_at = self.report_at.min(now + Duration::from_millis(500));
     }
 
-    /// Time has passed.
+    /// Advances time: expires the lease, and moves tasks to their next stage.
     pub fn advance(&mut self, now: Duration, rules: &mut RuleChecker) {
         if now > self.lease_renewed_at + self.lease {
             if self.tasks() > 0 {
                 log::debug!(
-                    "{}: lease over at {:.2} s with {} tasks, token {};{}",
+                    "{}: lease expired at {:.2} s with {} tasks, token {};{}",
                     self.name,
                     (self.lease_renewed_at + self.lease).as_secs_f64(),
                     self.tasks(),
@@ -355,7 +357,7 @@
         }
     }
 
-    /// All its tasks are gone.
+    /// Drops all tasks, which count as lost.
     pub fn drop_tasks(&mut self, rules: &mut RuleChecker) {
         let on = self.tasks.values();
         rules.lost += on.filter(|s| !matches!(s, Stage::Exited(_))).count();
--- a/crates/testkit/src/world/machines.rs
+++ b/crates/testkit/src/world/machines.rs
@@ -298,7 +298,7 @@
                     (node != worker.target).then_some(node)
                 });
                 worker.contacts.answered(match to {
-                    Some(to) => ReportOutcome::SentTo(to),
+                    Some(to) => ReportOutcome::RedirectedTo(to),
                     None => ReportOutcome::Refused(status),
                 });
                 worker.target = to.unwrap_or((worker.target + 1) % CONTROLLER_COUNT);
