--- a/crates/xtask/src/best.rs
+++ b/crates/xtask/src/best.rs
@@ -1,8 +1,9 @@
-//! The best that a day's machines could have done, by the debug log of the day.
+//! Upper bound for the jobs that a day's machines could have completed, from the debug log of
+//! the day.
 //!
-//! Jobs are as their users described them, machines as the leader summed them
-//! up; of the machines those count that the day had at most, from its beginning,
-//! less what services took.
+//! Jobs are taken from the log lines of their submission, machines from the leader's log lines
+//! about the fleet. The bound uses the maximum number of machines that the day had, as if all
+//! were there from its start, less the average use by services.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,73 +16,78 @@
 use oliveshift_testkit::upper_bound::{Arrival, MachinePool, achievable_jobs};
 use thiserror::Error;
 
-/// What is looked at.
+/// Options of `cargo xtask best`.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// What the bench printed with `run … --log debug`.
+    /// Log that the bench printed with `run … --log debug`.
     #[arg(value_name = "LOG")]
     log: PathBuf,
-    /// In which time jobs of a class should be done, if they say nothing.
+    /// Time limit for the jobs of a class that were submitted without one.
     #[arg(long, value_name = "CLASS=SECONDS", value_parser = class_time)]
     within: Vec<(String, f64)>,
 }
 
 fn class_time(text: &str) -> Result<(String, f64), String> {
-    let (class, seconds) = text.split_once('=').ok_or("CLASS=SECONDS is meant")?;
+    let (class, seconds) = text.split_once('=').ok_or("expected CLASS=SECONDS")?;
     let seconds = seconds.parse::<f64>().map_err(|e| e.to_string())?;
     Ok((class.to_owned(), seconds))
 }
 
-/// Why there is no answer.
+/// Error of `cargo xtask best`.
 #[derive(Debug, Error)]
 pub enum Failure {
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    #[error("{0} tells of no jobs or no machines: write it with `--log debug`")]
+    #[error("{0} has no log lines about jobs or none about machines; write it with `--log debug`")]
     Empty(String),
 }
 
-/// What a log tells.
+/// Jobs and machines found in a log.
 #[derive(Debug, Default)]
-struct Seen {
-    known: BTreeSet<String>,
+struct LogSummary {
+    /// Ids of the jobs read so far; the log may name a submission several times.
+    job_ids: BTreeSet<String>,
+    /// Jobs that end, each with its deadline in seconds after submission; 0 without one.
     jobs: Vec<(Arrival, f64)>,
-    /// By kind, spot or not: machines, processors; the most of each.
+    /// Maximum machines and maximum processors, by machine type and rental kind.
     machines: BTreeMap<(String, String), (f64, f64)>,
-    /// What services had, by size of machine: the sum and how often it was
-    /// told.
+    /// Processors used by services, by processors per machine: sum over the log lines and
+    /// number of these lines.
     services: BTreeMap<u32, (f64, u32)>,
-    end: f64,
+    /// Time of the last log line, in seconds.
+    last_event_s: f64,
 }
 
-/// The number before a word: `12` of `12 tasks of`.
-fn before(text: &str, word: &str) -> Option<f64> {
+/// Returns the number before a word: 12 for ` tasks` in `12 tasks of`.
+fn number_before(text: &str, word: &str) -> Option<f64> {
     let (head, _) = text.split_once(word)?;
     head.split_whitespace().last()?.parse().ok()
 }
 
-impl Seen {
-    fn line(&mut self, line: &str) -> Option<()> {
+impl LogSummary {
+    /// Adds a log line; `None` if it has no data that is used here. The return value only
+    /// allows `?` in the body.
+    fn parse_line(&mut self, line: &str) -> Option<()> {
         let mut words = line.split_whitespace();
         let at: f64 = words.next()?.parse().ok()?;
-        self.end = self.end.max(at);
+        self.last_event_s = self.last_event_s.max(at);
         if let Some((head, text)) = line.split_once(": submitted: ") {
             let id = head.split_whitespace().last()?;
-            if !self.known.insert(id.to_owned()) {
+            if !self.job_ids.insert(id.to_owned()) {
                 return None;
             }
             let (class, text) = text.split_once(" of ")?;
             let (team, text) = text.split_once(", ")?;
-            let runs = before(text, " s, due")?;
+            let runs = number_before(text, " s, due")?;
             if runs > 0.0 {
-                let due = before(text, " s, image")?;
+                let due = number_before(text, " s, image")?;
                 let job = Arrival {
                     class: class.to_owned(),
                     team: team.to_owned(),
                     at: Duration::try_from_secs_f64(at).ok()?,
                     due: Duration::ZERO,
-                    tasks: before(text, " tasks")? as u32,
-                    cpus: before(text, " processors")?,
+                    tasks: number_before(text, " tasks")? as u32,
+                    cpus: number_before(text, " processors")?,
                     run_time: Duration::try_from_secs_f64(runs).ok()?,
                 };
                 self.jobs.push((job, due));
@@ -89,12 +95,12 @@
         } else if let Some((_, text)) = line.split_once(" fleet: ") {
             let (kind, text) = text.split_once(": ")?;
             let (kind, spot) = kind.split_once(' ')?;
-            let machines = before(text, " machines")?;
-            let cpus = before(text, " processors")?;
-            let services = before(text, " by services")?;
+            let machines = number_before(text, " machines")?;
+            let cpus = number_before(text, " processors")?;
+            let services = number_before(text, " by services")?;
             let key = (kind.to_owned(), spot.to_owned());
-            let most = self.machines.entry(key).or_default();
-            *most = (most.0.max(machines), most.1.max(cpus));
+            let maximum = self.machines.entry(key).or_default();
+            *maximum = (maximum.0.max(machines), maximum.1.max(cpus));
             let sum = self.services.entry((cpus / machines) as u32).or_default();
             sum.0 += services;
             sum.1 += 1;
@@ -102,6 +108,7 @@
         None
     }
 
+    /// Pools of machines of the same size, without the processors used by services.
     fn pools(&self) -> Vec<MachinePool> {
         let mut pools: BTreeMap<u32, f64> = BTreeMap::new();
         let mut kinds: BTreeMap<u32, f64> = BTreeMap::new();
@@ -122,30 +129,30 @@
     }
 }
 
-/// Prints what could have been served.
+/// Prints how many jobs could have been completed, by class and by team.
 pub fn run(root: &Path, options: &Options) -> Result<(), Failure> {
     let name = options.log.display().to_string();
     let text = std::fs::read_to_string(root.join(&options.log));
     let text = text.map_err(|e| Failure::Read(name.clone(), e))?;
-    let mut seen = Seen::default();
+    let mut summary = LogSummary::default();
     for line in text.lines() {
-        // Lines that tell something else are most of them.
-        let _ = seen.line(line);
+        // Most lines are about something else and are skipped.
+        let _ = summary.parse_line(line);
     }
-    let pools = seen.pools();
-    if seen.jobs.is_empty() || pools.is_empty() {
+    let pools = summary.pools();
+    if summary.jobs.is_empty() || pools.is_empty() {
         return Err(Failure::Empty(name));
     }
-    let end = Duration::from_secs_f64(seen.end);
-    let jobs: Vec<_> = seen
+    let end = Duration::from_secs_f64(summary.last_event_s);
+    let jobs: Vec<_> = summary
         .jobs
         .iter()
         .map(|(job, due)| {
-            let within = options.within.iter().find(|(class, _)| *class == job.class);
+            let limit = options.within.iter().find(|(class, _)| *class == job.class);
             let due = if *due > 0.0 {
                 Some(*due)
             } else {
-                within.map(|(_, seconds)| *seconds)
+                limit.map(|(_, seconds)| *seconds)
             };
             let due = due.map_or(end, |s| job.at + Duration::from_secs_f64(s));
             Arrival { due, ..job.clone() }
@@ -159,14 +166,14 @@
     }
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
-    table.set_header(["of", "submitted", "done at best", "in time at best"]);
-    for (what, best) in achievable_jobs(&jobs, &pools, &BTreeMap::new(), end) {
-        let share = |part: u32| f64::from(part) / f64::from(best.submitted.max(1));
+    table.set_header(["group", "submitted", "done at best", "in time at best"]);
+    for (group, counts) in achievable_jobs(&jobs, &pools, &BTreeMap::new(), end) {
+        let share = |part: u32| f64::from(part) / f64::from(counts.submitted.max(1));
         table.add_row([
-            what,
-            best.submitted.to_string(),
-            format!("{} ({:.3})", best.done, share(best.done)),
-            format!("{} ({:.3})", best.in_time, share(best.in_time)),
+            group,
+            counts.submitted.to_string(),
+            format!("{} ({:.3})", counts.done, share(counts.done)),
+            format!("{} ({:.3})", counts.in_time, share(counts.in_time)),
         ]);
     }
     println!("{table}");
@@ -178,8 +185,8 @@
     use super::*;
 
     #[test]
-    fn a_log_is_read() {
-        let mut seen = Seen::default();
+    fn jobs_and_machines_are_read_from_a_log() {
+        let mut summary = LogSummary::default();
         for line in [
             "    5.0410 grove-3 DEBUG fleet: core ordinary: 2 machines, 128 processors, 8 in use, 16 by services; 1 idle, 0 not usable",
             "    6.0000 grove-1 DEBUG j-000001: submitted: rush of red, 12 tasks of 4 processors for 40.5 s, due in 0 s, image i-1, awaits []",
@@ -187,17 +194,17 @@
             "    8.0000 grove-2 DEBUG j-000002: submitted: web of red, 2 tasks of 4 processors for 0 s, due in 0 s, image i-1, awaits []",
             "   30.0000 grove-2 INFO something else",
         ] {
-            let _ = seen.line(line);
+            let _ = summary.parse_line(line);
         }
-        assert_eq!(seen.jobs.len(), 1);
-        let (job, due) = &seen.jobs[0];
+        assert_eq!(summary.jobs.len(), 1);
+        let (job, due) = &summary.jobs[0];
         assert_eq!((job.tasks, job.cpus, *due), (12, 4.0, 0.0));
         assert_eq!(job.run_time, Duration::from_millis(40_500));
         let pool = MachinePool {
             cpus_per_machine: 64.0,
             cpus: 112.0,
         };
-        assert_eq!(seen.pools(), [pool]);
-        assert_eq!(seen.end, 30.0);
+        assert_eq!(summary.pools(), [pool]);
+        assert_eq!(summary.last_event_s, 30.0);
     }
 }
--- a/crates/xtask/src/served.rs
+++ b/crates/xtask/src/served.rs
@@ -1,9 +1,9 @@
-//! How much of each class of jobs and each team was served: days on which less
-//! than half of any one was count for nothing to the operators.
+//! Share of the jobs of each class and team that was served. The operators score a day 0 if
+//! less than half of any class or team was served.
 //!
-//! Of a class whose jobs end, those are served that are done; of services, and
-//! of teams, whose ends the bench does not tell, those that were started. Jobs
-//! that their users cancelled before count for neither side.
+//! A class of batch jobs counts its completed jobs as served. Services do not end, and the
+//! bench does not report completed jobs by team, so services and teams count the started jobs.
+//! Cancelled jobs of batch classes are left out of the total.
 
 use std::{
     collections::BTreeMap,
@@ -15,27 +15,27 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// The least share of a class or team that has to be served.
-const LEAST: f64 = 0.5;
+/// Minimum share of the jobs of a class or team that must be served.
+const MIN_SERVED_SHARE: f64 = 0.5;
 
-/// What is judged.
+/// Options of `cargo xtask served`.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// What the bench wrote with `--report`.
+    /// Reports that the bench wrote with `--report`.
     #[arg(required = true, value_name = "REPORT")]
     reports: Vec<PathBuf>,
 }
 
-/// Why there is no verdict.
+/// Error of `cargo xtask served`.
 #[derive(Debug, Error)]
 pub enum Failure {
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    #[error("{0} is no report of a day: {1}; write one with `run … --report FILE`")]
+    #[error("{0} is not a valid report of a day: {1}; write one with `run … --report FILE`")]
     Report(String, serde_json::Error),
 }
 
-/// A report, as far as it is read.
+/// Report of one day; only the fields used here.
 #[derive(Debug, Deserialize)]
 struct Report {
     scenario: String,
@@ -69,7 +69,7 @@
     done: u64,
     #[serde(default)]
     cancelled: u64,
-    /// Only services have one.
+    /// Only services have this value.
     #[serde(default)]
     up: Option<f64>,
 }
@@ -80,11 +80,11 @@
     started: u64,
 }
 
-/// A class or a team on a day.
+/// Result of a class or a team on one day: one row of the result table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     day: String,
-    what: String,
+    group: String,
     submitted: u64,
     accepted: Option<u64>,
     started: u64,
@@ -94,9 +94,9 @@
 }
 
 impl Row {
-    /// Whether too little of it was served.
-    pub fn fails(&self) -> bool {
-        self.served < LEAST
+    /// Whether less than the minimum share was served.
+    pub fn is_underserved(&self) -> bool {
+        self.served < MIN_SERVED_SHARE
     }
 }
 
@@ -108,7 +108,8 @@
     }
 }
 
-/// What a report says, a row for each class and each team.
+/// Parses a report and returns a row for each class and each team. `name` identifies the
+/// report in errors.
 pub fn rows(name: &str, text: &str) -> Result<Vec<Row>, Failure> {
     let report: Report =
         serde_json::from_str(text).map_err(|e| Failure::Report(name.to_owned(), e))?;
@@ -135,7 +136,7 @@
         };
         rows.push(Row {
             day: day.clone(),
-            what: class.clone(),
+            group: class.clone(),
             submitted: sums.jobs,
             accepted: Some(sums.accepted),
             started: sums.started,
@@ -147,7 +148,7 @@
     for (team, sums) in &report.teams {
         rows.push(Row {
             day: day.clone(),
-            what: format!("team {team}"),
+            group: format!("team {team}"),
             submitted: sums.jobs,
             accepted: None,
             started: sums.started,
@@ -164,7 +165,7 @@
     table.load_preset(presets::NOTHING);
     table.set_header([
         "day",
-        "of",
+        "group",
         "submitted",
         "accepted",
         "started",
@@ -174,10 +175,14 @@
     ]);
     let count = |n: Option<u64>| n.map_or("-".to_owned(), |n| n.to_string());
     for row in rows {
-        let verdict = if row.fails() { " too little" } else { "" };
+        let verdict = if row.is_underserved() {
+            " below minimum"
+        } else {
+            ""
+        };
         table.add_row([
             row.day.clone(),
-            row.what.clone(),
+            row.group.clone(),
             row.submitted.to_string(),
             count(row.accepted),
             row.started.to_string(),
@@ -194,7 +199,8 @@
     table.to_string()
 }
 
-/// Prints the table; false if too little of something was served.
+/// Prints the table. Returns false if less than the minimum share of a class or team was
+/// served.
 pub fn run(root: &Path, options: &Options) -> Result<bool, Failure> {
     let mut all = Vec::new();
     for path in &options.reports {
@@ -204,17 +210,17 @@
         all.extend(rows(&name, &text)?);
     }
     println!("{}", table(&all));
-    Ok(!all.iter().any(Row::fails))
+    Ok(!all.iter().any(Row::is_underserved))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// Half the tasks made a third of the jobs on a day that nothing else
-    /// showed to have failed: 233 of 610 relocations.
+    /// Counting tasks hides an underserved class: on one day, half of the tasks were done, but
+    /// only 233 of 610 relocation jobs, and no other check failed.
     #[test]
-    fn a_day_on_which_a_class_is_not_served_fails() {
+    fn a_day_with_an_underserved_class_fails() {
         let report = |done: u64| {
             format!(
                 r#"{{"scenario":"over","seed":1,"targets":[
@@ -225,12 +231,15 @@
             )
         };
         let all = rows("r", &report(233)).expect("a report");
-        let fails: Vec<_> = all.iter().filter(|r| r.fails()).collect();
-        assert_eq!(fails.len(), 1);
-        assert_eq!((fails[0].what.as_str(), fails[0].done), ("a", Some(233)));
-        assert_eq!(fails[0].in_time, "0.235 in 150 s");
+        let underserved: Vec<_> = all.iter().filter(|r| r.is_underserved()).collect();
+        assert_eq!(underserved.len(), 1);
+        assert_eq!(
+            (underserved[0].group.as_str(), underserved[0].done),
+            ("a", Some(233))
+        );
+        assert_eq!(underserved[0].in_time, "0.235 in 150 s");
         let all = rows("r", &report(300)).expect("a report");
-        assert!(!all.iter().any(Row::fails));
+        assert!(!all.iter().any(Row::is_underserved));
         assert!(rows("r", "{}").is_err());
     }
 }
--- a/crates/xtask/src/widen.rs
+++ b/crates/xtask/src/widen.rs
@@ -1,10 +1,10 @@
-//! A site of the operators' kit with more machines, with controllers that are back
-//! sooner, or with other leases: what their own days may have beyond the files that
-//! they have handed over.
+//! Derives a site from one of the operators' kit, with more machines, faster controller
+//! restarts, or other lease settings. The operators' own days may differ in these from the
+//! site files that they provide.
 //!
-//! The work grows with the machines: who submits, what is open at the start,
-//! what teams may use, and how many machines a trouble takes. What is written
-//! stays outside the repository, as the kit does.
+//! The load is scaled with the machines: arrival rates, jobs open at the start, team limits,
+//! and the number of machines hit by a fault. The result must be written outside the
+//! repository, where the kit is kept as well.
 
 use std::path::{Path, PathBuf};
 
@@ -12,17 +12,17 @@
 use thiserror::Error;
 use toml::{Table, Value};
 
-/// A cancellation has to last at least so many seconds longer than a lease, so that
-/// controllers start.
-const LEAST_BEYOND_LEASE_S: f64 = 4.0;
+/// Minimum difference between `cancel_s` and `lease_s`, in seconds, so that controllers accept
+/// the settings and start.
+const MIN_CANCEL_MARGIN_S: f64 = 4.0;
 
-/// How a site is widened.
+/// Options of `cargo xtask widen`.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// The site file.
+    /// Site file to derive from.
     #[arg(value_name = "SITE")]
     site: PathBuf,
-    /// How many times as many machines, with work to match.
+    /// Factor for the number of machines and the load.
     #[arg(
         long,
         value_name = "FACTOR",
@@ -30,37 +30,39 @@
         allow_negative_numbers = true
     )]
     machines: f64,
-    /// After so many seconds an ended controller is back; left out: as before.
+    /// Delay in seconds until a stopped controller restarts; unchanged if omitted.
     #[arg(long, value_name = "SECONDS", allow_negative_numbers = true)]
     restart: Option<f64>,
-    /// The lease of a worker; left out: as before.
+    /// Lease of a worker in seconds; unchanged if omitted.
     #[arg(long, value_name = "SECONDS", allow_negative_numbers = true)]
     lease: Option<f64>,
-    /// The time until the tasks of a cancelled job are gone; left out: as before.
+    /// Seconds until the tasks of a cancelled job are gone; unchanged if omitted.
     #[arg(long, value_name = "SECONDS", allow_negative_numbers = true)]
     cancel: Option<f64>,
-    /// The folder, outside the repository, that gets the site.
+    /// Output folder, outside the repository.
     #[arg(long, value_name = "DIR")]
     out: PathBuf,
 }
 
-/// Why there is no wider site.
+/// Error of `cargo xtask widen`.
 #[derive(Debug, Error)]
 pub enum Failure {
-    #[error("--{0} has to be a number above 0, not {1}")]
-    Number(&'static str, f64),
+    #[error("--{0} must be a finite number above 0, not {1}")]
+    InvalidNumber(&'static str, f64),
     #[error("{0}: {1}")]
     File(String, std::io::Error),
-    #[error("{0} is no site file: {1}")]
+    #[error("{0} is not a valid site file: {1}")]
     Site(String, String),
-    #[error("--cancel ({cancel_s}) has to be at least {least} above --lease ({lease_s})", least = LEAST_BEYOND_LEASE_S)]
-    Leases { lease_s: f64, cancel_s: f64 },
-    #[error("{0} lies in the repository: the operators' files stay outside")]
-    Inside(String),
+    #[error("--cancel ({cancel_s}) must be at least {least} s above --lease ({lease_s})", least = MIN_CANCEL_MARGIN_S)]
+    CancelTooShort { lease_s: f64, cancel_s: f64 },
+    #[error(
+        "{0} is inside the repository; files derived from the operators' kit must stay outside"
+    )]
+    InsideRepository(String),
 }
 
-/// A table's number times a factor; whole numbers stay whole.
-fn grow(table: &mut Table, key: &str, factor: f64) {
+/// Multiplies a number of a table by a factor; integers are rounded up.
+fn scale(table: &mut Table, key: &str, factor: f64) {
     match table.get_mut(key) {
         Some(Value::Integer(n)) => *n = (*n as f64 * factor).ceil() as i64,
         Some(Value::Float(x)) => *x *= factor,
@@ -68,37 +70,37 @@
     }
 }
 
-/// The tables of an array.
-fn each<'a>(table: &'a mut Table, key: &str) -> impl Iterator<Item = &'a mut Table> {
+/// Iterates over the tables of an array.
+fn tables<'a>(table: &'a mut Table, key: &str) -> impl Iterator<Item = &'a mut Table> {
     let list = table.get_mut(key).and_then(Value::as_array_mut);
     list.into_iter().flatten().filter_map(Value::as_table_mut)
 }
 
-/// Teams and jobs, of the site or of a day.
-fn grow_work(table: &mut Table, factor: f64) {
-    for team in each(table, "teams") {
-        grow(team, "cpus", factor);
-        grow(team, "cpus_max", factor);
+/// Scales the team limits and the jobs of a site or of a day.
+fn scale_work(table: &mut Table, factor: f64) {
+    for team in tables(table, "teams") {
+        scale(team, "cpus", factor);
+        scale(team, "cpus_max", factor);
     }
-    for job in each(table, "jobs") {
-        grow(job, "initial", factor);
+    for job in tables(table, "jobs") {
+        scale(job, "initial", factor);
         let arrivals = job.get_mut("arrivals").and_then(Value::as_table_mut);
         if let Some(arrivals) = arrivals {
-            grow(arrivals, "rate", factor);
+            scale(arrivals, "rate", factor);
         }
     }
 }
 
-/// What is changed of a site.
+/// Changes to a site.
 #[derive(Clone, Copy, Debug)]
 pub struct Changes {
-    /// How many times as many machines.
+    /// Factor for the number of machines and the load.
     pub factor: f64,
-    /// After how many seconds an ended controller is back; none: as before.
+    /// Delay in seconds until a stopped controller restarts; `None` leaves it unchanged.
     pub restart_s: Option<f64>,
-    /// A worker's lease in seconds; none: as before.
+    /// Lease of a worker in seconds; `None` leaves it unchanged.
     pub lease_s: Option<f64>,
-    /// Seconds until the tasks of a cancelled job are gone; none: as before.
+    /// Seconds until the tasks of a cancelled job are gone; `None` leaves it unchanged.
     pub cancel_s: Option<f64>,
 }
 
@@ -113,7 +115,7 @@
     }
 }
 
-/// Sets the numbers of a site's workers that are given; they have to be there.
+/// Sets the given lease settings of the site's workers. Fails if the site does not have them.
 fn set_workers(site: &mut Table, changes: &Changes) -> Result<(), &'static str> {
     for (key, seconds) in [("lease_s", changes.lease_s), ("cancel_s", changes.cancel_s)] {
         let Some(seconds) = seconds else { continue };
@@ -124,20 +126,21 @@
     Ok(())
 }
 
-/// Whether a controller would start with the site's leases.
+/// Checks that `cancel_s` exceeds `lease_s` by the minimum difference, if the site has both.
 fn check_workers(site: &Table) -> Result<(), Failure> {
     let workers = site.get("workers").and_then(Value::as_table);
     let number = |key| workers?.get(key).and_then(Value::as_float);
     let (Some(lease_s), Some(cancel_s)) = (number("lease_s"), number("cancel_s")) else {
         return Ok(());
     };
-    if cancel_s < lease_s + LEAST_BEYOND_LEASE_S {
-        return Err(Failure::Leases { lease_s, cancel_s });
+    if cancel_s < lease_s + MIN_CANCEL_MARGIN_S {
+        return Err(Failure::CancelTooShort { lease_s, cancel_s });
     }
     Ok(())
 }
 
-/// Widens a site; its text and its name. `name` is what errors call it.
+/// Applies the changes to a site file's text. Returns the new name and the new text; `name`
+/// identifies the file in errors.
 pub fn widen(name: &str, text: &str, changes: &Changes) -> Result<(String, String), Failure> {
     let bad = |why: &str| Failure::Site(name.to_owned(), why.to_owned());
     let (factor, restart) = (changes.factor, changes.restart_s);
@@ -149,7 +152,7 @@
     ];
     for (what, number) in numbers {
         if let Some(number) = number.filter(|n| !(n.is_finite() && *n > 0.0)) {
-            return Err(Failure::Number(what, number));
+            return Err(Failure::InvalidNumber(what, number));
         }
     }
     let mut site: Table = text
@@ -166,24 +169,24 @@
     set_workers(&mut site, changes).map_err(bad)?;
     check_workers(&site)?;
     let mut offers = 0;
-    for offer in each(&mut site, "capacity") {
-        grow(offer, "count", factor);
-        grow(offer, "spot", factor);
+    for offer in tables(&mut site, "capacity") {
+        scale(offer, "count", factor);
+        scale(offer, "spot", factor);
         offers += 1;
     }
     if offers == 0 {
         return Err(bad("it has no [[capacity]]"));
     }
-    for machines in each(&mut site, "machines") {
-        grow(machines, "count", factor);
+    for machines in tables(&mut site, "machines") {
+        scale(machines, "count", factor);
     }
-    grow_work(&mut site, factor);
-    for day in each(&mut site, "day") {
-        grow_work(day, factor);
-        for fault in each(day, "faults") {
+    scale_work(&mut site, factor);
+    for day in tables(&mut site, "day") {
+        scale_work(day, factor);
+        for fault in tables(day, "faults") {
             let kind = fault.get("kind").and_then(Value::as_str);
             if kind.is_some_and(|k| k.starts_with("machine_")) {
-                grow(fault, "count", factor);
+                scale(fault, "count", factor);
             }
         }
     }
@@ -191,7 +194,7 @@
     Ok((new, text))
 }
 
-/// Writes the wider site, with the file of wire names that it goes by.
+/// Writes the derived site and a copy of the file of wire names that it refers to.
 pub fn run(root: &Path, options: &Options) -> Result<(), Failure> {
     let site = root.join(&options.site);
     let file = |path: &Path| {
@@ -205,13 +208,13 @@
     std::fs::create_dir_all(&out).map_err(file(&options.out))?;
     let within = |path: &Path| path.canonicalize().map_err(file(path));
     if within(&out)?.starts_with(within(root)?) {
-        return Err(Failure::Inside(options.out.display().to_string()));
+        return Err(Failure::InsideRepository(options.out.display().to_string()));
     }
-    // The bench looks for it beside the site.
+    // The bench looks for the file of wire names next to the site file.
     let wire: Table = text.parse().unwrap_or_default();
     if let Some(wire) = wire.get("wire").and_then(Value::as_str) {
         let from = site.with_file_name(wire);
-        // The kit's files can't be written to, and neither could their copies.
+        // Files of the kit are read-only, and `fs::copy` would make the copies read-only too.
         let wire_text = std::fs::read(&from).map_err(file(&from))?;
         std::fs::write(out.join(wire), wire_text).map_err(file(&from))?;
     }
--- a/crates/xtask/src/widen/tests.rs
+++ b/crates/xtask/src/widen/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const WIDER: Changes = Changes {
+const SCALED: Changes = Changes {
     factor: 1.5,
     restart_s: None,
     lease_s: None,
@@ -38,12 +38,12 @@
 "#;
 
 #[test]
-fn work_and_troubles_grow_with_the_machines() {
-    let quick = Changes {
+fn load_and_machine_faults_scale_with_the_machines() {
+    let fast_restart = Changes {
         restart_s: Some(0.2),
-        ..WIDER
+        ..SCALED
     };
-    let (name, text) = widen("x.toml", SITE, &quick).expect("a site");
+    let (name, text) = widen("x.toml", SITE, &fast_restart).expect("a site");
     assert_eq!(name, "x-wide");
     let site: Value = toml::from_str(&text).expect("it can be read");
     let number = |value: &Value| match value {
@@ -72,30 +72,30 @@
 }
 
 #[test]
-fn bad_input_is_named() {
+fn errors_name_the_bad_input() {
     for factor in [0.0, -1.0, f64::NAN] {
-        let error = widen("x.toml", SITE, &Changes { factor, ..WIDER }).expect_err("no factor");
+        let error = widen("x.toml", SITE, &Changes { factor, ..SCALED }).expect_err("no factor");
         assert!(error.to_string().contains("--machines"), "{error}");
     }
     let at_once = Changes {
         restart_s: Some(0.0),
-        ..WIDER
+        ..SCALED
     };
     let error = widen("x.toml", SITE, &at_once).expect_err("no time");
     assert!(error.to_string().contains("--restart"), "{error}");
     for text in ["name = 3", "name = \"x\"", "{", "name = \"x\"\n[nodes]\n"] {
-        let error = widen("x.toml", text, &WIDER).expect_err("no site");
+        let error = widen("x.toml", text, &SCALED).expect_err("no site");
         let line = error.to_string();
         assert!(line.contains("x.toml") && !line.contains('\n'), "{line}");
     }
 }
 
 #[test]
-fn leases_are_set_only_to_what_controllers_start_with() {
+fn lease_settings_are_applied_only_if_controllers_accept_them() {
     let with = |lease_s, cancel_s| Changes {
         lease_s,
         cancel_s,
-        ..WIDER
+        ..SCALED
     };
     let (_, text) = widen("x.toml", SITE, &with(Some(16.0), Some(41.0))).expect("a site");
     let site: Value = toml::from_str(&text).expect("it can be read");
