--- a/crates/xtask/src/known_red.rs
+++ b/crates/xtask/src/known_red.rs
@@ -1,10 +1,9 @@
-//! Tests that are known to fail: `KNOWN-RED.txt` at the root names them, and a run of
-//! all tests passes over exactly these and prints them.
+//! Tests that are known to fail. `KNOWN-RED.txt` at the root lists them, and `cargo xtask test`
+//! prints them and runs all other tests.
 //!
-//! A line is `test | command | seen | issue`: the test's name as the test harness
-//! lists it, the command with its seed that reproduces the failure, what was seen and
-//! the cause as far as it is shown, and the number of the issue that it waits for. A
-//! name has to be that of one test.
+//! Each line is `test | command | seen | issue`: the test's name as the test harness lists it,
+//! the command and seed that reproduce the failure, the failure as observed with its cause as
+//! far as known, and the number of the issue. A name must match exactly one test.
 
 mod repeat;
 
@@ -17,42 +16,43 @@
 
 pub use repeat::{Options, run as repeat};
 
-const FILE: &str = "KNOWN-RED.txt";
-/// What cargo is told to run tests of all packages as they are locked.
-const ALL_TESTS: [&str; 3] = ["test", "--workspace", "--locked"];
+/// Name of the list, relative to the root of the repository.
+const KNOWN_RED_FILE: &str = "KNOWN-RED.txt";
+/// Cargo arguments that run the tests of all packages with the locked dependencies.
+const ALL_TESTS_ARGS: [&str; 3] = ["test", "--workspace", "--locked"];
 
-/// A test that is known to fail.
+/// Entry of the list: a test that is known to fail.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Red {
-    /// Its name as the test harness lists it.
+pub struct KnownFailure {
+    /// Name of the test as the test harness lists it.
     pub test: String,
-    /// What reproduces the failure, with its seed.
+    /// Command and seed that reproduce the failure.
     pub command: String,
-    /// What was seen, and the cause as far as it is shown.
-    pub seen: String,
-    /// The issue that it waits for.
+    /// The failure as observed, and its cause as far as known.
+    pub observed: String,
+    /// Number of the issue that tracks the failure.
     pub issue: u32,
 }
 
-/// Why tests can't be run.
+/// Error of `cargo xtask test` and `cargo xtask known-red`.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum Failure {
-    #[error("{FILE}, line {0}: `{1}` is not of the form `test | command | seen | issue`")]
+    #[error("{KNOWN_RED_FILE}, line {0}: `{1}` is not of the form `test | command | seen | issue`")]
     Malformed(usize, String),
-    #[error("{FILE}: {0} tests are named `{1}`, and it has to be one")]
-    Name(usize, String),
-    #[error("{FILE} can't be read: {0}")]
+    #[error("{KNOWN_RED_FILE}: expected exactly one test named `{1}`, found {0}")]
+    TestCount(usize, String),
+    #[error("{KNOWN_RED_FILE} could not be read: {0}")]
     Read(String),
-    #[error("cargo can't be started: {0}")]
-    Start(String),
-    #[error("--times is 0, and each test has to be run once at least")]
+    #[error("cargo could not be started: {0}")]
+    StartCargo(String),
+    #[error("--times must be at least 1, got 0")]
     NoRuns,
-    #[error("the tests can't be listed: cargo ended with {0}")]
-    List(String),
+    #[error("the tests could not be listed: cargo ended with {0}")]
+    ListTests(String),
 }
 
-/// Reads the lines of the file; empty ones say nothing.
-pub fn parse(text: &str) -> Result<Vec<Red>, Failure> {
+/// Parses the list; empty lines are skipped.
+pub fn parse(text: &str) -> Result<Vec<KnownFailure>, Failure> {
     let lines = text.lines().enumerate();
     let entries = lines.filter(|(_, line)| !line.trim().is_empty());
     entries
@@ -62,69 +62,72 @@
         .collect()
 }
 
-/// An entry; none if the line is malformed.
-fn parse_line(line: &str) -> Option<Red> {
+/// Parses one line; `None` if it is malformed.
+fn parse_line(line: &str) -> Option<KnownFailure> {
     let fields: Vec<_> = line.split('|').map(str::trim).collect();
-    let [test, command, seen, issue] = fields[..] else {
+    let [test, command, observed, issue] = fields[..] else {
         return None;
     };
-    let is_empty = [test, command, seen].iter().any(|field| field.is_empty());
+    let is_empty = [test, command, observed]
+        .iter()
+        .any(|field| field.is_empty());
     if is_empty || test.contains(char::is_whitespace) {
         return None;
     }
-    Some(Red {
+    Some(KnownFailure {
         test: test.to_owned(),
         command: command.to_owned(),
-        seen: seen.to_owned(),
+        observed: observed.to_owned(),
         issue: issue.trim_start_matches('#').parse().ok()?,
     })
 }
 
-/// Checks that each names one test of those that the harness lists.
-pub fn check(reds: &[Red], listed: &str) -> Result<(), Failure> {
-    for red in reds {
-        let name = listed
+/// Checks that each entry names exactly one test of `listed`, the output of the harness's
+/// `--list`.
+pub fn check_test_names(known_failures: &[KnownFailure], listed: &str) -> Result<(), Failure> {
+    for known_failure in known_failures {
+        let names = listed
             .lines()
             .filter_map(|line| line.strip_suffix(": test"));
-        let count = name.filter(|name| *name == red.test).count();
+        let count = names.filter(|name| *name == known_failure.test).count();
         if count != 1 {
-            return Err(Failure::Name(count, red.test.clone()));
+            return Err(Failure::TestCount(count, known_failure.test.clone()));
         }
     }
     Ok(())
 }
 
-/// What cargo is given to run all tests but these.
-pub fn arguments(reds: &[Red]) -> Vec<String> {
-    let mut arguments = ALL_TESTS.map(String::from).to_vec();
-    if !reds.is_empty() {
+/// Cargo arguments that run all tests except these.
+pub fn arguments(known_failures: &[KnownFailure]) -> Vec<String> {
+    let mut arguments = ALL_TESTS_ARGS.map(String::from).to_vec();
+    if !known_failures.is_empty() {
         arguments.extend(["--", "--exact"].map(String::from));
     }
-    for red in reds {
-        arguments.extend(["--skip".to_owned(), red.test.clone()]);
+    for known_failure in known_failures {
+        arguments.extend(["--skip".to_owned(), known_failure.test.clone()]);
     }
     arguments
 }
 
-/// Runs all tests but those known to fail, which it prints. False if one fails.
+/// Prints the tests that are known to fail and runs all others. Returns false if one fails.
 pub fn run(root: &Path) -> Result<bool, Failure> {
-    let reds = read(root)?;
-    if !reds.is_empty() {
-        check(&reds, &list(root, &[])?)?;
+    let known_failures = read(root)?;
+    if !known_failures.is_empty() {
+        check_test_names(&known_failures, &list_tests(root, &[])?)?;
     }
-    for red in &reds {
+    for known_failure in &known_failures {
         println!(
             "known red: {} ({}), issue {}",
-            red.test, red.seen, red.issue
+            known_failure.test, known_failure.observed, known_failure.issue
         );
     }
-    let status = cargo(root).args(arguments(&reds)).status();
-    Ok(status.map_err(start)?.success())
+    let status = cargo(root).args(arguments(&known_failures)).status();
+    Ok(status.map_err(start_error)?.success())
 }
 
-/// The entries of the file; none without a file.
-fn read(root: &Path) -> Result<Vec<Red>, Failure> {
-    let file = root.join(FILE);
+/// Reads the list; it is empty if the file does not exist.
+fn read(root: &Path) -> Result<Vec<KnownFailure>, Failure> {
+    let file = root.join(KNOWN_RED_FILE);
     if !file.exists() {
         return Ok(Vec::new());
     }
@@ -132,13 +135,19 @@
     parse(&text)
 }
 
-/// All tests, as the harness lists them. `more`: further arguments for cargo.
-fn list(root: &Path, more: &[&str]) -> Result<String, Failure> {
+/// Output of the harness's `--list` for all tests; `extra_arguments` go to cargo.
+fn list_tests(root: &Path, extra_arguments: &[&str]) -> Result<String, Failure> {
     let mut command = cargo(root);
-    command.args(ALL_TESTS).args(more).args(["--", "--list"]);
-    let listed = command.stderr(Stdio::inherit()).output().map_err(start)?;
+    command
+        .args(ALL_TESTS_ARGS)
+        .args(extra_arguments)
+        .args(["--", "--list"]);
+    let listed = command
+        .stderr(Stdio::inherit())
+        .output()
+        .map_err(start_error)?;
     if !listed.status.success() {
-        return Err(Failure::List(listed.status.to_string()));
+        return Err(Failure::ListTests(listed.status.to_string()));
     }
     Ok(String::from_utf8_lossy(&listed.stdout).into_owned())
 }
@@ -149,8 +158,8 @@
     command
 }
 
-fn start(e: std::io::Error) -> Failure {
-    Failure::Start(e.to_string())
+fn start_error(e: std::io::Error) -> Failure {
+    Failure::StartCargo(e.to_string())
 }
 
 #[cfg(test)]
--- a/crates/xtask/src/known_red/repeat.rs
+++ b/crates/xtask/src/known_red/repeat.rs
@@ -1,5 +1,5 @@
-//! Runs the tests that are known to fail, several times each, and says how often they
-//! passed. It judges nothing.
+//! Runs each test that is known to fail a given number of times and prints how often it passed.
+//! A failing test is not an error here.
 
 use std::{
     fmt,
@@ -9,80 +9,94 @@
 
 use clap::Args;
 
-use super::{ALL_TESTS, FILE, Failure, Red, cargo, check, list, read, start};
+use super::{
+    ALL_TESTS_ARGS, Failure, KNOWN_RED_FILE, KnownFailure, cargo, check_test_names, list_tests,
+    read, start_error,
+};
 
-/// Release mode, and no documentation tests: those are compiled anew each time.
-const HOW: [&str; 2] = ["--release", "--tests"];
+/// Release mode without documentation tests, which are recompiled on every run.
+const RELEASE_TEST_ARGS: [&str; 2] = ["--release", "--tests"];
 
-/// Which runs are made.
+/// Options of `cargo xtask known-red`.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// How often each test is run.
+    /// Number of runs of each test.
     #[arg(long, default_value = "1")]
     pub times: u32,
 }
 
-/// What came of the runs of one test.
+/// Results of the runs of one test.
 #[derive(Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct RunStats {
+    /// Number of runs that passed.
     pub passed: u32,
-    /// How long each run took.
-    pub took: Vec<Duration>,
+    /// Duration of each run, including that of cargo.
+    pub durations: Vec<Duration>,
 }
 
-impl Tally {
-    /// Counts one more run.
-    pub fn add(&mut self, passed: bool, took: Duration) {
+impl RunStats {
+    /// Adds one run.
+    pub fn add(&mut self, passed: bool, duration: Duration) {
         self.passed += u32::from(passed);
-        self.took.push(took);
+        self.durations.push(duration);
     }
 }
 
-impl fmt::Display for Tally {
+impl fmt::Display for RunStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let seconds = |took: Option<&Duration>| took.copied().unwrap_or_default().as_secs_f64();
+        let seconds =
+            |duration: Option<&Duration>| duration.copied().unwrap_or_default().as_secs_f64();
         write!(
             f,
             "{} of {} passed, {:.1} to {:.1} s each",
             self.passed,
-            self.took.len(),
-            seconds(self.took.iter().min()),
-            seconds(self.took.iter().max()),
+            self.durations.len(),
+            seconds(self.durations.iter().min()),
+            seconds(self.durations.iter().max()),
         )
     }
 }
 
-/// What cargo is given to run one test, also if it is ignored.
-pub fn arguments(red: &Red) -> Vec<String> {
-    let harness = ["--", "--exact", "--include-ignored", &red.test];
-    let arguments = ALL_TESTS.iter().chain(&HOW).chain(&harness);
+/// Cargo arguments that run one test, even if it is marked as ignored.
+pub fn arguments(known_failure: &KnownFailure) -> Vec<String> {
+    let harness = ["--", "--exact", "--include-ignored", &known_failure.test];
+    let arguments = ALL_TESTS_ARGS
+        .iter()
+        .chain(&RELEASE_TEST_ARGS)
+        .chain(&harness);
     arguments.map(|argument| (*argument).to_owned()).collect()
 }
 
-/// Runs each test of the list so often and prints what came of it. Its own output is
-/// passed on.
+/// Runs each listed test `times` times and prints its results. The output of the tests is
+/// passed through.
 pub fn run(root: &Path, options: &Options) -> Result<(), Failure> {
     if options.times == 0 {
         return Err(Failure::NoRuns);
     }
-    let reds = read(root)?;
-    if reds.is_empty() {
-        println!("{FILE} lists no test");
+    let known_failures = read(root)?;
+    if known_failures.is_empty() {
+        println!("{KNOWN_RED_FILE} lists no test");
         return Ok(());
     }
-    check(&reds, &list(root, &HOW)?)?;
-    let mut tallies = Vec::new();
-    for red in &reds {
-        let mut tally = Tally::default();
+    check_test_names(&known_failures, &list_tests(root, &RELEASE_TEST_ARGS)?)?;
+    let mut all_stats = Vec::new();
+    for known_failure in &known_failures {
+        let mut stats = RunStats::default();
         for _ in 0..options.times {
-            let began = Instant::now();
-            let status = cargo(root).args(arguments(red)).status().map_err(start)?;
-            tally.add(status.success(), began.elapsed());
+            let started = Instant::now();
+            let status = cargo(root)
+                .args(arguments(known_failure))
+                .status()
+                .map_err(start_error)?;
+            stats.add(status.success(), started.elapsed());
         }
-        tallies.push(tally);
+        all_stats.push(stats);
     }
-    for (red, tally) in reds.iter().zip(tallies) {
-        println!("{}: {tally} ({})", red.test, red.command);
+    for (known_failure, stats) in known_failures.iter().zip(all_stats) {
+        println!(
+            "{}: {stats} ({})",
+            known_failure.test, known_failure.command
+        );
     }
     Ok(())
 }
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! `cargo xtask`: what goes with working on oliveshift and is no part of it.
+//! `cargo xtask`: development tools for oliveshift that are not part of the product.
 
 mod aims;
 mod best;
@@ -13,7 +13,7 @@
 
 use clap::{Parser, Subcommand};
 
-/// Tools for those who work on oliveshift.
+/// Development tools for oliveshift.
 #[derive(Debug, Parser)]
 #[command(name = "cargo xtask", about)]
 struct Cli {
@@ -23,45 +23,52 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Plays the operators' sites and compares their scores with the references.
+    /// Scores the operators' sites with their bench and compares the scores with references.
     ///
-    /// Ends with 0 if all is well, with 1 on a broken rule, a failed day or a
-    /// fall of more than 0.03, and with 2 if the bench or a site is missing.
+    /// Exits with 0 on success, with 1 on a broken rule, a failed day, an incomplete run or a
+    /// score drop of more than 0.03, and with 2 on errors such as a missing bench or site file.
     Regress(regress::Options),
-    /// Sums up the journal: which aims are worth least, by site and day.
+    /// Summarizes the journal: the objectives with the lowest scores, by site and day.
     Aims(aims::Options),
-    /// How much of each class of jobs and each team was served, by reports.
+    /// Prints the share of the jobs of each class and team that was served, from bench reports.
     ///
-    /// Ends with 1 if less than half of any one was.
+    /// Exits with 1 if it is less than half for any class or team.
     Served(served::Options),
-    /// What of a day's jobs the machines that it had could have served at best,
-    /// by a debug log.
+    /// Computes from a debug log an upper bound for the jobs of a day that its machines could
+    /// have completed.
     Best(best::Options),
-    /// Derives a site with more machines, and with controllers that are back
-    /// sooner, from one of the kit's.
+    /// Derives a site with more machines, faster controller restarts or other lease settings
+    /// from a site file of the operators' kit.
     Widen(widen::Options),
-    /// Runs all tests but those that `KNOWN-RED.txt` lists, which it prints.
+    /// Prints the tests that `KNOWN-RED.txt` lists and runs all others.
     ///
-    /// Ends with 1 if a test fails, and with 2 if the file has a line that is
-    /// malformed or a name that is not that of one test.
+    /// Exits with 1 if a test fails, and with 2 if the file has a malformed line or a name
+    /// that does not match exactly one test.
     Test,
-    /// Runs the tests that `KNOWN-RED.txt` lists, ignored ones too, in release mode,
-    /// and prints how many runs passed and how long they took. It judges nothing.
+    /// Runs the tests that `KNOWN-RED.txt` lists, including ignored ones, in release mode, and
+    /// prints how many runs passed and how long they took.
     ///
-    /// Ends with 2 if the list can't be read or names no single test.
+    /// Failing tests do not change the exit code. Exits with 2 if the list can't be read or a
+    /// name does not match exactly one test.
     KnownRed(known_red::Options),
 }
 
-/// The root of the repository, wherever the command is started in it.
-fn root() -> PathBuf {
-    // What cargo says now: the folder may have been moved since it was built.
-    let here = std::env::var_os("CARGO_MANIFEST_DIR");
-    let here = here.map_or_else(|| env!("CARGO_MANIFEST_DIR").into(), PathBuf::from);
-    here.ancestors().nth(2).map(PathBuf::from).unwrap_or(here)
+/// Root of the repository, independent of the current folder.
+fn repository_root() -> PathBuf {
+    // Prefers the variable at run time: the path from compile time is outdated if the
+    // repository was moved after the build.
+    let manifest_dir = std::env::var_os("CARGO_MANIFEST_DIR");
+    let manifest_dir =
+        manifest_dir.map_or_else(|| env!("CARGO_MANIFEST_DIR").into(), PathBuf::from);
+    manifest_dir
+        .ancestors()
+        .nth(2)
+        .map(PathBuf::from)
+        .unwrap_or(manifest_dir)
 }
 
 fn main() -> ExitCode {
-    let root = root();
+    let root = repository_root();
     let result = match Cli::parse().command {
         Command::Regress(options) => regress::run(&root, &options).map_err(|e| e.to_string()),
         Command::Aims(options) => aims::run(&root, &options)
