--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -1,5 +1,5 @@
-//! Whole controllers through days of trouble: no rule may break, and once the
-//! trouble is over, all work gets done.
+//! Whole controllers in simulated days with faults: no rule is violated, and once the
+//! faults are over, all work gets done.
 
 mod plays;
 
@@ -10,33 +10,36 @@
     Fault, Outcome, RuleViolation, Size, World, draw, draw_incidents, draw_lag, draw_links,
     draw_quick_restarts, draw_rolling_upgrade, draw_slow_controllers, run_seeds_in_parallel,
 };
-use plays::{S, day, good, good_roll, grown, roll};
+use plays::{
+    S, assert_run_succeeds, assert_upgrade_succeeds, run_large_fleet, run_simulation, run_upgrade,
+};
 
 #[test]
 fn a_quiet_day() {
-    good(1, Vec::new());
+    assert_run_succeeds(1, Vec::new());
 }
 
-/// A new machine waited two seconds for the leader's answer if its block was
-/// another controller's, and was turned away then.
+/// A new machine whose block belonged to another controller waited two seconds for the
+/// leader's answer, and was refused then.
 #[test]
 fn workers_are_answered_at_once() {
     for seed in 10..16 {
-        let slowest = day(seed, Vec::new(), None).slowest_report_answer;
-        // The write's own answer may be lost, which takes 1.5 s to notice.
+        let slowest = run_simulation(seed, Vec::new(), None).slowest_report_answer;
+        // The answer to the write itself may be lost, which takes 1.5 s to detect.
         assert!(slowest < S * 9 / 5, "seed {seed}: {slowest:?}");
     }
 }
 
-/// A block was taken over when all its machines had gone; the tasks handed to
-/// it stayed lost, and counted against their team's limit for ever.
+/// A block was taken over after all its machines were gone; the tasks assigned to it were
+/// never released, and counted against their team's limit permanently.
 #[test]
-fn a_block_without_machines_gives_its_tasks_back() {
-    good(1029, draw(1029, 3, S * 180));
+fn a_block_without_machines_releases_its_tasks() {
+    assert_run_succeeds(1029, draw(1029, 3, S * 180));
 }
 
-/// A session learnt through the answer to direct orders counted from the last
-/// answer to the session before, and was written off while its tasks ran.
+/// The lease of a session that became known through the answer to direct orders was counted
+/// from the last answer to the previous session, so the session was written off while its
+/// tasks ran.
 #[test]
 fn a_new_session_runs_its_whole_lease() {
     let crash = |node, at| Fault::Crash { node, at: S * at };
@@ -63,33 +66,32 @@
         crash(2, 96),
     ];
     for seed in 1033..1037 {
-        good(seed, faults.clone());
+        assert_run_succeeds(seed, faults.clone());
     }
 }
 
-/// With the peers unreachable the leader goes by the records and what it heard
-/// last.
+/// With its peers unreachable the leader uses the records and the last messages it received.
 #[test]
 fn controllers_that_refuse_each_other() {
     for (seed, node) in [(20, 0), (21, 1), (22, 2)] {
         let (from, until) = (S * 40, S * 100);
-        let alone = Fault::StateRefusesNode { node, from, until };
-        good(seed, vec![Fault::PeersUnreachable { from, until }, alone]);
+        let refused = Fault::StateRefusesNode { node, from, until };
+        assert_run_succeeds(seed, vec![Fault::PeersUnreachable { from, until }, refused]);
     }
 }
 
-/// Hundreds of machines and thousands of tasks, with the leader lost under way:
-/// what the controllers ask of the state service and tell each other.
+/// Bounds the load on the state service, between peers and on workers, with hundreds of
+/// machines, thousands of tasks and a controller that crashes.
 #[test]
-fn a_grown_deployment_keeps_to_its_limits() {
+fn a_large_deployment_stays_within_its_limits() {
     let crash = Fault::Crash {
         node: 0,
         at: S * 60,
     };
-    let outcome = grown(40, vec![crash], S * 260);
+    let outcome = run_large_fleet(40, vec![crash], S * 260);
     let load = &outcome.load;
     assert!(outcome.started > 3000, "{} started", outcome.started);
-    // Writes may come a second's worth at once after a pause.
+    // After a pause, one second's allowance of writes may come at once.
     let (requests, writes) = Size::LARGE.state_rates;
     let most = |counts: &std::collections::BTreeMap<u64, usize>| counts.values().copied().max();
     assert!(most(&load.requests) <= Some(requests as usize), "{load:?}");
@@ -103,35 +105,36 @@
 #[test]
 fn drawn_days() {
     for seed in 100..140 {
-        good(seed, draw(seed, 3, S * 180));
+        assert_run_succeeds(seed, draw(seed, 3, S * 180));
     }
 }
 
 #[test]
-fn drawn_days_with_a_roll() {
+fn drawn_days_with_a_rolling_upgrade() {
     for seed in 100..140 {
-        good_roll(seed, draw_rolling_upgrade(seed, 3, S * 180));
+        assert_upgrade_succeeds(seed, draw_rolling_upgrade(seed, 3, S * 180));
     }
 }
 
-/// What was awaited under the old program, or is cancelled with it, is known
-/// under the new one; and the roll itself costs nobody anything.
+/// Dependencies and cancellations that were recorded by the previous version are known to the
+/// new one, and the rolling upgrade itself causes no failures.
 #[test]
-fn a_quiet_roll() {
+fn a_rolling_upgrade_without_other_faults() {
     for seed in 30..34 {
-        let roll = Fault::RollingUpgrade {
+        let upgrade = Fault::RollingUpgrade {
             first: seed as usize % 3,
             at: S * 20,
             every: S * 8,
         };
-        good_roll(seed, vec![roll, Fault::LowerStateLimits { at: S * 42 }]);
+        assert_upgrade_succeeds(seed, vec![upgrade, Fault::LowerStateLimits { at: S * 42 }]);
     }
 }
 
-/// A controller that dies in the roll and never comes back holds the new forms
-/// up until an operator says so; one that is up can't be written off.
+/// A controller that stops during the rolling upgrade and never returns blocks the switch to
+/// the new format until an operator writes it off; a controller that is up cannot be written
+/// off.
 #[test]
-fn a_controller_that_never_comes_back() {
+fn a_controller_that_never_returns() {
     let faults = |write_off: usize| {
         vec![
             Fault::RollingUpgrade {
@@ -149,18 +152,18 @@
             },
         ]
     };
-    let all = roll(70, faults(2), None);
-    assert_eq!((all.violations, all.open), (vec![], vec![]));
-    let held_up = roll(70, faults(0), None);
-    assert_eq!(held_up.violations, []);
-    // Pipelines are not accepted; what else was submitted is done.
-    assert_eq!(held_up.open, []);
-    assert!(held_up.accepted + 12 < all.accepted);
+    let switched = run_upgrade(70, faults(2), None);
+    assert_eq!((switched.violations, switched.open), (vec![], vec![]));
+    let blocked = run_upgrade(70, faults(0), None);
+    assert_eq!(blocked.violations, []);
+    // Pipelines are not accepted; all other submitted jobs are done.
+    assert_eq!(blocked.open, []);
+    assert!(blocked.accepted + 12 < switched.accepted);
 }
 
-/// Hundreds of machines, whose lists are larger than the lower limits allow.
+/// Hundreds of machines, whose lists are larger than the lowered limits allow.
 #[test]
-fn a_grown_roll() {
+fn a_rolling_upgrade_of_a_large_fleet() {
     let size = Size {
         pipelines: 12,
         ..Size::LARGE
@@ -185,111 +188,111 @@
     assert!(outcome.started > 3000, "{} started", outcome.started);
 }
 
-/// Plays a day on which controllers are behind: what reaches them and what they
-/// send takes seconds, and direct orders overtake their answers; or they have
-/// too little processor time, so that requests wait for their turns.
-fn good_behind(seed: u64, draw: impl Fn(u64, usize, Duration) -> Vec<Fault>) {
+/// Runs a simulation with lagging or slow controllers and asserts that no rule is violated and
+/// no work is left. With lag, messages from and to controllers take seconds, and direct orders
+/// overtake answers; slow controllers have too little processor time, so requests are queued.
+fn assert_lagging_run_succeeds(seed: u64, draw: impl Fn(u64, usize, Duration) -> Vec<Fault>) {
     let faults = draw(seed, 3, S * 180);
     let text = format!("{faults:?}");
-    let outcome = day(seed, faults, None);
+    let outcome = run_simulation(seed, faults, None);
     assert_eq!(outcome.violations, [], "seed {seed}: {text}");
     assert_eq!(outcome.open, [], "seed {seed}: {text}");
     assert!(outcome.started > 20, "seed {seed}");
 }
 
 #[test]
-fn drawn_days_behind() {
+fn drawn_days_with_lagging_controllers() {
     for seed in 200..240 {
-        good_behind(seed, draw_lag);
+        assert_lagging_run_succeeds(seed, draw_lag);
     }
     for seed in 300..330 {
-        good_behind(seed, draw_slow_controllers);
+        assert_lagging_run_succeeds(seed, draw_slow_controllers);
     }
 }
 
-/// Controllers that are back at once, in the middle of elections and with late
-/// copies of old messages about.
+/// Controllers that restart at once, in the middle of elections and with late copies of old
+/// messages in flight.
 #[test]
 fn drawn_days_with_quick_restarts() {
     for seed in 400..440 {
-        good(seed, draw_quick_restarts(seed, 3, S * 180));
+        assert_run_succeeds(seed, draw_quick_restarts(seed, 3, S * 180));
     }
 }
 
-/// What the operators' on-call people met, several at a time.
+/// Incidents that on-call engineers have reported, several at a time.
 #[test]
-fn drawn_days_with_troubles() {
+fn drawn_days_with_incidents() {
     for seed in 500..540 {
-        good(seed, draw_incidents(seed, 3, S * 180));
+        assert_run_succeeds(seed, draw_incidents(seed, 3, S * 180));
     }
 }
 
-/// A new holder heard a late copy of an old report first, went by the attempt in
-/// there, and when that was gone placed a task again that ran under a later one.
-/// That the guard is what holds, a test of the core's slots shows: on this day the
-/// two messages met by chance, and any change of a plan keeps them apart.
+/// A new holder first received a late copy of an old report and used the attempt listed there;
+/// when that attempt was gone, it placed a task again that ran under a later attempt. In this
+/// simulation the two messages coincide by chance, and any change of planning separates them, so
+/// a test of the assigned tasks in the core checks the guard itself.
 #[test]
-fn an_old_report_that_comes_first_is_not_all_there_is() {
-    good(3087, draw_incidents(3087, 3, S * 180));
+fn an_old_report_that_arrives_first_does_not_decide() {
+    assert_run_succeeds(3087, draw_incidents(3087, 3, S * 180));
 }
 
-/// A failure always comes back: the same seed is the same day.
+/// Failures are reproducible: the same seed gives the same simulation.
 #[test]
 fn a_seed_gives_the_same_day_each_time() {
     for seed in 401..405 {
-        let play = || day(seed, draw_quick_restarts(seed, 3, S * 180), None);
-        let (one, two) = (play(), play());
+        let simulate = || run_simulation(seed, draw_quick_restarts(seed, 3, S * 180), None);
+        let (one, two) = (simulate(), simulate());
         assert_eq!(one.starts, two.starts, "seed {seed}");
         assert_eq!(one.load.requests, two.load.requests, "seed {seed}");
     }
 }
 
-/// The same search with quick restarts.
+/// Quick restarts with more seeds, also with hundreds of machines.
 #[test]
 #[ignore = "takes minutes"]
 fn many_drawn_days_with_quick_restarts() {
     run_seeds_in_parallel(2000..2600, |seed| {
-        good(seed, draw_quick_restarts(seed, 3, S * 180))
+        assert_run_succeeds(seed, draw_quick_restarts(seed, 3, S * 180))
     });
     run_seeds_in_parallel(0..24, |seed| {
-        grown(seed, draw_quick_restarts(seed, 3, S * 140), S * 400);
+        run_large_fleet(seed, draw_quick_restarts(seed, 3, S * 140), S * 400);
     });
 }
 
-/// The same search with what the on-call people met.
+/// Incidents with more seeds, also with hundreds of machines.
 #[test]
 #[ignore = "takes minutes"]
-fn many_drawn_days_with_troubles() {
+fn many_drawn_days_with_incidents() {
     run_seeds_in_parallel(3000..3600, |seed| {
-        good(seed, draw_incidents(seed, 3, S * 180));
+        assert_run_succeeds(seed, draw_incidents(seed, 3, S * 180));
     });
     run_seeds_in_parallel(0..24, |seed| {
-        grown(seed, draw_incidents(seed, 3, S * 140), S * 400);
+        run_large_fleet(seed, draw_incidents(seed, 3, S * 140), S * 400);
     });
 }
 
-/// A longer search for broken rules, run by hand after larger changes.
+/// A longer search for rule violations, run by hand after larger changes.
 #[test]
 #[ignore = "takes minutes"]
 fn many_drawn_days() {
     for seed in 1000..1600 {
-        good(seed, draw(seed, 3, S * 180));
+        assert_run_succeeds(seed, draw(seed, 3, S * 180));
     }
     for seed in 1000..1600 {
-        good_roll(seed, draw_rolling_upgrade(seed, 3, S * 180));
+        assert_upgrade_succeeds(seed, draw_rolling_upgrade(seed, 3, S * 180));
     }
     for seed in 1000..1600 {
-        good_behind(seed, draw_lag);
-        good_behind(seed, draw_slow_controllers);
+        assert_lagging_run_succeeds(seed, draw_lag);
+        assert_lagging_run_succeeds(seed, draw_slow_controllers);
     }
     for seed in 0..24 {
         let faults = draw(seed, 3, S * 140);
-        grown(seed, faults, S * 400);
+        run_large_fleet(seed, faults, S * 400);
     }
 }
 
 #[test]
-fn work_that_made_room_goes_on_later() {
+fn preempted_work_resumes_later() {
     let cut = |rest, from, until| Fault::CutWorkers {
         node: None,
         rest: Some(rest),
@@ -308,7 +311,7 @@
         cut(0, 120, 136),
     ];
     faults.extend((0..3).map(|node| Fault::Crash { node, at: S * 64 }));
-    good(106, faults);
+    assert_run_succeeds(106, faults);
 }
 
 #[test]
@@ -318,29 +321,30 @@
         until: S * 90,
     }];
     faults.extend((0..3).map(|node| Fault::Crash { node, at: S * 60 }));
-    good(2, faults);
+    assert_run_succeeds(2, faults);
 }
 
 #[test]
-fn a_cut_from_the_state_service_alone() {
+fn a_controller_cut_from_the_state_service_only() {
     for node in 0..3 {
         let (from, until) = (S * 40, S * 100);
-        good(3, vec![Fault::CutState { node, from, until }]);
-        good(4, vec![Fault::StateRefusesNode { node, from, until }]);
+        assert_run_succeeds(3, vec![Fault::CutState { node, from, until }]);
+        assert_run_succeeds(4, vec![Fault::StateRefusesNode { node, from, until }]);
     }
 }
 
-/// Tasks that were started again after they were done.
-fn started_after_the_end(outcome: &Outcome) -> usize {
+/// Counts the starts of tasks after they were done.
+fn starts_after_end(outcome: &Outcome) -> usize {
     let ends: BTreeMap<_, _> = outcome.ends.iter().map(|(at, task)| (task, *at)).collect();
     let starts = outcome.starts.iter();
-    let again = starts.filter(|(at, task)| ends.get(task).is_some_and(|end| at > end));
-    again.count()
+    let repeated = starts.filter(|(at, task)| ends.get(task).is_some_and(|end| at > end));
+    repeated.count()
 }
 
-/// The state service is out for so long that machines become idle, not that leases end,
-/// and a controller ends just before it is back.
-fn ends_in_an_outage(seed: u64, from: u32, sabotage: Option<Sabotage>) -> usize {
+/// The state service is unavailable for long enough that machines become idle, but leases do
+/// not expire, and a controller crashes just before the service is back. Returns the number of
+/// starts of tasks that were already done.
+fn restarts_of_done_tasks(seed: u64, from: u32, sabotage: Option<Sabotage>) -> usize {
     let until = S * (from + 15);
     let outage = Fault::StateOutage {
         from: S * from,
@@ -350,43 +354,43 @@
         node: seed as usize % 3,
         at: until - Duration::from_millis(300),
     };
-    let outcome = day(seed, vec![outage, crash], sabotage);
+    let outcome = run_simulation(seed, vec![outage, crash], sabotage);
     assert_eq!(
         (&outcome.violations[..], &outcome.open[..]),
         (&[][..], &[][..]),
         "{seed}"
     );
-    started_after_the_end(&outcome)
+    starts_after_end(&outcome)
 }
 
-/// What happened: tasks that were done were started again. Why: their ends were known to
-/// their holder and to their machines, could not be recorded in the outage, the machines
-/// were returned as idle meanwhile, and the holder ended. What showed it: "ended on
-/// vm-000003: Done", "vm-000003: returned: it is idle", and then "nowhere in block 1: all
-/// machines of the block are proven" for one task.
+/// Tasks that were done were started again: their ends were known to their holder and their
+/// machines, but could not be recorded during the outage; meanwhile the machines were returned
+/// as idle, and the holder crashed. The log of such a task says that it ended on vm-000003 with
+/// Done, that vm-000003 was returned as idle, and then that the task is nowhere in block 1.
 #[test]
-fn what_is_done_is_not_started_again_after_an_outage() {
-    // Each has had such a task at one of these times.
+fn done_tasks_are_not_started_again_after_an_outage() {
+    // With each seed a done task was started again for one of these outage times.
     let seeds = [1, 7, 15, 22, 49, 58, 76, 79];
-    let days = || {
+    let cases = || {
         seeds
             .iter()
             .flat_map(|seed| [40, 60, 80, 100].map(|from| (*seed, from)))
     };
-    let again: Vec<_> = days()
-        .filter(|(seed, from)| ends_in_an_outage(*seed, *from, None) > 0)
+    let failed: Vec<_> = cases()
+        .filter(|(seed, from)| restarts_of_done_tasks(*seed, *from, None) > 0)
         .collect();
-    assert_eq!(again, []);
+    assert_eq!(failed, []);
     let sabotage = Some(Sabotage::IdleWithUnrecordedEnds);
-    let mut caught = days().filter(|(seed, from)| ends_in_an_outage(*seed, *from, sabotage) > 0);
+    let mut caught =
+        cases().filter(|(seed, from)| restarts_of_done_tasks(*seed, *from, sabotage) > 0);
     assert!(caught.next().is_some());
 }
 
 #[test]
-fn messages_held_back_for_minutes() {
+fn messages_delayed_for_minutes() {
     let (from, until) = (S * 30, S * 160);
     let rest = Some(1);
-    good(
+    assert_run_succeeds(
         5,
         vec![Fault::CutWorkers {
             node: None,
@@ -397,32 +401,35 @@
     );
 }
 
-/// Whether breaking the code on purpose shows on some of the days.
-fn is_caught(
+/// Asserts that `sabotage` violates `rule` with one of the seeds below `seeds`.
+fn assert_caught(
     sabotage: Sabotage,
     rule: RuleViolation,
     seeds: u64,
     faults: impl Fn(u64) -> Vec<Fault>,
 ) {
     let caught = (0..seeds).any(|seed| {
-        let outcome = day(seed, faults(seed), Some(sabotage));
-        outcome.violations.iter().any(|(_, b, _)| *b == rule)
+        let outcome = run_simulation(seed, faults(seed), Some(sabotage));
+        outcome
+            .violations
+            .iter()
+            .any(|(_, violated, _)| *violated == rule)
     });
-    assert!(caught, "{sabotage:?} went unnoticed");
+    assert!(caught, "{sabotage:?} was not caught with any seed");
 }
 
 #[test]
 fn acting_without_contact_is_caught() {
-    // The others can't reach the workers, so nobody fences the one that has
-    // missed a cancellation.
-    is_caught(
+    // The other controllers cannot reach the workers, so none of them fences the controller
+    // that has missed a cancellation.
+    assert_caught(
         Sabotage::NoContactLimit,
         RuleViolation::RanCancelled,
         12,
         |seed| {
             let (from, until) = (S * 40, S * 170);
-            let lone = seed as usize % 3;
-            let others = (0..3).filter(|n| *n != lone);
+            let isolated = seed as usize % 3;
+            let others = (0..3).filter(|n| *n != isolated);
             let mut faults: Vec<_> = others
                 .map(|n| Fault::CutWorkers {
                     node: Some(n),
@@ -432,11 +439,11 @@
                 })
                 .collect();
             faults.push(Fault::StateRefusesNode {
-                node: lone,
+                node: isolated,
                 from,
                 until,
             });
-            // Returning machines that are silent would save us.
+            // Returning silent machines would prevent the violation.
             faults.push(Fault::CloudOutage { from, until });
             faults
         },
@@ -445,7 +452,7 @@
 
 #[test]
 fn placing_again_without_proof_is_caught() {
-    is_caught(Sabotage::NoProof, RuleViolation::RanTwice, 12, |seed| {
+    assert_caught(Sabotage::NoProof, RuleViolation::RanTwice, 12, |seed| {
         let crash = |node, at| Fault::Crash { node, at };
         let mut faults = vec![Fault::CutWorkers {
             node: None,
@@ -458,18 +465,18 @@
     });
 }
 
-/// Reports under any token count as proof, and what a holder has written of a block
-/// that is another's by then takes effect.
+/// Without the term check, reports under any token count as proof, and writes of a former
+/// holder about a block that another controller holds take effect.
 #[test]
 fn ignoring_terms_is_caught() {
     let links = |seed| draw_links(seed, 3, S * 180);
-    is_caught(Sabotage::NoTermCheck, RuleViolation::RanTwice, 60, links);
+    assert_caught(Sabotage::NoTermCheck, RuleViolation::RanTwice, 60, links);
 }
 
-/// What a holder has written before it lost its block is carried out afterwards.
+/// Writes that a holder sent before it lost its block are executed afterwards.
 #[test]
 fn late_writes_of_a_former_holder_are_caught() {
-    is_caught(
+    assert_caught(
         Sabotage::NoTermCheck,
         RuleViolation::Invariant,
         60,
@@ -499,24 +506,24 @@
     );
 }
 
-/// A process that is back at once is told from its predecessor, whatever of that
-/// one is still about.
+/// A process that restarts at once must be distinguished from its predecessor, even while
+/// messages of the predecessor are in flight.
 #[test]
-fn taking_a_predecessor_for_oneself_is_caught() {
+fn reusing_the_incarnation_of_a_predecessor_is_caught() {
     let quick = |seed| draw_quick_restarts(2000 + seed, 3, S * 180);
-    is_caught(Sabotage::OldLife, RuleViolation::RanTwice, 12, quick);
+    assert_caught(Sabotage::OldLife, RuleViolation::RanTwice, 12, quick);
 }
 
 #[test]
 fn answering_from_memory_is_caught() {
     let quick = |seed| draw_quick_restarts(2000 + seed, 3, S * 180);
-    is_caught(Sabotage::FromMemory, RuleViolation::Forgotten, 12, quick);
+    assert_caught(Sabotage::FromMemory, RuleViolation::Forgotten, 12, quick);
 }
 
 #[test]
-fn telling_what_is_not_confirmed_is_caught() {
+fn reporting_unconfirmed_cancellations_is_caught() {
     let quick = |seed| draw_quick_restarts(2000 + seed, 3, S * 180);
-    is_caught(
+    assert_caught(
         Sabotage::UnconfirmedCancels,
         RuleViolation::WentBack,
         40,
@@ -524,53 +531,61 @@
     );
 }
 
-/// Whether breaking the code on purpose shows on some of the days with a roll.
-fn is_caught_in_a_roll(sabotage: Sabotage, shows: impl Fn(&Outcome) -> bool) {
+/// Asserts that `is_caught` holds with `sabotage` in one of 12 simulations with a rolling upgrade.
+fn assert_caught_in_upgrade(sabotage: Sabotage, is_caught: impl Fn(&Outcome) -> bool) {
     let caught = (0..12).any(|seed| {
-        let roll_at = |first, at| Fault::RollingUpgrade {
+        let upgrade_at = |first, at| Fault::RollingUpgrade {
             first,
             at: S * at,
             every: S * 9,
         };
         let faults = vec![
-            roll_at(seed as usize % 3, 30),
+            upgrade_at(seed as usize % 3, 30),
             Fault::LowerStateLimits { at: S * 60 },
         ];
-        shows(&roll(seed, faults, Some(sabotage)))
+        is_caught(&run_upgrade(seed, faults, Some(sabotage)))
     });
-    assert!(caught, "{sabotage:?} went unnoticed");
+    assert!(caught, "{sabotage:?} was not caught with any seed");
 }
 
-fn broke(rule: RuleViolation) -> impl Fn(&Outcome) -> bool {
-    move |outcome| outcome.violations.iter().any(|(_, b, _)| *b == rule)
+fn violates(rule: RuleViolation) -> impl Fn(&Outcome) -> bool {
+    move |outcome| {
+        outcome
+            .violations
+            .iter()
+            .any(|(_, violated, _)| *violated == rule)
+    }
 }
 
 #[test]
-fn starting_too_early_is_caught() {
-    is_caught_in_a_roll(Sabotage::NoDependencies, broke(RuleViolation::TooEarly));
+fn starting_before_dependencies_are_done_is_caught() {
+    assert_caught_in_upgrade(Sabotage::NoDependencies, violates(RuleViolation::TooEarly));
 }
 
 #[test]
-fn forgetting_the_chain_is_caught() {
-    is_caught_in_a_roll(Sabotage::NoCancelCascade, broke(RuleViolation::Orphaned));
+fn missing_cancel_cascade_is_caught() {
+    assert_caught_in_upgrade(Sabotage::NoCancelCascade, violates(RuleViolation::Orphaned));
 }
 
 #[test]
-fn new_forms_among_old_programs_are_caught() {
-    is_caught_in_a_roll(Sabotage::EarlyFormatSwitch, broke(RuleViolation::Forgotten));
+fn switching_the_format_too_early_is_caught() {
+    assert_caught_in_upgrade(
+        Sabotage::EarlyFormatSwitch,
+        violates(RuleViolation::Forgotten),
+    );
 }
 
 #[test]
-fn ignoring_the_limits_to_come_is_caught() {
-    is_caught_in_a_roll(Sabotage::NoLoweredLimits, |outcome| {
+fn ignoring_lowered_limits_is_caught() {
+    assert_caught_in_upgrade(Sabotage::NoLoweredLimits, |outcome| {
         outcome.refused_writes.0 > 0
     });
 }
 
-/// Machines whose network holds what they send, a controller cut from its
-/// workers, then one that stands still: what nobody is at the other end of any
-/// more took up all sockets, and users and the load balancer were turned away.
-fn crowd(sabotage: Option<Sabotage>) -> Outcome {
+/// Exhausts the sockets: connections that stay silent, machines whose messages are held back, a
+/// controller cut off from its workers, then a paused controller process. Connections without a
+/// live client took up all sockets, and users and the load balancer were refused.
+fn run_socket_exhaustion(sabotage: Option<Sabotage>) -> Outcome {
     let cut = |node, rest, from, until| Fault::CutWorkers {
         node,
         rest,
@@ -599,8 +614,8 @@
 }
 
 #[test]
-fn sockets_are_left_for_users() {
-    let outcome = crowd(None);
+fn sockets_are_reserved_for_users() {
+    let outcome = run_socket_exhaustion(None);
     assert_eq!((outcome.violations, outcome.open), (vec![], vec![]));
     let sockets = outcome.sockets;
     assert!((430..=450).contains(&sockets.peak), "{sockets:?}");
@@ -610,17 +625,17 @@
 }
 
 #[test]
-fn one_allowance_for_all_is_caught() {
-    let sockets = crowd(Some(Sabotage::NoShares)).sockets;
+fn missing_socket_shares_are_caught() {
+    let sockets = run_socket_exhaustion(Some(Sabotage::NoShares)).sockets;
     assert!(sockets.users_cut > 50, "{sockets:?}");
     assert!(sockets.probes_cut > 50, "{sockets:?}");
 }
 
-/// A controller that stands still hears afterwards what was given up meanwhile.
+/// A paused controller learns after the pause which work was given up meanwhile.
 #[test]
-fn controllers_that_stand_still() {
+fn paused_controllers() {
     for seed in 60..66 {
-        let frozen = |node, at, seconds| Fault::ProcessPause {
+        let pause = |node, at, seconds| Fault::ProcessPause {
             node,
             from: S * at,
             until: S * (at + seconds),
@@ -630,16 +645,13 @@
             node: (node + 1) % 3,
             at: S * 92,
         };
-        good(
-            seed,
-            vec![frozen(node, 40, 18), frozen(node, 90, 34), crash],
-        );
+        assert_run_succeeds(seed, vec![pause(node, 40, 18), pause(node, 90, 34), crash]);
     }
 }
 
-/// All controllers have too little processor time for what comes in. Workers
-/// give up and come again elsewhere, and users waited behind them.
-fn overload(sabotage: Option<Sabotage>) -> Outcome {
+/// All controllers have too little processor time for the incoming requests. Workers time out
+/// and retry at other controllers, and users waited in the queue behind them.
+fn run_overload(sabotage: Option<Sabotage>) -> Outcome {
     let slow = |node| Fault::SlowController {
         node,
         each: Duration::from_millis(30),
@@ -651,14 +663,17 @@
 }
 
 #[test]
-fn users_are_served_by_whoever_is_behind() {
-    let outcome = overload(None);
+fn overloaded_controllers_serve_users() {
+    let outcome = run_overload(None);
     assert_eq!((outcome.violations, outcome.open), (vec![], vec![]));
     assert_eq!(outcome.sockets.late, (0, 0), "{:?}", outcome.sockets);
 }
 
 #[test]
 fn answering_in_order_is_caught() {
-    let (users, probes) = overload(Some(Sabotage::NoPriorities)).sockets.late;
-    assert!(users > 80 && probes > 15, "{users} {probes}");
+    let (users, probes) = run_overload(Some(Sabotage::NoPriorities)).sockets.late;
+    assert!(
+        users > 80 && probes > 15,
+        "{users} users and {probes} probes answered late"
+    );
 }
--- a/crates/testkit/tests/handover.rs
+++ b/crates/testkit/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Blocks that change hands while their old holder, which does not know yet, and the
-//! new one reach different workers.
+//! Handover of blocks while the previous holder does not yet know that it lost the block,
+//! and the previous and the new holder reach different workers.
 
 use std::time::Duration;
 
@@ -10,113 +10,149 @@
 };
 
 const NODES: usize = 3;
-/// Until when users submit jobs, when the last trouble is over, and when the day is.
+/// When users stop submitting jobs.
 const BUSY: Duration = Duration::from_secs(150);
+/// When the last fault is over.
 const CALM: Duration = Duration::from_secs(180);
+/// When the simulation ends.
 const END: Duration = Duration::from_secs(330);
 
-fn day(seed: u64, timing: Timing, faults: Vec<Fault>, sabotage: Option<Sabotage>) -> Outcome {
+fn run_simulation(
+    seed: u64,
+    timing: Timing,
+    faults: Vec<Fault>,
+    sabotage: Option<Sabotage>,
+) -> Outcome {
     let _ = env_logger::Builder::from_default_env()
         .is_test(true)
         .try_init();
     World::timed(Size::SMALL, timing, seed, BUSY, faults, sabotage).run(END)
 }
 
-/// Plays a day on which blocks change hands, with the usual settings.
-fn usual(seed: u64, sabotage: Option<Sabotage>) -> Outcome {
+/// Runs a simulation with block handovers and the default timing.
+fn run_default_timing(seed: u64, sabotage: Option<Sabotage>) -> Outcome {
     let faults = draw_handovers(seed, NODES, CALM);
-    day(seed, Timing::DEFAULT, faults, sabotage)
+    run_simulation(seed, Timing::DEFAULT, faults, sabotage)
 }
 
-/// The state service refused a holder, whose block was leased anew a second later. The
-/// new holder renewed the lease of a worker that the old one no longer heard, while
-/// other workers did not hear the new one: after a lease of silence the old holder took
-/// the tasks of that worker for nowhere, and started them again on the others.
+/// The state service refuses a holder, and its block is leased to another controller a
+/// second later. The new holder renews the lease of a worker that the previous holder no
+/// longer hears, while other workers do not receive messages from the new holder. The
+/// previous holder must not conclude from one lease time of silence that the tasks of that
+/// worker run nowhere and start them again on the other workers.
 #[test]
 fn a_holder_that_has_lost_its_block_starts_no_task_again() {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for seed in 0..40 {
-        let outcome = usual(seed, None);
-        broken.extend(outcome.violations.into_iter().map(|b| (seed, b)));
+        let outcome = run_default_timing(seed, None);
+        violations.extend(
+            outcome
+                .violations
+                .into_iter()
+                .map(|violation| (seed, violation)),
+        );
         assert_eq!(outcome.open, [], "seed {seed}");
     }
-    assert_eq!(broken, []);
+    assert_eq!(violations, []);
 }
 
-/// The rules that were broken on some of these days.
-fn broken_with(sabotage: Sabotage) -> Vec<RuleViolation> {
-    let broken = (0..40).flat_map(|seed| usual(seed, Some(sabotage)).violations);
-    broken.map(|(_, rule, _)| rule).collect()
+/// Returns the rules that are violated with `sabotage` on any of seeds 0 to 39.
+fn violated_rules(sabotage: Sabotage) -> Vec<RuleViolation> {
+    let violations = (0..40).flat_map(|seed| run_default_timing(seed, Some(sabotage)).violations);
+    violations.map(|(_, rule, _)| rule).collect()
 }
 
 #[test]
 fn silence_beyond_proven_tenure_is_caught() {
-    let broken = broken_with(Sabotage::StaleEvidence);
-    assert!(broken.contains(&RuleViolation::RanTwice), "{broken:?}");
-    assert!(broken.contains(&RuleViolation::Quota), "{broken:?}");
+    let violations = violated_rules(Sabotage::StaleEvidence);
+    assert!(
+        violations.contains(&RuleViolation::RanTwice),
+        "{violations:?}"
+    );
+    assert!(violations.contains(&RuleViolation::Quota), "{violations:?}");
 }
 
-/// The second guard, at the start itself, holds what the first lets through, and says so.
+/// A second guard, at the start of a task, blocks a start that the first guard lets through,
+/// and reports an invariant violation.
 #[test]
 fn a_start_on_stale_evidence_does_not_leave() {
-    let broken = broken_with(Sabotage::SilenceAsExpiry);
-    assert!(broken.contains(&RuleViolation::Invariant), "{broken:?}");
-    assert!(!broken.contains(&RuleViolation::RanTwice), "{broken:?}");
+    let violations = violated_rules(Sabotage::SilenceAsExpiry);
+    assert!(
+        violations.contains(&RuleViolation::Invariant),
+        "{violations:?}"
+    );
+    assert!(
+        !violations.contains(&RuleViolation::RanTwice),
+        "{violations:?}"
+    );
 }
 
-/// Their leases go on by answers of which the holder knows nothing.
+/// Such answers renew the leases of workers without the holder's knowledge.
 #[test]
 fn answering_a_forwarded_report_by_an_earlier_answer_is_caught() {
-    let broken = broken_with(Sabotage::StaleForwards);
-    assert!(broken.contains(&RuleViolation::RanTwice), "{broken:?}");
+    let violations = violated_rules(Sabotage::StaleForwards);
+    assert!(
+        violations.contains(&RuleViolation::RanTwice),
+        "{violations:?}"
+    );
 }
 
-/// How soon work goes on depends on the settings, and some leave it no time on these
-/// days; that no rule of safety breaks does not.
-fn is_about_safety(rule: RuleViolation) -> bool {
+/// Whether `rule` is a safety rule. How soon work resumes depends on the settings, and some
+/// leave too little time for it in these simulations; the safety rules hold with all settings.
+fn is_safety_rule(rule: RuleViolation) -> bool {
     rule != RuleViolation::LeftWaiting
 }
 
-/// Whatever the settings: leases shorter and longer than the contact limit, and clocks
-/// that drift.
-fn safe_whatever_the_settings(seed: u64, draw: impl Fn(u64, usize, Duration) -> Vec<Fault>) {
+/// Checks the safety rules with drawn settings: leases shorter and longer than the contact
+/// limit, and clock drift.
+fn assert_safe_with_drawn_timing(seed: u64, draw: impl Fn(u64, usize, Duration) -> Vec<Fault>) {
     let timing = draw_timing(seed);
-    let outcome = day(seed, timing, draw(seed, NODES, CALM), None);
-    let broken = outcome.violations.into_iter();
-    let broken: Vec<_> = broken.filter(|b| is_about_safety(b.1)).collect();
-    assert_eq!(broken, [], "seed {seed}, {timing:?}");
+    let outcome = run_simulation(seed, timing, draw(seed, NODES, CALM), None);
+    let violations = outcome.violations.into_iter();
+    let violations: Vec<_> = violations
+        .filter(|violation| is_safety_rule(violation.1))
+        .collect();
+    assert_eq!(violations, [], "seed {seed}, {timing:?}");
 }
 
 #[test]
 fn drawn_settings_break_no_rule() {
     for seed in 600..640 {
-        safe_whatever_the_settings(seed, draw_handovers);
+        assert_safe_with_drawn_timing(seed, draw_handovers);
     }
     for seed in 640..660 {
-        safe_whatever_the_settings(seed, draw_incidents);
+        assert_safe_with_drawn_timing(seed, draw_incidents);
     }
 }
 
-/// Links between each controller and each third of the machines, both ways and one way.
+/// Cuts links between each controller and each third of the machines, in one or both
+/// directions.
 #[test]
 fn drawn_links_by_pair_break_no_rule() {
     for seed in 700..740 {
-        safe_whatever_the_settings(seed, draw_links);
+        assert_safe_with_drawn_timing(seed, draw_links);
     }
 }
 
-/// The same search on more days, and with hundreds of machines.
+/// The same checks with more seeds, and with hundreds of machines.
 #[test]
 #[ignore = "takes minutes"]
 fn many_drawn_settings_and_links() {
     run_seeds_in_parallel(10_000..10_600, |seed| {
-        safe_whatever_the_settings(seed, draw_handovers);
-        safe_whatever_the_settings(seed, draw_links);
+        assert_safe_with_drawn_timing(seed, draw_handovers);
+        assert_safe_with_drawn_timing(seed, draw_links);
     });
     run_seeds_in_parallel(10_600..10_612, |seed| {
         let (timing, faults) = (draw_timing(seed), draw_links(seed, NODES, CALM));
         let outcome = World::timed(Size::LARGE, timing, seed, BUSY, faults, None).run(END);
-        let mut broken = outcome.violations.iter().filter(|b| is_about_safety(b.1));
-        assert_eq!(broken.next(), None, "grown, seed {seed}, {timing:?}");
+        let mut violations = outcome
+            .violations
+            .iter()
+            .filter(|violation| is_safety_rule(violation.1));
+        assert_eq!(
+            violations.next(),
+            None,
+            "large fleet, seed {seed}, {timing:?}"
+        );
     });
 }
--- a/crates/testkit/tests/plays/mod.rs
+++ b/crates/testkit/tests/plays/mod.rs
@@ -1,25 +1,25 @@
-//! What days begin with that several test files play.
+//! Simulation runs that several test files share.
 
 use std::time::Duration;
 
 use oliveshift_core::Sabotage;
 use oliveshift_testkit::{Fault, Outcome, Size, World};
 
-/// A second.
+/// One second.
 pub const S: Duration = Duration::from_secs(1);
 
-/// Plays a day; `RUST_LOG=debug` shows what the controllers say.
-pub fn day(seed: u64, faults: Vec<Fault>, sabotage: Option<Sabotage>) -> Outcome {
+/// Runs a simulation; `RUST_LOG=debug` shows the log of the controllers.
+pub fn run_simulation(seed: u64, faults: Vec<Fault>, sabotage: Option<Sabotage>) -> Outcome {
     let _ = env_logger::Builder::from_default_env()
         .is_test(true)
         .try_init();
     World::new(seed, S * 150, faults, sabotage).run(S * 330)
 }
 
-/// Plays a day on which no rule may break and all work has to get done.
-pub fn good(seed: u64, faults: Vec<Fault>) {
+/// Runs a simulation and asserts that no rule is violated and all work gets done.
+pub fn assert_run_succeeds(seed: u64, faults: Vec<Fault>) {
     let text = format!("{faults:?}");
-    let outcome = day(seed, faults, None);
+    let outcome = run_simulation(seed, faults, None);
     assert_eq!(outcome.violations, [], "seed {seed}: {text}");
     assert_eq!(outcome.open, [], "seed {seed}: {text}");
     assert!(
@@ -30,26 +30,28 @@
     assert_eq!(outcome.accepted, 24, "seed {seed}: {text}");
 }
 
-/// Plays a day of hundreds of machines until `end`.
-pub fn grown(seed: u64, faults: Vec<Fault>, end: Duration) -> Outcome {
+/// Runs a simulation with hundreds of machines until `end`, and asserts that no rule is
+/// violated and no work is left.
+pub fn run_large_fleet(seed: u64, faults: Vec<Fault>, end: Duration) -> Outcome {
     let outcome = World::sized(Size::LARGE, seed, S * 100, faults, None).run(end);
-    assert_eq!(outcome.violations, [], "grown, seed {seed}");
-    assert_eq!(outcome.open, [], "grown, seed {seed}");
+    assert_eq!(outcome.violations, [], "large fleet, seed {seed}");
+    assert_eq!(outcome.open, [], "large fleet, seed {seed}");
     outcome
 }
 
-/// Plays a day with pipelines on which the program is replaced.
-pub fn roll(seed: u64, faults: Vec<Fault>, sabotage: Option<Sabotage>) -> Outcome {
+/// Runs a simulation of pipelines that is long enough for an upgrade of the controllers.
+pub fn run_upgrade(seed: u64, faults: Vec<Fault>, sabotage: Option<Sabotage>) -> Outcome {
     let _ = env_logger::Builder::from_default_env()
         .is_test(true)
         .try_init();
     World::sized(Size::PIPELINES, seed, S * 150, faults, sabotage).run(S * 480)
 }
 
-/// The same for a day on which the program is replaced.
-pub fn good_roll(seed: u64, faults: Vec<Fault>) {
+/// Runs an upgrade simulation and asserts that no rule is violated, all work gets done and
+/// no write or job is refused.
+pub fn assert_upgrade_succeeds(seed: u64, faults: Vec<Fault>) {
     let text = format!("{faults:?}");
-    let outcome = roll(seed, faults, None);
+    let outcome = run_upgrade(seed, faults, None);
     assert_eq!(outcome.violations, [], "seed {seed}: {text}");
     assert_eq!(outcome.open, [], "seed {seed}: {text}");
     assert_eq!(outcome.refused_writes.0, 0, "seed {seed}: {text}");
