--- a/crates/daemon/src/workflows/config.rs
+++ b/crates/daemon/src/workflows/config.rs
@@ -165,10 +165,10 @@
             calls_per_s: limits.calls_per_s,
             store_per_s: limits.store_per_s,
             writes_per_s: limits.writes_per_s,
-            most_runs: limits.most_runs,
+            max_runs: limits.most_runs,
             value_bytes: (limits.value_kb * 1024.0) as usize,
             txn_ops: limits.txn_ops,
-            keep: Duration::from_secs_f64(limits.keep_days * 86_400.0),
+            retention: Duration::from_secs_f64(limits.keep_days * 86_400.0),
         }
     }
 }
--- a/crates/daemon/src/workflows/server.rs
+++ b/crates/daemon/src/workflows/server.rs
@@ -20,8 +20,8 @@
 };
 use oliveshift_workflow::{
     api::{self, Reply},
-    records::{Bundle, RunId, RunState, Whole},
-    service::{Answer, Ask, AskId, Input, MAX_BUNDLE, Output, Service},
+    records::{Bundle, RunId, RunState, StoredRun},
+    service::{Answer, Input, MAX_BUNDLE_BYTES, Output, Service, UserRequest, UserRequestId},
 };
 use serde::Serialize;
 
@@ -52,7 +52,7 @@
     object_store: ObjectStore,
     config: Config,
     started: Instant,
-    pending_answers: RefCell<HashMap<AskId, Sender<Answer>>>,
+    pending_answers: RefCell<HashMap<UserRequestId, Sender<Answer>>>,
     /// Numbers requests of clients, and selects the next address of the user API.
     next_number: Cell<u64>,
     client_connections: Cell<usize>,
@@ -210,7 +210,7 @@
         let endpoint = |request| async { Ok(self.handle_request(request).await) };
         let mut server = async_h1::server::Server::new(stream.clone(), endpoint);
         loop {
-            stream.set_read_budget(MAX_BUNDLE + 64 * 1024);
+            stream.set_read_budget(MAX_BUNDLE_BYTES + 64 * 1024);
             let served = async { server.accept_one().await.ok() };
             let timed_out = async {
                 Timer::after(CLIENT_TIMEOUT).await;
@@ -234,7 +234,7 @@
             (HttpMethod::Get, ["runs"]) => self.list_runs(&request).await,
             (HttpMethod::Post, ["runs"]) => match self.read_bundle(&mut request).await {
                 Ok(bundle) => {
-                    let answer = self.ask(Ask::Submit(Box::new(bundle))).await;
+                    let answer = self.ask(UserRequest::Submit(Box::new(bundle))).await;
                     common_response(answer)
                 }
                 Err(reason) => problem(400, &reason),
@@ -244,20 +244,20 @@
                     return problem(404, "no such run");
                 };
                 let ask = match (method, rest) {
-                    (HttpMethod::Get, []) => Ask::Log(id),
-                    (HttpMethod::Get, ["status"]) => Ask::Status(id),
+                    (HttpMethod::Get, []) => UserRequest::Log(id),
+                    (HttpMethod::Get, ["status"]) => UserRequest::Status(id),
                     (HttpMethod::Post, ["cancel"]) => {
                         // The status is read first because `Ask::Cancel` writes the request
                         // without a check that the run exists.
-                        match self.ask(Ask::Status(id)).await {
-                            Answer::Is(_) => Ask::Cancel(id),
+                        match self.ask(UserRequest::Status(id)).await {
+                            Answer::Status(_) => UserRequest::Cancel(id),
                             other => return common_response(other),
                         }
                     }
                     _ => return problem(404, "no such path"),
                 };
                 match self.ask(ask).await {
-                    Answer::Is(record) => json(&wes::RunStatus {
+                    Answer::Status(record) => json(&wes::RunStatus {
                         run_id: id.to_string(),
                         state: wes_state(record.state),
                     }),
@@ -272,19 +272,19 @@
         }
     }
 
-    async fn ask(self: &Rc<Self>, ask: Ask) -> Answer {
+    async fn ask(self: &Rc<Self>, ask: UserRequest) -> Answer {
         let asker = self.next_number.get();
         self.next_number.set(asker + 1);
         let (send, receive) = async_channel::bounded(1);
         self.pending_answers.borrow_mut().insert(asker, send);
-        self.handle_input(Input::Ask(asker, ask));
+        self.handle_input(Input::UserRequest(asker, ask));
         let timed_out = async {
             Timer::after(ANSWER_TIMEOUT).await;
-            Answer::ComeBack(CALL_TIMEOUT)
+            Answer::RetryAfter(CALL_TIMEOUT)
         };
         let answer = async {
             let answer = receive.recv().await;
-            answer.unwrap_or(Answer::ComeBack(CALL_TIMEOUT))
+            answer.unwrap_or(Answer::RetryAfter(CALL_TIMEOUT))
         };
         let answer = answer.or(timed_out).await;
         self.pending_answers.borrow_mut().remove(&asker);
@@ -305,7 +305,7 @@
         {
             return problem(400, "page_token is not one that a previous page returned");
         }
-        match self.ask(Ask::List(token)).await {
+        match self.ask(UserRequest::List(token)).await {
             Answer::Runs(runs, next) => {
                 let runs = runs.into_iter().map(|(id, record)| wes::RunSummary {
                     run_id: id.to_string(),
@@ -331,7 +331,7 @@
         let engine = wes::EngineVersions {
             workflow_engine_version: vec![version.clone()],
         };
-        let under_way = self.service.borrow().under_way();
+        let open_runs = self.service.borrow().open_runs();
         wes::ServiceInfo {
             id: "oliveshift.workflows".into(),
             name: self.config.name.clone(),
@@ -350,7 +350,7 @@
             supported_filesystem_protocols: vec!["store".into()],
             workflow_engine_versions: [("oliveshift".to_owned(), engine)].into(),
             default_workflow_engine_parameters: Vec::new(),
-            system_state_counts: [(State::Running, under_way)].into(),
+            system_state_counts: [(State::Running, open_runs)].into(),
             auth_instructions_url: "https://oliveshift.example".into(),
             tags: BTreeMap::new(),
         }
@@ -364,11 +364,11 @@
         let boundary =
             boundary.map_err(|_| "expected a body of type multipart/form-data".to_owned())?;
         let mut body = Vec::new();
-        let mut taken = request.take_body().take(MAX_BUNDLE as u64 + 1);
+        let mut taken = request.take_body().take(MAX_BUNDLE_BYTES as u64 + 1);
         let read = taken.read_to_end(&mut body).await;
         read.map_err(|e| format!("the body cannot be read: {e}"))?;
-        if body.len() > MAX_BUNDLE {
-            return Err(format!("the body is larger than {MAX_BUNDLE} bytes"));
+        if body.len() > MAX_BUNDLE_BYTES {
+            return Err(format!("the body is larger than {MAX_BUNDLE_BYTES} bytes"));
         }
         let body = once(Ok::<_, std::io::Error>(body));
         let mut parts = multer::Multipart::new(body, boundary);
@@ -429,9 +429,9 @@
     humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_secs(unix_s)).to_string()
 }
 
-fn run_log(id: RunId, log: Whole) -> wes::RunLog {
+fn run_log(id: RunId, log: StoredRun) -> wes::RunLog {
     let record = &log.record;
-    let reason = record.failed().map(|f| match f.step.as_str() {
+    let reason = record.step_failure().map(|f| match f.step.as_str() {
         "" => f.reason,
         step => format!("{step}: {}", f.reason),
     });
@@ -466,12 +466,12 @@
 /// The response for the answers that any request may get.
 fn common_response(answer: Answer) -> Response {
     match answer {
-        Answer::Begun(id) => json(&wes::RunId {
+        Answer::Started(id) => json(&wes::RunId {
             run_id: id.to_string(),
         }),
-        Answer::Bad(reason) => problem(400, &reason),
+        Answer::Invalid(reason) => problem(400, &reason),
         Answer::Unknown => problem(404, "no such run"),
-        Answer::ComeBack(after) => {
+        Answer::RetryAfter(after) => {
             let mut response = problem(
                 503,
                 "the service cannot process the request now; retry later",
--- a/crates/workflow/examples/measure.rs
+++ b/crates/workflow/examples/measure.rs
@@ -13,11 +13,11 @@
 use oliveshift_testkit::{StateLimits, StateService};
 use oliveshift_wire::{JobId, job::JobPhase};
 use oliveshift_workflow::{
-    active::{Active, JobReply},
+    active::{ActiveRun, JobReply},
     api,
     plan::plan,
-    records::{RunId, RunRecord, RunState, Whole},
-    service::{Answer, Ask, Input, Output, Service, Settings, StoreCall},
+    records::{RunId, RunRecord, RunState, StoredRun},
+    service::{Answer, Input, Output, Service, Settings, StoreCall, UserRequest},
 };
 
 #[path = "../tests/support/mod.rs"]
@@ -74,13 +74,13 @@
     };
     let process = load::load(&bundle, &bundle.main).expect("good");
     let before = resident();
-    let runs: Vec<Active> = (0..count)
+    let runs: Vec<ActiveRun> = (0..count)
         .map(|number| {
             let id = RunId { range: 0, number };
-            let whole = Whole::begun(record.clone(), bundle.clone());
-            let run = Active::new(id, &process, whole, 8192, number);
+            let whole = StoredRun::new(record.clone(), bundle.clone());
+            let run = ActiveRun::new(id, &process, whole, 8192, number);
             let mut run = run.expect("good");
-            run.next(Duration::ZERO, 0, 4, true);
+            run.next_actions(Duration::ZERO, 0, 4, true);
             run
         })
         .collect();
@@ -97,10 +97,10 @@
         calls_per_s: 100.0,
         store_per_s: 100.0,
         writes_per_s: 200.0,
-        most_runs: count,
+        max_runs: count,
         value_bytes: 8192,
         txn_ops: 20,
-        keep: S * 100_000,
+        retention: S * 100_000,
     };
     let mut service = Service::new(settings, 1);
     let mut state = StateService::new(StateLimits {
@@ -116,13 +116,13 @@
     let mut now = Duration::ZERO;
     let mut most = 0;
     let wall = Instant::now();
-    while (begun < count || service.under_way() > 0) && now < S * 7200 {
+    while (begun < count || service.open_runs() > 0) && now < S * 7200 {
         now += Duration::from_millis(100);
         let mut inputs = vec![Input::Tick];
         if asked < count && asked < begun + 4 {
-            inputs.push(Input::Ask(
+            inputs.push(Input::UserRequest(
                 asked as u64,
-                Ask::Submit(Box::new(bundle.clone())),
+                UserRequest::Submit(Box::new(bundle.clone())),
             ));
             asked += 1;
         }
@@ -150,7 +150,7 @@
                         submits += 1;
                         let job = (spec.class.clone(), spec.tasks, now + S * 15);
                         jobs.insert(spec.id.clone(), job);
-                        inputs.push(Input::Job(call, JobReply::New));
+                        inputs.push(Input::Job(call, JobReply::Created));
                     }
                     Output::Poll(call, id) => {
                         polls += 1;
@@ -169,13 +169,13 @@
                         inputs.push(Input::Results(call, Some(results)));
                     }
                     Output::Text(call, _) => inputs.push(Input::Text(call, None)),
-                    Output::Answer(_, Answer::Begun(_)) => begun += 1,
-                    Output::Answer(_, Answer::ComeBack(_)) => asked -= 1,
+                    Output::Answer(_, Answer::Started(_)) => begun += 1,
+                    Output::Answer(_, Answer::RetryAfter(_)) => asked -= 1,
                     Output::Answer(_, answer) => panic!("{answer:?}"),
                 }
             }
         }
-        most = most.max(service.under_way());
+        most = most.max(service.open_runs());
     }
     let busiest = calls.values().max().copied().unwrap_or(0);
     println!(
--- a/crates/workflow/src/active.rs
+++ b/crates/workflow/src/active.rs
@@ -21,12 +21,12 @@
     flow::{JobKey, Run, Work},
     job::{Defaults, TaskResult, spec},
     records::{
-        JobRecord, RunId, RunRecord, RunState, Whole, piece_key, pieces, put, put_text, run_key,
+        JobRecord, RunId, RunRecord, RunState, StoredRun, piece_key, pieces, put, put_text, run_key,
     },
 };
 
 /// How often a job is asked after.
-pub const POLL_EVERY: Duration = Duration::from_secs(5);
+pub const JOB_POLL_INTERVAL: Duration = Duration::from_secs(5);
 /// How long to wait before something that did not work is tried again.
 const RETRY: Duration = Duration::from_secs(1);
 /// The digits of a job's id. So many that nobody else draws the same.
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobReply {
     /// The job was taken just now.
-    New,
+    Created,
     /// The job is known; this is its phase.
     Known(JobPhase),
     /// There is no such job.
@@ -44,7 +44,7 @@
     /// It can't be taken, ever.
     Refused(String),
     /// Not now, or no answer came: come back after this time.
-    Later(Option<Duration>),
+    RetryAfter(Option<Duration>),
 }
 
 /// Ways to break the code on purpose, so that tests can show that they would
@@ -55,11 +55,11 @@
     /// Writes go without the conditions that fence them.
     NoFence,
     /// Ids are used without being written.
-    Unwritten,
+    UnrecordedIds,
     /// A run ends without its jobs being ended.
-    NoWindUp,
+    JobsLeftRunning,
     /// A job that is somebody else's is taken for ours.
-    Adopt,
+    ForeignJobAdopted,
 }
 
 /// What is to be done for a run.
@@ -111,7 +111,7 @@
 
 /// A run that is under way.
 #[derive(Debug)]
-pub struct Active {
+pub struct ActiveRun {
     id: RunId,
     /// As it is written.
     record: RunRecord,
@@ -131,7 +131,7 @@
     sabotage: Option<Sabotage>,
 }
 
-impl Active {
+impl ActiveRun {
     /// A run of a process as its records have it.
     ///
     /// # Errors
@@ -139,11 +139,11 @@
     pub fn new(
         id: RunId,
         process: &Process,
-        whole: Whole,
+        whole: StoredRun,
         piece_bytes: usize,
         seed: u64,
     ) -> Result<Self, String> {
-        let Whole {
+        let StoredRun {
             record,
             bundle,
             jobs,
@@ -218,17 +218,23 @@
     }
 
     /// What is to be done now: at most so many requests, and a write only if it
-    /// may be. `day_s` is the time of day in seconds since 1970.
-    pub fn next(&mut self, now: Duration, day_s: u64, most: usize, may_write: bool) -> Vec<Act> {
+    /// may be. `unix_s` is the time of day in seconds since 1970.
+    pub fn next_actions(
+        &mut self,
+        now: Duration,
+        unix_s: u64,
+        most: usize,
+        may_write: bool,
+    ) -> Vec<Act> {
         if self.record.state.is_final() {
             return Vec::new();
         }
         let mut acts = Vec::new();
         if self.record.state == RunState::Running {
-            self.advance(day_s);
+            self.advance(unix_s);
         }
         if may_write && self.writing.is_none() {
-            acts.extend(self.write(day_s));
+            acts.extend(self.write(unix_s));
         }
         if self.record.state == RunState::Running {
             self.go_on(now, most, &mut acts);
@@ -239,7 +245,7 @@
     }
 
     /// Lets the flow go on and takes up the work that comes of it.
-    fn advance(&mut self, day_s: u64) {
+    fn advance(&mut self, unix_s: u64) {
         for Work {
             key,
             needed,
@@ -255,7 +261,7 @@
             let Some(id) = self.draw_id() else { continue };
             let ids = awaits.iter().filter_map(|k| self.jobs.get(k));
             let ids = ids.map(|job| job.spec.id.clone()).collect();
-            let gone = day_s.saturating_sub(self.record.begun_s) as f64;
+            let gone = unix_s.saturating_sub(self.record.begun_s) as f64;
             let spec = spec(id, &needed, tasks, ids, &self.defaults, gone);
             let job = Job {
                 awaits: Some(awaits),
@@ -270,7 +276,7 @@
     }
 
     /// What has to be written before anything else is done.
-    fn write(&mut self, day_s: u64) -> Option<Act> {
+    fn write(&mut self, unix_s: u64) -> Option<Act> {
         let mut record = self.record.clone();
         let mut changes = Vec::new();
         match record.state {
@@ -297,7 +303,7 @@
             _ => {}
         }
         if record.state.is_final() {
-            record.ended_s = Some(day_s);
+            record.ended_s = Some(unix_s);
             if self.cancel {
                 let key = run_key('c', self.id);
                 changes.push(Change::Delete { key });
@@ -318,7 +324,7 @@
     /// The records of new jobs.
     fn new_jobs(&mut self) -> Vec<Change> {
         #[cfg(feature = "sabotage")]
-        if self.is_broken_by(Sabotage::Unwritten) {
+        if self.is_broken_by(Sabotage::UnrecordedIds) {
             for job in self.jobs.values_mut().filter(|j| j.state == JobState::New) {
                 job.state = JobState::Written;
             }
@@ -453,7 +459,7 @@
 
     fn is_wound_up(&self) -> bool {
         #[cfg(feature = "sabotage")]
-        if self.is_broken_by(Sabotage::NoWindUp) {
+        if self.is_broken_by(Sabotage::JobsLeftRunning) {
             return true;
         }
         self.jobs.values().all(|j| j.state == JobState::Over)
@@ -468,21 +474,26 @@
         job.busy = false;
         let unsent = std::mem::replace(&mut job.unsent, false);
         match (job.state, what) {
-            (_, JobReply::Later(after)) => {
+            (_, JobReply::RetryAfter(after)) => {
                 job.next = now + after.unwrap_or(RETRY).max(RETRY);
             }
             (JobState::Written, JobReply::Known(_)) if unsent => {
                 // Somebody else's.
                 #[cfg(feature = "sabotage")]
-                if self.sabotage == Some(Sabotage::Adopt) {
+                if self.sabotage == Some(Sabotage::ForeignJobAdopted) {
                     job.state = JobState::Accepted;
                     return;
                 }
                 self.rename(key);
             }
-            (JobState::Written, JobReply::New) => {
+            (JobState::Written, JobReply::Created) => {
                 job.state = JobState::Accepted;
-                job.next = now + if running { POLL_EVERY } else { Duration::ZERO };
+                job.next = now
+                    + if running {
+                        JOB_POLL_INTERVAL
+                    } else {
+                        Duration::ZERO
+                    };
             }
             (JobState::Written, JobReply::Refused(reason)) => {
                 job.state = JobState::Over;
@@ -492,7 +503,7 @@
             (JobState::Written, JobReply::Unknown) => job.next = now + RETRY,
             (JobState::Written | JobState::Accepted, JobReply::Known(phase)) => {
                 job.state = JobState::Accepted;
-                job.next = now + POLL_EVERY;
+                job.next = now + JOB_POLL_INTERVAL;
                 match phase {
                     // In the end it does not matter how it ended.
                     JobPhase::Done | JobPhase::Cancelled if aborted => job.state = JobState::Over,
@@ -509,7 +520,7 @@
             }
             (JobState::Accepted, JobReply::Unknown) if aborted => job.next = now + RETRY,
             (JobState::Accepted, JobReply::Unknown | JobReply::Refused(_)) => {
-                job.next = now + POLL_EVERY;
+                job.next = now + JOB_POLL_INTERVAL;
             }
             _ => {}
         }
--- a/crates/workflow/src/api.rs
+++ b/crates/workflow/src/api.rs
@@ -45,7 +45,7 @@
             ("GET", path, Vec::new())
         }
         StoreCall::Txn(txn) => ("POST", "/multi".to_owned(), encode(txn)),
-        StoreCall::NewLease(life) => {
+        StoreCall::LeaseGrant(life) => {
             let ttl_ms = life.as_millis() as u64;
             (
                 "POST",
@@ -53,7 +53,7 @@
                 encode(&LeaseRequest { ttl_ms }),
             )
         }
-        StoreCall::Touch(lease) => ("POST", format!("/holds/{lease}/touch"), Vec::new()),
+        StoreCall::LeaseRenewal(lease) => ("POST", format!("/holds/{lease}/touch"), Vec::new()),
     };
     Request { method, path, body }
 }
@@ -72,17 +72,17 @@
             Err(_) => StoreReply::Refused,
         },
         (StoreCall::Txn(_), 200) => match decode::<TxnAnswer>(&body) {
-            Ok(answer) => StoreReply::Done(answer.revision),
+            Ok(answer) => StoreReply::Committed(answer.revision),
             Err(_) => StoreReply::Lost,
         },
         // A lease that has ended under the transaction, too.
-        (StoreCall::Txn(_), 400 | 409) => StoreReply::Failed,
-        (StoreCall::NewLease(_), 200) => match decode::<LeaseGrant>(&body) {
-            Ok(grant) => StoreReply::Lease(grant.lease),
+        (StoreCall::Txn(_), 400 | 409) => StoreReply::ConditionFailed,
+        (StoreCall::LeaseGrant(_), 200) => match decode::<LeaseGrant>(&body) {
+            Ok(grant) => StoreReply::LeaseGranted(grant.lease),
             Err(_) => StoreReply::Refused,
         },
-        (StoreCall::Touch(_), 200) => StoreReply::Touched(true),
-        (StoreCall::Touch(_), 404) => StoreReply::Touched(false),
+        (StoreCall::LeaseRenewal(_), 200) => StoreReply::LeaseRenewed(true),
+        (StoreCall::LeaseRenewal(_), 404) => StoreReply::LeaseRenewed(false),
         _ => StoreReply::Lost,
     }
 }
@@ -91,24 +91,24 @@
 pub fn job_reply(reply: Reply) -> JobReply {
     let (status, body, after) = match reply {
         Reply::Answer(status, body, after) => (status, body, after),
-        Reply::NotSent | Reply::Lost => return JobReply::Later(None),
+        Reply::NotSent | Reply::Lost => return JobReply::RetryAfter(None),
     };
     match status {
-        201 => JobReply::New,
+        201 => JobReply::Created,
         200 => match decode::<JobStatus>(&body) {
             Ok(status) => JobReply::Known(status.phase),
-            Err(_) => JobReply::Later(None),
+            Err(_) => JobReply::RetryAfter(None),
         },
         404 => JobReply::Unknown,
         400 | 422 => match decode::<Refusal>(&body) {
             Ok(refusal) => JobReply::Refused(refusal.error),
             Err(_) => JobReply::Refused("no reason given".to_owned()),
         },
-        _ => JobReply::Later(after),
+        _ => JobReply::RetryAfter(after),
     }
 }
 
 /// Whether a phase stays.
-pub fn is_over(phase: JobPhase) -> bool {
+pub fn is_final_phase(phase: JobPhase) -> bool {
     matches!(phase, JobPhase::Done | JobPhase::Cancelled)
 }
--- a/crates/workflow/src/records.rs
+++ b/crates/workflow/src/records.rs
@@ -36,7 +36,7 @@
 /// The text names no run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("not a run's id")]
-pub struct BadRunId;
+pub struct InvalidRunId;
 
 impl fmt::Display for RunId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -45,19 +45,19 @@
 }
 
 impl FromStr for RunId {
-    type Err = BadRunId;
+    type Err = InvalidRunId;
 
-    fn from_str(text: &str) -> Result<Self, BadRunId> {
-        let rest = text.strip_prefix("run-").ok_or(BadRunId)?;
-        let (range, number) = rest.split_once('-').ok_or(BadRunId)?;
+    fn from_str(text: &str) -> Result<Self, InvalidRunId> {
+        let rest = text.strip_prefix("run-").ok_or(InvalidRunId)?;
+        let (range, number) = rest.split_once('-').ok_or(InvalidRunId)?;
         let id = Self {
-            range: range.parse().map_err(|_| BadRunId)?,
-            number: u64::from_str_radix(number, 16).map_err(|_| BadRunId)?,
+            range: range.parse().map_err(|_| InvalidRunId)?,
+            number: u64::from_str_radix(number, 16).map_err(|_| InvalidRunId)?,
         };
         // One name for each run.
         match id.to_string() == text {
             true => Ok(id),
-            false => Err(BadRunId),
+            false => Err(InvalidRunId),
         }
     }
 }
@@ -108,7 +108,7 @@
 
 impl RunRecord {
     /// Why it failed.
-    pub fn failed(&self) -> Option<Failure> {
+    pub fn step_failure(&self) -> Option<Failure> {
         let (step, reason) = self.failure.clone()?;
         Some(Failure { step, reason })
     }
@@ -158,7 +158,7 @@
 
 /// A run as it is written.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Whole {
+pub struct StoredRun {
     /// Its state.
     pub record: RunRecord,
     /// The version of that.
@@ -173,9 +173,9 @@
     pub job_pieces: usize,
 }
 
-impl Whole {
+impl StoredRun {
     /// A run that has no jobs yet.
-    pub fn begun(record: RunRecord, bundle: Bundle) -> Self {
+    pub fn new(record: RunRecord, bundle: Bundle) -> Self {
         Self {
             record,
             version: 0,
@@ -217,7 +217,7 @@
 }
 
 /// The run that a key is of.
-pub fn run_of(key: &str) -> Option<RunId> {
+pub fn run_id_of_key(key: &str) -> Option<RunId> {
     let mut parts = key.split('/').skip(2);
     Some(RunId {
         range: parts.next()?.parse().ok()?,
@@ -296,9 +296,9 @@
         };
         assert_eq!(id.to_string(), "run-3-00000000000000ab");
         assert_eq!(id.to_string().parse(), Ok(id));
-        assert_eq!(run_of(&piece_key('t', id, 7)), Some(id));
+        assert_eq!(run_id_of_key(&piece_key('t', id, 7)), Some(id));
         for bad in ["run-3-ab", "run-03-00000000000000ab", "3-ab", "run-3", ""] {
-            assert_eq!(bad.parse::<RunId>(), Err(BadRunId), "{bad}");
+            assert_eq!(bad.parse::<RunId>(), Err(InvalidRunId), "{bad}");
         }
     }
 }
--- a/crates/workflow/src/service.rs
+++ b/crates/workflow/src/service.rs
@@ -14,15 +14,15 @@
 #[cfg(feature = "sabotage")]
 use crate::active::Sabotage;
 use crate::{
-    active::{self, Active, JobReply},
+    active::{self, ActiveRun, JobReply},
     budget::Budget,
     documents::Documents,
     flow::JobKey,
     job::TaskResult,
     ranges::{self, Ranges},
     records::{
-        Bundle, JobRecord, RunId, RunRecord, RunState, Whole, get, piece_key, pieces, put,
-        put_text, range_key, run_key, run_of,
+        Bundle, JobRecord, RunId, RunRecord, RunState, StoredRun, get, piece_key, pieces, put,
+        put_text, range_key, run_id_of_key, run_key,
     },
     sweep::{Step, Sweeps},
 };
@@ -30,7 +30,7 @@
 /// Names a request of ours; the reply carries it.
 pub type CallId = u64;
 /// Names a request of somebody's; the answer carries it.
-pub type AskId = u64;
+pub type UserRequestId = u64;
 
 /// How often requests to cancel are looked for.
 const CANCELS_EVERY: Duration = Duration::from_secs(2);
@@ -39,7 +39,7 @@
 /// When whoever is turned away should come back.
 const COME_BACK: Duration = Duration::from_secs(5);
 /// The most that an inline document and its inputs may be, in bytes.
-pub const MAX_BUNDLE: usize = 4 << 20;
+pub const MAX_BUNDLE_BYTES: usize = 4 << 20;
 
 /// What an instance is set to.
 #[derive(Clone, Debug)]
@@ -57,13 +57,13 @@
     /// Changes a second that are written there, at most.
     pub writes_per_s: f64,
     /// The most runs at a time.
-    pub most_runs: usize,
+    pub max_runs: usize,
     /// The largest value, in bytes of its JSON form.
     pub value_bytes: usize,
     /// The most changes of a transaction.
     pub txn_ops: usize,
     /// For how long ended runs are kept.
-    pub keep: Duration,
+    pub retention: Duration,
 }
 
 /// What the state service is asked.
@@ -79,9 +79,9 @@
     /// A transaction.
     Txn(Txn),
     /// A lease of this length.
-    NewLease(Duration),
+    LeaseGrant(Duration),
     /// Renews one.
-    Touch(u64),
+    LeaseRenewal(u64),
 }
 
 /// What the state service says.
@@ -90,13 +90,13 @@
     /// Keys, and whether there are more.
     Page(Vec<Item>, bool),
     /// The transaction was done, in this revision.
-    Done(u64),
+    Committed(u64),
     /// Its conditions did not hold.
-    Failed,
+    ConditionFailed,
     /// A lease.
-    Lease(u64),
+    LeaseGranted(u64),
     /// The lease is renewed, or gone.
-    Touched(bool),
+    LeaseRenewed(bool),
     /// Not executed: too much, or an outage.
     Refused,
     /// No answer: it may have been executed, or may be yet.
@@ -105,7 +105,7 @@
 
 /// What somebody wants.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum UserRequest {
     /// Run this.
     Submit(Box<Bundle>),
     /// Tell how a run is.
@@ -122,13 +122,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// It runs, under this name.
-    Begun(RunId),
+    Started(RunId),
     /// The document or its inputs are wrong.
-    Bad(String),
+    Invalid(String),
     /// How a run is.
-    Is(Box<RunRecord>),
+    Status(Box<RunRecord>),
     /// All about a run, as it is written.
-    Log(Box<Whole>),
+    Log(Box<StoredRun>),
     /// Runs and their records, and where to go on; none: these are all.
     Runs(Vec<(RunId, RunRecord)>, Option<String>),
     /// The wish to cancel it is written down.
@@ -136,7 +136,7 @@
     /// There is no such run.
     Unknown,
     /// Not now.
-    ComeBack(Duration),
+    RetryAfter(Duration),
 }
 
 /// What an instance is told.
@@ -153,7 +153,7 @@
     /// The beginning of a file; none: there is none.
     Text(CallId, Option<String>),
     /// Somebody asks.
-    Ask(AskId, Ask),
+    UserRequest(UserRequestId, UserRequest),
 }
 
 /// What an instance wants done.
@@ -172,7 +172,7 @@
     /// Get the beginning of a file.
     Text(CallId, String),
     /// Answer.
-    Answer(AskId, Answer),
+    Answer(UserRequestId, Answer),
 }
 
 /// A request under way.
@@ -188,10 +188,10 @@
     Results(RunId, JobKey),
     Text(RunId, String),
     Create(RunId),
-    Status(AskId, RunId),
-    Cancel(AskId),
-    List(AskId),
-    Log(AskId, RunId, Stage),
+    Status(UserRequestId, RunId),
+    Cancel(UserRequestId),
+    List(UserRequestId),
+    Log(UserRequestId, RunId, Stage),
     SweepLook(RunId),
     Sweep(RunId, usize),
 }
@@ -213,7 +213,7 @@
 enum Stage {
     Record,
     Texts(RunRecord, u64, Vec<Item>),
-    Jobs(Box<Whole>, Vec<Item>),
+    Jobs(Box<StoredRun>, Vec<Item>),
 }
 
 /// What came of reading on.
@@ -227,7 +227,7 @@
     /// What is there can't be understood.
     Broken(RunRecord, u64, String),
     /// All of it.
-    All(Box<Whole>),
+    All(Box<StoredRun>),
 }
 
 impl Stage {
@@ -269,10 +269,10 @@
                     0 => None,
                     n => serde_json::from_str(&join(&rest[..rest.len().min(n as usize)])).ok(),
                 };
-                let whole = Whole {
+                let whole = StoredRun {
                     version,
                     outputs: outputs.unwrap_or_default(),
-                    ..Whole::begun(record, bundle)
+                    ..StoredRun::new(record, bundle)
                 };
                 Read::More(Self::Jobs(Box::new(whole), Vec::new()), page('j', None))
             }
@@ -304,13 +304,13 @@
     /// It can't be run; its end is being written.
     Broken(RunRecord, u64, bool),
     /// It is under way; the version of its record.
-    Active(Box<Active>, u64),
+    Active(Box<ActiveRun>, u64),
 }
 
 /// A run that is being created.
 #[derive(Debug)]
 struct Creating {
-    asker: AskId,
+    asker: UserRequestId,
     /// The first to go last.
     txns: Vec<Txn>,
     busy: bool,
@@ -352,7 +352,7 @@
             writes: Budget::new(settings.writes_per_s),
             jobs: Budget::new(settings.calls_per_s),
             documents: Documents::default(),
-            sweeps: Sweeps::new(settings.keep),
+            sweeps: Sweeps::new(settings.retention),
             settings,
             rng,
             next_call: 0,
@@ -368,15 +368,15 @@
         }
     }
 
-    /// Takes one input and returns what is to be done. `day_s` is the time of
+    /// Takes one input and returns what is to be done. `unix_s` is the time of
     /// day in seconds since 1970.
-    pub fn handle(&mut self, now: Duration, day_s: u64, input: Input) -> Vec<Output> {
+    pub fn handle(&mut self, now: Duration, unix_s: u64, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => {}
-            Input::Store(call, reply) => self.stored(now, day_s, call, reply),
+            Input::Store(call, reply) => self.stored(now, unix_s, call, reply),
             Input::Job(call, reply) => {
                 if let Some(Pending::Job(id, key, aborted)) = self.calls.remove(&call) {
-                    if let JobReply::Later(Some(after)) = reply {
+                    if let JobReply::RetryAfter(Some(after)) = reply {
                         self.jobs.hold(now + after);
                     }
                     if let Some(Held::Active(run, _)) = self.runs.get_mut(&id) {
@@ -398,14 +398,14 @@
                     run.text(&location, text);
                 }
             }
-            Input::Ask(asker, ask) => self.ask(now, day_s, asker, ask),
+            Input::UserRequest(asker, ask) => self.ask(now, unix_s, asker, ask),
         }
-        self.go_on(now, day_s);
+        self.go_on(now, unix_s);
         std::mem::take(&mut self.out)
     }
 
     /// How many runs are under way here.
-    pub fn under_way(&self) -> usize {
+    pub fn open_runs(&self) -> usize {
         self.runs.len()
     }
 
@@ -438,12 +438,12 @@
         self.out.push(Output::Store(id, call));
     }
 
-    fn ask(&mut self, now: Duration, day_s: u64, asker: AskId, ask: Ask) {
-        let later = Answer::ComeBack(COME_BACK);
+    fn ask(&mut self, now: Duration, unix_s: u64, asker: UserRequestId, ask: UserRequest) {
+        let later = Answer::RetryAfter(COME_BACK);
         match ask {
-            Ask::Submit(bundle) => {
+            UserRequest::Submit(bundle) => {
                 let mine: Vec<u32> = self.ranges.held().collect();
-                let full = self.runs.len() + self.creating.len() >= self.settings.most_runs;
+                let full = self.runs.len() + self.creating.len() >= self.settings.max_runs;
                 let Some(range) = self.rng.choice(mine).filter(|_| !full) else {
                     return self.out.push(Output::Answer(asker, later));
                 };
@@ -451,15 +451,15 @@
                     range,
                     number: self.rng.u64(..),
                 };
-                self.create(day_s, asker, id, *bundle);
+                self.create(unix_s, asker, id, *bundle);
             }
-            Ask::Status(id) => {
+            UserRequest::Status(id) => {
                 // Only what is written is told: what is not may be forgotten.
                 if let Some(Held::Active(run, _)) = self.runs.get(&id)
                     && self.ranges.version(id.range).is_some()
                 {
                     let record = Box::new(run.record().clone());
-                    return self.out.push(Output::Answer(asker, Answer::Is(record)));
+                    return self.out.push(Output::Answer(asker, Answer::Status(record)));
                 }
                 if self.store.left(now) == 0 {
                     return self.out.push(Output::Answer(asker, later));
@@ -471,24 +471,24 @@
                 };
                 self.store(Pending::Status(asker, id), call);
             }
-            Ask::Log(_) | Ask::List(_) if self.store.left(now) == 0 => {
+            UserRequest::Log(_) | UserRequest::List(_) if self.store.left(now) == 0 => {
                 self.out.push(Output::Answer(asker, later));
             }
-            Ask::Log(id) => {
+            UserRequest::Log(id) => {
                 let call = StoreCall::Page {
                     prefix: run_key('r', id),
                     after: None,
                 };
                 self.store(Pending::Log(asker, id, Stage::Record), call);
             }
-            Ask::List(after) => {
+            UserRequest::List(after) => {
                 let call = StoreCall::Page {
                     prefix: "wf/r/".to_owned(),
                     after,
                 };
                 self.store(Pending::List(asker), call);
             }
-            Ask::Cancel(id) => {
+            UserRequest::Cancel(id) => {
                 if self.store.left(now) == 0 || self.writes.left(now) == 0 {
                     return self.out.push(Output::Answer(asker, later));
                 }
@@ -502,27 +502,27 @@
     }
 
     /// Writes a new run down: first its document and inputs, then the run.
-    fn create(&mut self, day_s: u64, asker: AskId, id: RunId, bundle: Bundle) {
+    fn create(&mut self, unix_s: u64, asker: UserRequestId, id: RunId, bundle: Bundle) {
         let text = serde_json::to_string(&bundle).unwrap_or_default();
         let piece = self.settings.value_bytes;
         let mut record = RunRecord {
             state: RunState::Running,
-            begun_s: day_s,
+            begun_s: unix_s,
             ended_s: None,
             pieces: 0,
             outputs: 0,
             failure: None,
         };
-        let bad = if text.len() > MAX_BUNDLE {
-            Some(format!("larger than {MAX_BUNDLE} bytes"))
+        let bad = if text.len() > MAX_BUNDLE_BYTES {
+            Some(format!("larger than {MAX_BUNDLE_BYTES} bytes"))
         } else {
             let process = self.documents.read(&bundle);
-            let whole = Whole::begun(record.clone(), bundle);
-            let made = process.and_then(|p| Active::new(id, &p, whole, piece, 0));
+            let whole = StoredRun::new(record.clone(), bundle);
+            let made = process.and_then(|p| ActiveRun::new(id, &p, whole, piece, 0));
             made.err()
         };
         if let Some(bad) = bad {
-            return self.out.push(Output::Answer(asker, Answer::Bad(bad)));
+            return self.out.push(Output::Answer(asker, Answer::Invalid(bad)));
         }
         let pieces = pieces(&text, piece);
         record.pieces = pieces.len() as u32;
@@ -587,7 +587,7 @@
         self.fence(id.range, &mut conds).then_some(conds)
     }
 
-    fn stored(&mut self, now: Duration, day_s: u64, call: CallId, reply: StoreReply) {
+    fn stored(&mut self, now: Duration, unix_s: u64, call: CallId, reply: StoreReply) {
         let Some(pending) = self.calls.remove(&call) else {
             return;
         };
@@ -605,7 +605,7 @@
                         };
                         self.store(Pending::Cancels, call);
                     }
-                    for id in items.iter().filter_map(|i| run_of(&i.key)) {
+                    for id in items.iter().filter_map(|i| run_id_of_key(&i.key)) {
                         if let Some(Held::Active(run, _)) = self.runs.get_mut(&id) {
                             run.cancel();
                         }
@@ -617,11 +617,11 @@
                     let last = items.last().map(|i| i.key.clone());
                     for item in &items {
                         let record: Option<RunRecord> = get(item);
-                        let (Some(id), Some(record)) = (run_of(&item.key), record) else {
+                        let (Some(id), Some(record)) = (run_id_of_key(&item.key), record) else {
                             continue;
                         };
                         if record.state.is_final() {
-                            self.sweeps.seen(id, &record, day_s);
+                            self.sweeps.seen(id, &record, unix_s);
                         } else if !self.creating.contains_key(&id) {
                             self.runs.entry(id).or_insert(Held::ToLoad(now));
                         }
@@ -648,9 +648,9 @@
                         let key = run_key('r', id);
                         let item = items.iter().find(|i| i.key == key);
                         let record = item.and_then(get);
-                        record.map_or(Answer::Unknown, |r| Answer::Is(Box::new(r)))
+                        record.map_or(Answer::Unknown, |r| Answer::Status(Box::new(r)))
                     }
-                    _ => Answer::ComeBack(COME_BACK),
+                    _ => Answer::RetryAfter(COME_BACK),
                 };
                 self.out.push(Output::Answer(asker, answer));
             }
@@ -660,10 +660,10 @@
                         let next = items.last().map(|i| i.key.clone()).filter(|_| more);
                         let runs = items
                             .iter()
-                            .filter_map(|i| Some((run_of(&i.key)?, get(i)?)));
+                            .filter_map(|i| Some((run_id_of_key(&i.key)?, get(i)?)));
                         Answer::Runs(runs.collect(), next)
                     }
-                    _ => Answer::ComeBack(COME_BACK),
+                    _ => Answer::RetryAfter(COME_BACK),
                 };
                 self.out.push(Output::Answer(asker, answer));
             }
@@ -673,13 +673,13 @@
                 _ => self.sweeps.looked(id, None),
             },
             Pending::Sweep(id, count) => {
-                let done = matches!(reply, StoreReply::Done(_));
+                let done = matches!(reply, StoreReply::Committed(_));
                 self.sweeps.removed(id, done.then_some(count));
             }
             Pending::Cancel(asker) => {
                 let answer = match reply {
-                    StoreReply::Done(_) => Answer::Cancelling,
-                    _ => Answer::ComeBack(COME_BACK),
+                    StoreReply::Committed(_) => Answer::Cancelling,
+                    _ => Answer::RetryAfter(COME_BACK),
                 };
                 self.out.push(Output::Answer(asker, answer));
             }
@@ -690,15 +690,18 @@
     fn ranges_replied(&mut self, now: Duration, act: ranges::Act, reply: StoreReply) {
         use ranges::Act;
         match (act, reply) {
-            (Act::NewLease, StoreReply::Lease(lease)) => self.ranges.leased(now, Some(lease)),
-            (Act::Touch(_), StoreReply::Touched(good)) => self.ranges.touched(good),
+            (Act::NewLease, StoreReply::LeaseGranted(lease)) => {
+                self.ranges.leased(now, Some(lease))
+            }
+            (Act::Touch(_), StoreReply::LeaseRenewed(good)) => self.ranges.touched(good),
             (Act::Join(_), reply) => {
-                self.ranges.joined(matches!(reply, StoreReply::Done(_)));
+                self.ranges
+                    .joined(matches!(reply, StoreReply::Committed(_)));
             }
             (Act::Look(prefix, _), StoreReply::Page(items, more)) => {
                 self.ranges.looked(prefix, items, more);
             }
-            (Act::Claim(range, _, take), StoreReply::Done(revision)) => {
+            (Act::Claim(range, _, take), StoreReply::Committed(revision)) => {
                 self.ranges.claimed(range, take, Some(revision));
                 self.runs_at.remove(&range);
             }
@@ -731,7 +734,7 @@
                 let seed = self.rng.u64(..);
                 let piece = self.settings.value_bytes;
                 let process = self.documents.read(&all.bundle);
-                let run = process.and_then(|p| Active::new(id, &p, *all, piece, seed));
+                let run = process.and_then(|p| ActiveRun::new(id, &p, *all, piece, seed));
                 match run {
                     #[cfg_attr(not(feature = "sabotage"), expect(unused_mut))]
                     Ok(mut run) => {
@@ -749,12 +752,12 @@
     }
 
     /// The same for somebody who wants to know all about a run.
-    fn logged(&mut self, asker: AskId, id: RunId, stage: Stage, reply: StoreReply) {
+    fn logged(&mut self, asker: UserRequestId, id: RunId, stage: Stage, reply: StoreReply) {
         let answer = match stage.next(id, reply) {
             Read::More(stage, call) => {
                 return self.store(Pending::Log(asker, id, stage), call);
             }
-            Read::Again | Read::Broken(..) => Answer::ComeBack(COME_BACK),
+            Read::Again | Read::Broken(..) => Answer::RetryAfter(COME_BACK),
             Read::Nothing => Answer::Unknown,
             Read::All(all) => Answer::Log(all),
         };
@@ -771,21 +774,21 @@
 
     fn run_written(&mut self, now: Duration, id: RunId, mut rest: Vec<Txn>, reply: StoreReply) {
         match (self.runs.get_mut(&id), reply) {
-            (Some(Held::Active(..)), StoreReply::Done(_)) if !rest.is_empty() => {
+            (Some(Held::Active(..)), StoreReply::Committed(_)) if !rest.is_empty() => {
                 let txn = rest.remove(0);
                 self.store(Pending::Write(id, rest), StoreCall::Txn(txn));
             }
-            (Some(Held::Active(run, version)), StoreReply::Done(revision)) => {
+            (Some(Held::Active(run, version)), StoreReply::Committed(revision)) => {
                 *version = revision;
                 run.written();
                 if run.record().state.is_final() {
                     self.runs.remove(&id);
                 }
             }
-            (Some(Held::Broken(..)), StoreReply::Done(_)) => {
+            (Some(Held::Broken(..)), StoreReply::Committed(_)) => {
                 self.runs.remove(&id);
             }
-            (Some(_), StoreReply::Failed) => {
+            (Some(_), StoreReply::ConditionFailed) => {
                 // Somebody else has written, or a write of ours whose answer
                 // was lost: what is stored counts.
                 self.runs.insert(id, Held::ToLoad(now));
@@ -806,13 +809,13 @@
         let asker = creating.asker;
         creating.busy = false;
         match reply {
-            StoreReply::Done(_) => {
+            StoreReply::Committed(_) => {
                 creating.txns.pop();
                 if creating.txns.is_empty() {
                     self.creating.remove(&id);
                     // Read as it was written, as after a crash.
                     self.runs.insert(id, Held::ToLoad(now));
-                    self.out.push(Output::Answer(asker, Answer::Begun(id)));
+                    self.out.push(Output::Answer(asker, Answer::Started(id)));
                 }
             }
             StoreReply::Refused => {}
@@ -820,14 +823,14 @@
             // it. It is found when the range is looked through.
             _ => {
                 self.creating.remove(&id);
-                let answer = Answer::ComeBack(COME_BACK);
+                let answer = Answer::RetryAfter(COME_BACK);
                 self.out.push(Output::Answer(asker, answer));
             }
         }
     }
 
     /// Does what is due, as far as the budgets go.
-    fn go_on(&mut self, now: Duration, day_s: u64) {
+    fn go_on(&mut self, now: Duration, unix_s: u64) {
         let held: BTreeSet<u32> = self.ranges.held().collect();
         // What is not ours any more is somebody else's to go on with.
         self.runs.retain(|id, _| held.contains(&id.range));
@@ -835,8 +838,8 @@
             && let Some(act) = self.ranges.next(now)
         {
             let call = match &act {
-                ranges::Act::NewLease => StoreCall::NewLease(self.settings.lease),
-                ranges::Act::Touch(lease) => StoreCall::Touch(*lease),
+                ranges::Act::NewLease => StoreCall::LeaseGrant(self.settings.lease),
+                ranges::Act::Touch(lease) => StoreCall::LeaseRenewal(*lease),
                 ranges::Act::Join(txn) | ranges::Act::Claim(_, txn, _) => {
                     StoreCall::Txn(txn.clone())
                 }
@@ -877,7 +880,7 @@
                 break;
             }
             self.turn = Some(*id);
-            self.run_on(now, day_s, *id);
+            self.run_on(now, unix_s, *id);
         }
     }
 
@@ -899,7 +902,7 @@
             let mut txn = txn.clone();
             if !self.fence(id.range, &mut txn.conds) {
                 if let Some(creating) = self.creating.remove(&id) {
-                    let answer = Answer::ComeBack(COME_BACK);
+                    let answer = Answer::RetryAfter(COME_BACK);
                     self.out.push(Output::Answer(creating.asker, answer));
                 }
                 continue;
@@ -933,7 +936,7 @@
         }
     }
 
-    fn run_on(&mut self, now: Duration, day_s: u64, id: RunId) {
+    fn run_on(&mut self, now: Duration, unix_s: u64, id: RunId) {
         match self.runs.get_mut(&id) {
             Some(Held::ToLoad(at)) if now >= *at && self.store.left(now) > 0 => {
                 self.runs.insert(id, Held::Loading);
@@ -945,7 +948,7 @@
             }
             Some(Held::Broken(record, version, busy)) if !*busy && self.store.left(now) > 0 => {
                 *busy = true;
-                record.ended_s = Some(day_s);
+                record.ended_s = Some(unix_s);
                 let changes = vec![put(run_key('r', id), record)];
                 let version = *version;
                 if let Some(conds) = self.unchanged(id, version) {
@@ -960,7 +963,7 @@
                     return;
                 }
                 let version = *version;
-                let acts = run.next(now, day_s, left, may_write);
+                let acts = run.next_actions(now, unix_s, left, may_write);
                 for act in acts {
                     self.act(id, version, act);
                 }
--- a/crates/workflow/src/sweep.rs
+++ b/crates/workflow/src/sweep.rs
@@ -45,9 +45,9 @@
     }
 
     /// An ended run was seen.
-    pub fn seen(&mut self, id: RunId, record: &RunRecord, day_s: u64) {
+    pub fn seen(&mut self, id: RunId, record: &RunRecord, unix_s: u64) {
         let over = record.ended_s.map(|ended| ended + self.keep.as_secs());
-        if !record.state.is_final() || over.is_none_or(|over| day_s < over) {
+        if !record.state.is_final() || over.is_none_or(|over| unix_s < over) {
             return;
         }
         if self.runs.len() >= AT_A_TIME || self.runs.contains_key(&id) {
--- a/crates/workflow/tests/runs.rs
+++ b/crates/workflow/tests/runs.rs
@@ -15,8 +15,8 @@
 use oliveshift_workflow::{
     active::{JobReply, Sabotage},
     api::{self, Reply},
-    records::{JobRecord, RunId, RunRecord, RunState, get, run_of},
-    service::{Answer, Ask, Input, Output, Service, Settings, StoreCall},
+    records::{JobRecord, RunId, RunRecord, RunState, get, run_id_of_key},
+    service::{Answer, Input, Output, Service, Settings, StoreCall, UserRequest},
 };
 
 mod support;
@@ -79,7 +79,7 @@
     instances: Vec<Instance>,
     queue: BTreeMap<(Duration, u64), Event>,
     seq: u64,
-    asks: VecDeque<(Duration, Ask)>,
+    asks: VecDeque<(Duration, UserRequest)>,
     begun: Vec<RunId>,
     /// What was seen of each run's end.
     finals: BTreeMap<RunId, RunRecord>,
@@ -138,10 +138,10 @@
             calls_per_s: 40.0,
             store_per_s: 60.0,
             writes_per_s: 30.0,
-            most_runs: 300,
+            max_runs: 300,
             value_bytes: 2 * 1024,
             txn_ops: 6,
-            keep: S * 100_000,
+            retention: S * 100_000,
         }
     }
 
@@ -206,7 +206,7 @@
             if instance.service.is_none() && self.now >= instance.back_at {
                 let seed = self.rng.u64(..);
                 let settings = Settings {
-                    keep: self.keep,
+                    retention: self.keep,
                     ..Self::settings(n)
                 };
                 let mut service = Service::new(settings, seed);
@@ -228,8 +228,9 @@
     }
 
     fn ask(&mut self) {
-        let due =
-            |asks: &VecDeque<(Duration, Ask)>, now| asks.iter().position(|(at, _)| *at <= now);
+        let due = |asks: &VecDeque<(Duration, UserRequest)>, now| {
+            asks.iter().position(|(at, _)| *at <= now)
+        };
         while let Some(i) = due(&self.asks, self.now)
             && let Some((_, ask)) = self.asks.remove(i)
         {
@@ -240,7 +241,7 @@
                 continue;
             }
             self.seq += 1;
-            let input = Input::Ask(self.seq, ask);
+            let input = Input::UserRequest(self.seq, ask);
             self.at(Duration::ZERO, Event::Input(n, life, input));
         }
     }
@@ -303,21 +304,21 @@
                     Event::Input(n, life, Input::Text(call, Some("3\n".into()))),
                 );
             }
-            Output::Answer(_, Answer::Begun(id)) => {
+            Output::Answer(_, Answer::Started(id)) => {
                 self.begun.push(id);
                 if self.rng.f64() < self.trouble.cancel {
                     let at = self.now + S * self.rng.u32(0..40);
-                    self.asks.push_back((at, Ask::Cancel(id)));
+                    self.asks.push_back((at, UserRequest::Cancel(id)));
                 }
             }
-            Output::Answer(_, Answer::Bad(why)) => self.broken.push(why),
-            Output::Answer(_, Answer::ComeBack(_)) => self.turned_away += 1,
+            Output::Answer(_, Answer::Invalid(why)) => self.broken.push(why),
+            Output::Answer(_, Answer::RetryAfter(_)) => self.turned_away += 1,
             Output::Answer(..) => {}
         }
     }
 
     fn ask_job(&mut self, n: usize, life: u64, call: u64, latency: Duration, ask: JobAsk) {
-        let late = Input::Job(call, JobReply::Later(None));
+        let late = Input::Job(call, JobReply::RetryAfter(None));
         self.at(S * 5, Event::Input(n, life, late));
         self.at(latency, Event::Job(n, life, call, ask));
     }
@@ -486,7 +487,8 @@
     /// Looks into the state service, as nobody could.
     fn watch(&mut self) {
         for item in self.items("wf/r/") {
-            let (Some(id), Some(record)) = (run_of(&item.key), get::<RunRecord>(&item)) else {
+            let (Some(id), Some(record)) = (run_id_of_key(&item.key), get::<RunRecord>(&item))
+            else {
                 self.broken
                     .push(format!("{}: a record that can't be read", item.key));
                 continue;
@@ -517,7 +519,8 @@
         for item in self.items(&format!("wf/j/{}/{:016x}/", id.range, id.number)) {
             for job in get::<Vec<JobRecord>>(&item).expect("jobs") {
                 let known = self.jobs.get(&job.spec.id);
-                let open = known.filter(|j| !api::is_over(j.phase) && j.spec.class != "foreign");
+                let open =
+                    known.filter(|j| !api::is_final_phase(j.phase) && j.spec.class != "foreign");
                 if let Some(open) = open {
                     self.broken
                         .push(format!("{id} ended, {} is {:?}", job.step, open.phase));
@@ -550,7 +553,7 @@
         let mut of: BTreeMap<JobId, (RunId, String)> = BTreeMap::new();
         let mut steps: BTreeMap<(RunId, String, u32), BTreeSet<JobId>> = BTreeMap::new();
         for item in self.items("wf/j/") {
-            let id = run_of(&item.key).expect("a run's key");
+            let id = run_id_of_key(&item.key).expect("a run's key");
             for job in get::<Vec<JobRecord>>(&item).expect("jobs") {
                 let foreign = |j: &Job| j.spec.class == "foreign";
                 if self.jobs.get(&job.spec.id).is_some_and(|j| !foreign(j)) {
@@ -633,7 +636,7 @@
     for i in 0..runs {
         let at = S * 5 + S * world.rng.u32(0..60);
         let bundle = Box::new(bundles[i % 2].clone());
-        world.asks.push_back((at, Ask::Submit(bundle)));
+        world.asks.push_back((at, UserRequest::Submit(bundle)));
     }
     world.asks.make_contiguous().sort_by_key(|a| a.0);
     let mut world = world.run(S * 900);
@@ -663,7 +666,9 @@
     let bundle = Box::new(example("waveform-to-catalog"));
     for i in 0..400 {
         let at = S * 5 + MS * 100 * i;
-        world.asks.push_back((at, Ask::Submit(bundle.clone())));
+        world
+            .asks
+            .push_back((at, UserRequest::Submit(bundle.clone())));
     }
     let mut world = world.run(S * 900);
     world.check();
@@ -694,10 +699,10 @@
     for i in 0..12 {
         world
             .asks
-            .push_back((S * (5 + 5 * i), Ask::Submit(bundle.clone())));
+            .push_back((S * (5 + 5 * i), UserRequest::Submit(bundle.clone())));
     }
     // One that nobody removes as long as the day lasts keeps it going.
-    world.asks.push_back((S * 700, Ask::Submit(bundle)));
+    world.asks.push_back((S * 700, UserRequest::Submit(bundle)));
     let mut world = world.run(S * 900);
     assert_eq!(world.broken, Vec::<String>::new());
     assert!(world.finals.len() >= 8, "{}", world.finals.len());
@@ -706,7 +711,7 @@
     assert!(kept.len() <= 1 && world.items("wf/r/").len() <= 3);
     for kind in ["r", "t", "j", "c"] {
         for item in world.items(&format!("wf/{kind}/")) {
-            let id = run_of(&item.key).expect("a run's key");
+            let id = run_id_of_key(&item.key).expect("a run's key");
             let told = world.begun.contains(&id);
             assert!(kept.contains(&id) || !told, "{}", item.key);
         }
@@ -800,12 +805,16 @@
         ..Trouble::default()
     };
     is_caught(Sabotage::NoFence, "two ends", trouble);
-    is_caught(Sabotage::Unwritten, "is nobody's", trouble);
-    is_caught(Sabotage::NoWindUp, "ended, ", trouble);
+    is_caught(Sabotage::UnrecordedIds, "is nobody's", trouble);
+    is_caught(Sabotage::JobsLeftRunning, "ended, ", trouble);
     let strangers = Trouble {
         strangers: 0.1,
         cancel: 0.5,
         ..Trouble::default()
     };
-    is_caught(Sabotage::Adopt, "somebody else's was cancelled", strangers);
+    is_caught(
+        Sabotage::ForeignJobAdopted,
+        "somebody else's was cancelled",
+        strangers,
+    );
 }
--- a/crates/workflow/tests/sides.rs
+++ b/crates/workflow/tests/sides.rs
@@ -15,7 +15,7 @@
     active::JobReply,
     api::{self, Reply},
     records::{Bundle, RunId, RunState},
-    service::{Answer, Ask, Input, Output, Service, Settings},
+    service::{Answer, Input, Output, Service, Settings, UserRequest},
 };
 
 mod support;
@@ -154,7 +154,7 @@
             .map(|j| j.1.id.clone())
             .collect();
         for (i, (_, spec, phase, is_accepted, at)) in self.jobs.iter_mut().enumerate() {
-            let open = !api::is_over(*phase);
+            let open = !api::is_final_phase(*phase);
             let ready = spec.awaits.iter().all(|id| accepted.contains(id));
             if now < *at || !open || !ready {
                 continue;
@@ -184,7 +184,7 @@
                 let status: JobStatus = decode(&body).expect("a status");
                 *phase = status.phase;
                 *is_accepted = true;
-                if i % 4 == 3 && api::is_over(*phase) {
+                if i % 4 == 3 && api::is_final_phase(*phase) {
                     let end = match phase {
                         JobPhase::Done => "complete",
                         _ => "cancelled",
@@ -221,10 +221,10 @@
             calls_per_s: 40.0,
             store_per_s: 60.0,
             writes_per_s: 30.0,
-            most_runs: 100,
+            max_runs: 100,
             value_bytes: 8 * 1024,
             txn_ops: 10,
-            keep: S * 100_000,
+            retention: S * 100_000,
         };
         let limits = StateLimits {
             txn_ops: 20,
@@ -282,10 +282,10 @@
                 Output::Text(call, _) => {
                     self.waiting.push((soon, Input::Text(call, None)));
                 }
-                Output::Answer(asker, Answer::Begun(id)) => {
+                Output::Answer(asker, Answer::Started(id)) => {
                     self.runs.insert(id, asker as usize);
                 }
-                Output::Answer(asker, Answer::Is(record)) => {
+                Output::Answer(asker, Answer::Status(record)) => {
                     if record.state.is_final() {
                         let end = match record.state {
                             RunState::Complete => "complete".to_owned(),
@@ -321,15 +321,23 @@
         if let Some((at, bundle)) = self.bundles.get(self.handed_in)
             && now >= *at
         {
-            let ask = Ask::Submit(Box::new(bundle.clone()));
-            self.handle(now, Input::Ask(self.handed_in as u64, ask), &mut asks);
+            let ask = UserRequest::Submit(Box::new(bundle.clone()));
+            self.handle(
+                now,
+                Input::UserRequest(self.handed_in as u64, ask),
+                &mut asks,
+            );
             self.handed_in += 1;
         }
         let runs: Vec<(RunId, usize)> = self.runs.iter().map(|(id, n)| (*id, *n)).collect();
         for (id, run) in runs {
             if !self.seen.borrow().ends.contains_key(&run) {
                 let asker = 1000 + run as u64;
-                self.handle(now, Input::Ask(asker, Ask::Status(id)), &mut asks);
+                self.handle(
+                    now,
+                    Input::UserRequest(asker, UserRequest::Status(id)),
+                    &mut asks,
+                );
             }
         }
         asks
@@ -341,7 +349,7 @@
         }
         let reply = match answer {
             Some((status, body)) => api::job_reply(Reply::Answer(status, body, None)),
-            None => JobReply::Later(None),
+            None => JobReply::RetryAfter(None),
         };
         self.waiting.push((now, Input::Job(token, reply)));
     }
