--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -273,7 +273,7 @@
         Self::sized(Size::SMALL, seed, busy, faults, sabotage)
     }
 
-    /// Creates a deployment of another size.
+    /// Creates a deployment of the given size.
     pub fn sized(
         size: Size,
         seed: u64,
@@ -284,7 +284,7 @@
         Self::timed(size, Timing::DEFAULT, seed, busy, faults, sabotage)
     }
 
-    /// Creates a deployment of another size with other report, lease and cancel times.
+    /// Creates a deployment of the given size and timing.
     pub fn timed(
         size: Size,
         timing: Timing,
@@ -301,9 +301,9 @@
         let mut users: Vec<_> = (0..size.jobs)
             .map(|i| draw_user(&mut rng, i, busy, size.scale))
             .collect();
-        let new = upgrade_complete_at(&faults, CONTROLLER_COUNT);
-        draw_pipelines(&mut users, seed, size.pipelines, new, busy);
-        let rolls = faults
+        let upgraded_at = upgrade_complete_at(&faults, CONTROLLER_COUNT);
+        draw_pipelines(&mut users, seed, size.pipelines, upgraded_at, busy);
+        let starts_at_first_level = faults
             .iter()
             .any(|f| matches!(f, Fault::RollingUpgrade { .. }));
         let nodes = (0..CONTROLLER_COUNT).map(|i| Node {
@@ -313,7 +313,7 @@
                 false => 1.0,
             },
             settings: settings(i, size, &timing),
-            level: if rolls {
+            level: if starts_at_first_level {
                 FormatLevel::FIRST
             } else {
                 FormatLevel::SUPPORTED
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -245,9 +245,9 @@
 }
 
 /// Draws pipelines of four stages: one job, up to three jobs, one job, and a last one
-/// with the deadline. Some await an earlier job, some submit the last stage late, and
-/// some jobs are cancelled. They have a random generator of their own, so that runs
-/// without pipelines stay the same.
+/// with the deadline. Some await an earlier job, in some the last stage is submitted
+/// only after the stage before it has ended, and some jobs are cancelled. They have a
+/// random generator of their own, so that runs without pipelines stay the same.
 pub(super) fn draw_pipelines(
     users: &mut Vec<User>,
     seed: u64,
