--- a/crates/testkit/src/evidence.rs
+++ b/crates/testkit/src/evidence.rs
@@ -34,7 +34,7 @@
 pub struct Hung {
     /// Time at which it resumed.
     pub at: Duration,
-    /// Number of tasks on it at that time; more than zero if its lease had not expired.
+    /// Number of tasks on it at that time; none remain if its lease has expired.
     pub tasks: usize,
 }
 
@@ -63,7 +63,8 @@
     pub old_reports: Vec<(Duration, bool)>,
     /// Arrival times at the current leader of reports sent before it became leader.
     pub reports_across_leaders: Vec<Duration>,
-    /// Times at which a controller's answer reached a worker, and the controller's index.
+    /// Times at which a worker received an answer with status 200 to a report of its current
+    /// session, and the index of the controller. Answers with a stale token are included.
     pub lease_renewals: Vec<(Duration, usize)>,
     /// Cancelled jobs, as first shown to users.
     pub cancelled: Vec<Cancelled>,
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -30,10 +30,10 @@
         /// Delay until the restart.
         back: Duration,
     },
-    /// A late copy of one in `one_in` messages is delivered: writes of controllers to the
-    /// state service and the cloud, messages between controllers, reports of workers, and submissions and
-    /// cancellations by users. A direct order is delivered late only if it got no answer;
-    /// its sender may have ended by then.
+    /// A late copy of one in `one_in` messages is delivered: writes of controllers to the state
+    /// service and the cloud, messages between controllers, reports of workers, and submissions
+    /// and cancellations by users. A copied direct order is executed at once too, but its
+    /// answer is lost; its sender may have ended when the copy arrives.
     DuplicateMessages {
         /// One in this many is affected.
         one_in: u32,
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -161,12 +161,12 @@
         let mut missed: BTreeMap<usize, usize> = now.iter().map(|at| (*at, passed(*at))).collect();
         for tier in 0..8 {
             let aims = |at: usize| all[at].latest_starts_s.len().max(1);
-            let mut tries: Vec<_> = now.clone();
-            tries.retain(|at| missed[at] == tier && tier < aims(*at));
+            let mut candidates: Vec<_> = now.clone();
+            candidates.retain(|at| missed[at] == tier && tier < aims(*at));
             let held = |at: usize| all[at].started && all[at].latest_starts_s.len() > tier;
-            tries.sort_by_key(|at| (!held(*at), all[*at].order_ms, *at));
+            candidates.sort_by_key(|at| (!held(*at), all[*at].order_ms, *at));
             let mut kept: Vec<usize> = Vec::new();
-            for at in tries {
+            for at in candidates {
                 kept.push(at);
                 let Some(latest) = all[at].latest_starts_s.get(tier) else {
                     continue;
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -88,17 +88,17 @@
     /// Number of completed tasks of each job.
     done_counts: BTreeMap<JobId, u32>,
     /// Machines that each task is on.
-    on: BTreeMap<TaskId, BTreeMap<String, Site>>,
+    placements: BTreeMap<TaskId, BTreeMap<String, Site>>,
     /// Accepted jobs, and the time at which a user first learned of it.
     accepted: BTreeMap<JobId, Duration>,
     /// Last phase reported for each job, and its time.
-    told: BTreeMap<JobId, (Duration, JobPhase)>,
+    last_reported: BTreeMap<JobId, (Duration, JobPhase)>,
     /// Jobs that their users requested to cancel.
     pub asked_to_cancel: BTreeSet<JobId>,
     /// Cancelled jobs whose tasks are still checked, and the time of the first report.
     cancelled: BTreeMap<JobId, Duration>,
     /// Time at which each job was first reported as cancelled.
-    told_cancelled: BTreeMap<JobId, Duration>,
+    reported_cancelled_at: BTreeMap<JobId, Duration>,
 }
 
 impl RuleChecker {
@@ -119,16 +119,16 @@
     pub fn task_started(&mut self, now: Duration, task: &TaskId, machine: &str, site: &Site) {
         self.started += 1;
         self.starts.push((now, task.clone()));
-        self.late_starts += usize::from(self.told_cancelled.contains_key(&task.job));
+        self.late_starts += usize::from(self.reported_cancelled_at.contains_key(&task.job));
         let Some(spec) = self.jobs.get(&task.job).cloned() else {
             return;
         };
-        let elsewhere = self.on.get(task).is_some_and(|m| !m.is_empty());
+        let elsewhere = self.placements.get(task).is_some_and(|m| !m.is_empty());
         if elsewhere {
-            let machines = format!("{task} on {machine} and {:?}", self.on[task].keys());
+            let machines = format!("{task} on {machine} and {:?}", self.placements[task].keys());
             self.record_violation(now, RuleViolation::RanTwice, machines);
         }
-        let on = self.on.entry(task.clone()).or_default();
+        let on = self.placements.entry(task.clone()).or_default();
         on.insert(machine.to_owned(), site.clone());
         if !spec.allows_type(&site.kind)
             || !spec.allows_zone(&site.zone)
@@ -175,7 +175,7 @@
 
     /// Number of processors used by a team's tasks.
     pub fn cpus_used(&self, team: &str) -> f64 {
-        let on = self.on.iter().filter(|(_, m)| !m.is_empty());
+        let on = self.placements.iter().filter(|(_, m)| !m.is_empty());
         let specs = on.filter_map(|(t, _)| self.jobs.get(&t.job));
         specs.filter(|s| s.team == team).map(|s| s.cpus).sum()
     }
@@ -183,7 +183,7 @@
     /// Number of tasks of a job that are on machines, by zone.
     pub fn tasks_by_zone(&self, job: &JobId) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
-        for (_, machines) in self.on.range(job.task(0)..=job.task(u32::MAX)) {
+        for (_, machines) in self.placements.range(job.task(0)..=job.task(u32::MAX)) {
             if let Some(site) = machines.values().next() {
                 *zones.entry(site.zone.clone()).or_default() += 1;
             }
@@ -210,7 +210,7 @@
 
     /// Whether the last report to a user shows the job as done or cancelled.
     pub fn is_ended(&self, job: &JobId) -> bool {
-        let told = self.told.get(job).map(|(_, phase)| *phase);
+        let told = self.last_reported.get(job).map(|(_, phase)| *phase);
         matches!(told, Some(JobPhase::Done | JobPhase::Cancelled))
     }
 
@@ -253,10 +253,10 @@
 
     /// Records that a task has left a machine.
     pub fn task_left(&mut self, task: &TaskId, machine: &str) {
-        if let Some(on) = self.on.get_mut(task) {
+        if let Some(on) = self.placements.get_mut(task) {
             on.remove(machine);
             if on.is_empty() {
-                self.on.remove(task);
+                self.placements.remove(task);
             }
         }
     }
@@ -265,7 +265,10 @@
     pub fn check_cancelled_jobs(&mut self, now: Duration) {
         let mut late = Vec::new();
         for (job, at) in &self.cancelled {
-            let on = self.on.range(job.task(0)..=job.task(u32::MAX)).next();
+            let on = self
+                .placements
+                .range(job.task(0)..=job.task(u32::MAX))
+                .next();
             if let Some((task, _)) = on
                 && now > *at + self.cancel
             {
@@ -300,7 +303,11 @@
             }
         }
         let is_final = |p| matches!(p, JobPhase::Done | JobPhase::Cancelled);
-        let before = self.told.get(job).copied().filter(|(_, b)| is_final(*b));
+        let before = self
+            .last_reported
+            .get(job)
+            .copied()
+            .filter(|(_, b)| is_final(*b));
         if let Some((at, before)) = before
             && before != phase
         {
@@ -314,7 +321,7 @@
                 format!("{job}: {before:?}, {phase:?}"),
             );
         }
-        self.told.insert(job.clone(), (now, phase));
+        self.last_reported.insert(job.clone(), (now, phase));
         match phase {
             JobPhase::Done => {
                 if !self.is_done(job) || spec.shape == Shape::Service {
@@ -333,12 +340,14 @@
                     );
                 }
                 self.cancelled.entry(job.clone()).or_insert(now);
-                self.told_cancelled.entry(job.clone()).or_insert(now);
+                self.reported_cancelled_at.entry(job.clone()).or_insert(now);
             }
             JobPhase::Pending | JobPhase::Running => {
                 let needed = self.with_dependencies(job);
                 let long = |at: &Duration| now > *at + self.cancel;
-                let told = needed.iter().filter_map(|id| self.told_cancelled.get(id));
+                let told = needed
+                    .iter()
+                    .filter_map(|id| self.reported_cancelled_at.get(id));
                 if told.into_iter().any(long) {
                     self.record_violation(now, RuleViolation::Orphaned, job.to_string());
                 }
--- a/crates/testkit/src/upper_bound.rs
+++ b/crates/testkit/src/upper_bound.rs
@@ -80,13 +80,13 @@
 /// Whether a job belongs to a group of jobs that share a processor limit.
 type GroupFilter = Box<dyn Fn(&Arrival) -> bool>;
 
-/// Selects jobs that can be done by their deadlines (`until`), greedily in order of
+/// Selects jobs that can be done by the time that `deadline` gives, greedily in order of
 /// increasing work: a job is selected if all jobs selected so far still meet theirs.
 fn feasible_jobs(
     jobs: &[Arrival],
     pools: &[MachinePool],
     limits: &BTreeMap<String, f64>,
-    until: impl Fn(&Arrival) -> Duration,
+    deadline: impl Fn(&Arrival) -> Duration,
 ) -> Vec<usize> {
     let mut by_work: Vec<usize> = (0..jobs.len()).collect();
     by_work.sort_by(|a, b| jobs[*a].work().total_cmp(&jobs[*b].work()));
@@ -113,14 +113,14 @@
     let mut chosen = Vec::new();
     for at in by_work {
         let job = &jobs[at];
-        if until(job) < job.at + job.run_time {
+        if deadline(job) < job.at + job.run_time {
             continue;
         }
         let job_groups: Vec<usize> = (0..groups.len()).filter(|g| groups[*g].0(job)).collect();
         let fits = job_groups.iter().all(|group| {
             let mut with = plans[*group].clone();
             with.push(at);
-            all_meet_deadlines(jobs, &with, groups[*group].1, &until)
+            all_meet_deadlines(jobs, &with, groups[*group].1, &deadline)
         });
         if fits {
             job_groups.iter().for_each(|group| plans[*group].push(at));
@@ -130,28 +130,28 @@
     chosen
 }
 
-/// Whether all of `some` jobs can be done by their deadlines on `cpus` processors under
+/// Whether all `selected` jobs can be done by their deadlines on `cpus` processors under
 /// preemptive earliest-deadline-first scheduling.
 fn all_meet_deadlines(
     jobs: &[Arrival],
-    some: &[usize],
+    selected: &[usize],
     cpus: f64,
-    until: impl Fn(&Arrival) -> Duration,
+    deadline: impl Fn(&Arrival) -> Duration,
 ) -> bool {
-    let mut arrivals = some.to_vec();
+    let mut arrivals = selected.to_vec();
     arrivals.sort_by_key(|at| std::cmp::Reverse(jobs[*at].at));
-    let mut running: BTreeMap<(Duration, usize), f64> = BTreeMap::new();
+    let mut remaining_work: BTreeMap<(Duration, usize), f64> = BTreeMap::new();
     let mut now = 0.0;
     loop {
         while let Some(at) = arrivals.last().copied() {
-            if !running.is_empty() && jobs[at].at.as_secs_f64() > now {
+            if !remaining_work.is_empty() && jobs[at].at.as_secs_f64() > now {
                 break;
             }
             arrivals.pop();
             now = f64::max(now, jobs[at].at.as_secs_f64());
-            running.insert((until(&jobs[at]), at), jobs[at].work());
+            remaining_work.insert((deadline(&jobs[at]), at), jobs[at].work());
         }
-        let Some(mut first) = running.first_entry() else {
+        let Some(mut first) = remaining_work.first_entry() else {
             return true;
         };
         let next = arrivals.last().map(|at| jobs[*at].at.as_secs_f64());
