--- a/crates/testkit/src/draws.rs
+++ b/crates/testkit/src/draws.rs
@@ -22,13 +22,13 @@
             4 => Fault::StateOutage { from, until },
             5 => Fault::CutWorkers {
                 node: Some(node),
-                rest: None,
+                machine_group: None,
                 from,
                 until,
             },
             6 => Fault::CutWorkers {
                 node: None,
-                rest: Some(rng.usize(0..3)),
+                machine_group: Some(rng.usize(0..3)),
                 from,
                 until,
             },
@@ -235,7 +235,7 @@
             },
             4 | 5 => Fault::CutWorkers {
                 node: Some(node),
-                rest: None,
+                machine_group: None,
                 from,
                 until,
             },
@@ -256,7 +256,7 @@
     for _ in 0..rng.usize(2..5) {
         let from = ms(rng.u64(15_000..last));
         let until = (from + ms(rng.u64(8_000..45_000))).min(end - ms(20_000));
-        let (node, rest) = (rng.usize(0..nodes), rng.usize(0..3));
+        let (node, machine_group) = (rng.usize(0..nodes), rng.usize(0..3));
         let one_in = rng.u32(2..8);
         if rng.u32(0..11) == 0 {
             // A leader without state service and peers that workers and users still reach.
@@ -275,12 +275,24 @@
                 from,
                 until,
             },
-            2 => Fault::AnswersLost { rest, from, until },
-            3 => Fault::ReportsLost { rest, from, until },
+            2 => Fault::AnswersLost {
+                machine_group,
+                from,
+                until,
+            },
+            3 => Fault::ReportsLost {
+                machine_group,
+                from,
+                until,
+            },
             4 => {
                 // Shorter than, close to, and longer than a lease.
                 let until = from + ms(rng.u64(3_000..20_000));
-                Fault::WorkerHang { rest, from, until }
+                Fault::WorkerHang {
+                    machine_group,
+                    from,
+                    until,
+                }
             }
             5 => Fault::SlowState {
                 lag: ms(rng.u64(100..2_000)),
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -80,7 +80,7 @@
         /// Index of the controller; `None`: all controllers.
         node: Option<usize>,
         /// Affected machines: those whose number modulo 3 equals this; `None`: all.
-        rest: Option<usize>,
+        machine_group: Option<usize>,
         /// Start of the fault.
         from: Duration,
         /// End of the fault.
@@ -92,7 +92,7 @@
         /// Index of the controller.
         node: usize,
         /// Affected machines: those whose number modulo 3 equals this.
-        rest: usize,
+        machine_group: usize,
         /// The blocked direction.
         direction: Direction,
         /// Start of the fault.
@@ -250,7 +250,7 @@
     /// Reports of some machines arrive, but the answers and direct orders to them are lost.
     AnswersLost {
         /// Affected machines: those whose number modulo 3 equals this.
-        rest: usize,
+        machine_group: usize,
         /// Start of the fault.
         from: Duration,
         /// End of the fault.
@@ -259,7 +259,7 @@
     /// Reports of some machines reach no controller; direct orders still reach the machines.
     ReportsLost {
         /// Affected machines: those whose number modulo 3 equals this.
-        rest: usize,
+        machine_group: usize,
         /// Start of the fault.
         from: Duration,
         /// End of the fault.
@@ -269,7 +269,7 @@
     /// them wait. Their leases keep running.
     WorkerHang {
         /// Affected machines: those whose number modulo 3 equals this.
-        rest: usize,
+        machine_group: usize,
         /// Start of the fault.
         from: Duration,
         /// End of the fault.
@@ -297,7 +297,7 @@
     /// Some machines fail and lose all their tasks.
     MachineCrash {
         /// Affected machines: those whose number modulo 3 equals this.
-        rest: usize,
+        machine_group: usize,
         /// Time of the event.
         at: Duration,
     },
--- a/crates/testkit/src/handover.rs
+++ b/crates/testkit/src/handover.rs
@@ -33,13 +33,17 @@
             from: at,
             until: at + refused_for,
         });
-        let rest = rng.usize(0..3);
+        let machine_group = rng.usize(0..3);
         for other in 0..nodes {
             let from = at + MS * rng.u32(0..1000);
             let until = (from + refused_for.mul_f64(0.5 + rng.f64() * 0.6)).min(end);
             faults.push(Fault::CutWorkers {
                 node: Some(other),
-                rest: Some(if other == node { rest } else { (rest + 1) % 3 }),
+                machine_group: Some(if other == node {
+                    machine_group
+                } else {
+                    (machine_group + 1) % 3
+                }),
                 from,
                 until,
             });
@@ -73,12 +77,12 @@
             },
         });
         for pair in 0..nodes * 3 {
-            let (node, rest) = (pair / 3, pair % 3);
+            let (node, machine_group) = (pair / 3, pair % 3);
             let from = at + MS * rng.u32(0..4000);
             let until = (from + length(&mut rng)).min(end);
             let one_way = |direction| Fault::OneWay {
                 node,
-                rest,
+                machine_group,
                 direction,
                 from,
                 until,
@@ -87,7 +91,7 @@
                 0..10 => {}
                 10..14 => faults.push(Fault::CutWorkers {
                     node: Some(node),
-                    rest: Some(rest),
+                    machine_group: Some(machine_group),
                     from,
                     until,
                 }),
--- a/crates/testkit/src/net.rs
+++ b/crates/testkit/src/net.rs
@@ -18,15 +18,15 @@
     /// Inbound connections refused by the operating system because of the socket limit.
     pub refused: usize,
     /// Connections of users that were closed while the user waited for an answer.
-    pub users_cut: usize,
+    pub user_connections_cut: usize,
     /// Connections of the load balancer's probes that were closed while the probe waited; a
     /// probe waits one second.
-    pub probes_cut: usize,
+    pub probe_connections_cut: usize,
     /// Requests of users without an answer within their timeout of two seconds, and probes
     /// answered after their timeout of one second.
     pub late: (usize, usize),
     /// Requests of users and probes.
-    pub asked: usize,
+    pub requests: usize,
 }
 
 /// Sockets of one controller process.
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -78,7 +78,7 @@
     /// Number of starts after a user was told that the job is cancelled.
     pub late_starts: usize,
     /// Start times of tasks on machines that had just booted.
-    pub starts_on_new: Vec<Duration>,
+    pub starts_on_new_machines: Vec<Duration>,
     /// Completed tasks with their completion times.
     pub ends: Vec<(Duration, TaskId)>,
     /// Times at which a start left a team without room for another task of that size.
@@ -94,7 +94,7 @@
     /// Last phase reported for each job, and its time.
     last_reported: BTreeMap<JobId, (Duration, JobPhase)>,
     /// Jobs that their users requested to cancel.
-    pub asked_to_cancel: BTreeSet<JobId>,
+    pub cancel_requests: BTreeSet<JobId>,
     /// Cancelled jobs whose tasks are still checked, and the time of the first report.
     cancelled: BTreeMap<JobId, Duration>,
     /// Time at which each job was first reported as cancelled.
@@ -201,7 +201,7 @@
     pub fn is_runnable(&self, job: &JobId) -> bool {
         let cancel_requested = !self
             .with_dependencies(job)
-            .is_disjoint(&self.asked_to_cancel);
+            .is_disjoint(&self.cancel_requests);
         let ready = |spec: &JobSpec| spec.awaits.iter().all(|id| self.is_done(id));
         self.accepted.contains_key(job)
             && !cancel_requested
@@ -283,7 +283,7 @@
 
     /// Records that a user requests to cancel a job.
     pub fn cancel_requested(&mut self, job: &JobId) {
-        self.asked_to_cancel.insert(job.clone());
+        self.cancel_requests.insert(job.clone());
     }
 
     /// Records the phase of a job that a user is told in answer to a request sent at `asked`.
@@ -331,7 +331,7 @@
             JobPhase::Cancelled => {
                 if self
                     .with_dependencies(job)
-                    .is_disjoint(&self.asked_to_cancel)
+                    .is_disjoint(&self.cancel_requests)
                 {
                     self.record_violation(
                         now,
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -326,7 +326,7 @@
                     let service = spec.shape == Shape::Service;
                     rules.task_started(now, task, &self.name, &self.site);
                     if now < self.started_at + NEW_MACHINE_AGE {
-                        rules.starts_on_new.push(now);
+                        rules.starts_on_new_machines.push(now);
                     }
                     *stage = Stage::Running((!service).then_some(now + run));
                     if self.faulty {
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -408,14 +408,20 @@
                 Fault::ProcessPause { node, until, .. } => {
                     world.schedule(until, Event::ResumeProcess(node))
                 }
-                Fault::MachineCrash { rest, at } => world.schedule(at, Event::MachineCrash(rest)),
+                Fault::MachineCrash { machine_group, at } => {
+                    world.schedule(at, Event::MachineCrash(machine_group))
+                }
                 Fault::CancelBurst { count, at } => {
                     world.schedule(at, Event::CancelRunningJobs(count))
                 }
-                Fault::WorkerHang { rest, from, until } => {
+                Fault::WorkerHang {
+                    machine_group,
+                    from,
+                    until,
+                } => {
                     world.schedule(
                         until,
-                        Event::MachinesResume(rest, until.saturating_sub(from)),
+                        Event::MachinesResume(machine_group, until.saturating_sub(from)),
                     );
                 }
                 _ => {}
@@ -535,7 +541,7 @@
             submitted_at: submissions.collect(),
             admission_refusals: self.admission_refusals,
             temporary_refusals: self.temporary_refusals,
-            cancelled: std::mem::take(&mut self.rules.asked_to_cancel),
+            cancelled: std::mem::take(&mut self.rules.cancel_requests),
             ended: std::mem::take(&mut self.rules.ended),
             max_cpus_by_machine_size: self.max_cpus_by_machine_size,
             open: self.rules.open_jobs(),
@@ -551,7 +557,7 @@
             sockets: self.sockets,
             violations: self.rules.violations,
             evidence: Evidence {
-                early_starts: std::mem::take(&mut self.rules.starts_on_new),
+                early_starts: std::mem::take(&mut self.rules.starts_on_new_machines),
                 too_old: self.state.too_old,
                 ..self.evidence
             },
@@ -675,9 +681,12 @@
                 self.record_late_order(node, incarnation, &call);
                 self.deliver_call(node, incarnation, call);
             }
-            Event::MachineCrash(rest) => {
+            Event::MachineCrash(machine_group) => {
                 let names: Vec<_> = self.workers.keys().cloned().collect();
-                for name in names.into_iter().filter(|name| is_selected(name, rest)) {
+                for name in names
+                    .into_iter()
+                    .filter(|name| is_selected(name, machine_group))
+                {
                     if let Some(m) = self.cloud.machines.get_mut(&name) {
                         m.gone_at.get_or_insert(self.now);
                     }
@@ -687,7 +696,9 @@
             Event::CancelRunningJobs(count) => self.cancel_running_jobs(count),
             Event::FollowUpRequest(user, node, kind) => self.send_follow_up(user, node, kind),
             Event::FollowUpAnswer(answer) => self.receive_follow_up_answer(answer),
-            Event::MachinesResume(rest, after) => self.resume_machines(rest, after),
+            Event::MachinesResume(machine_group, after) => {
+                self.resume_machines(machine_group, after)
+            }
             Event::RefreshLeases => self.state.refresh_leases(self.now),
             Event::ApiClientTimeout(token) => self.answer_api_client(token, None),
         }
--- a/crates/testkit/src/world/machines.rs
+++ b/crates/testkit/src/world/machines.rs
@@ -17,9 +17,9 @@
 
 /// Whether a fault that selects machines by their number modulo 3 applies to this
 /// machine.
-pub(super) fn is_selected(name: &str, rest: usize) -> bool {
+pub(super) fn is_selected(name: &str, machine_group: usize) -> bool {
     let number: usize = name.trim_start_matches("vm-").parse().unwrap_or(0);
-    number % 3 == rest
+    number % 3 == machine_group
 }
 
 /// Maximum number of copies of reports that are kept for the next leader.
@@ -37,9 +37,11 @@
     /// Returns the end of the hang of a machine, if it hangs now.
     pub(super) fn hangs_until(&self, name: &str) -> Option<Duration> {
         self.faults.iter().find_map(|f| match f {
-            Fault::WorkerHang { rest, from, until }
-                if is_selected(name, *rest) && (*from..*until).contains(&self.now) =>
-            {
+            Fault::WorkerHang {
+                machine_group,
+                from,
+                until,
+            } if is_selected(name, *machine_group) && (*from..*until).contains(&self.now) => {
                 Some(*until)
             }
             _ => None,
@@ -49,24 +51,24 @@
     /// Whether answers to reports of a machine and direct orders to it are lost.
     pub(super) fn are_answers_lost(&self, name: &str) -> bool {
         self.is_fault_active(
-            |f| matches!(f, Fault::AnswersLost { rest, .. } if is_selected(name, *rest)),
+            |f| matches!(f, Fault::AnswersLost { machine_group, .. } if is_selected(name, *machine_group)),
         )
     }
 
     /// Whether no report of a machine reaches a controller.
     pub(super) fn are_reports_lost(&self, name: &str) -> bool {
         self.is_fault_active(
-            |f| matches!(f, Fault::ReportsLost { rest, .. } if is_selected(name, *rest)),
+            |f| matches!(f, Fault::ReportsLost { machine_group, .. } if is_selected(name, *machine_group)),
         )
     }
 
     /// Resumes the machines that a hang of length `after` had selected.
-    pub(super) fn resume_machines(&mut self, rest: usize, after: Duration) {
+    pub(super) fn resume_machines(&mut self, machine_group: usize, after: Duration) {
         let now = self.now;
         for worker in self
             .workers
             .values_mut()
-            .filter(|w| is_selected(&w.name, rest))
+            .filter(|w| is_selected(&w.name, machine_group))
         {
             worker.resume(after);
             let tasks = worker.tasks();
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -76,7 +76,7 @@
         path: String,
         body: Vec<u8>,
     ) {
-        self.sockets.asked += 1;
+        self.sockets.requests += 1;
         let (incarnation, id) = (self.nodes[node].incarnation, SocketId(conn));
         if !self.open_connection(node, id, Listener::Public) {
             return self.abort_request(requester, node);
@@ -117,7 +117,7 @@
         match requester {
             Requester::Probe { asked } => {
                 if self.now < asked + S {
-                    self.sockets.probes_cut += counted;
+                    self.sockets.probe_connections_cut += counted;
                 }
             }
             Requester::User { job, .. } => {
@@ -126,7 +126,7 @@
                 if let Some(user) = user
                     && user.answer_due.take().is_some_and(|until| now < until)
                 {
-                    self.sockets.users_cut += counted;
+                    self.sockets.user_connections_cut += counted;
                 }
             }
             Requester::ApiClient { token, .. } => self.answer_api_client(token, None),
@@ -200,12 +200,12 @@
             }
             Fault::OneWay {
                 node,
-                rest,
+                machine_group,
                 direction,
                 from,
                 until,
             } if *node == n
-                && number % 3 == *rest
+                && number % 3 == *machine_group
                 && *direction == by
                 && (*from..*until).contains(&now) =>
             {
@@ -213,11 +213,11 @@
             }
             Fault::CutWorkers {
                 node,
-                rest,
+                machine_group,
                 from,
                 until,
             } if node.is_none_or(|x| x == n)
-                && rest.is_none_or(|r| number % 3 == r)
+                && machine_group.is_none_or(|r| number % 3 == r)
                 && (*from..*until).contains(&now) =>
             {
                 Some(*until)
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -293,9 +293,9 @@
 
 #[test]
 fn preempted_work_resumes_later() {
-    let cut = |rest, from, until| Fault::CutWorkers {
+    let cut = |machine_group, from, until| Fault::CutWorkers {
         node: None,
-        rest: Some(rest),
+        machine_group: Some(machine_group),
         from: S * from,
         until: S * until,
     };
@@ -389,12 +389,12 @@
 #[test]
 fn messages_delayed_for_minutes() {
     let (from, until) = (S * 30, S * 160);
-    let rest = Some(1);
+    let machine_group = Some(1);
     assert_run_succeeds(
         5,
         vec![Fault::CutWorkers {
             node: None,
-            rest,
+            machine_group,
             from,
             until,
         }],
@@ -433,7 +433,7 @@
             let mut faults: Vec<_> = others
                 .map(|n| Fault::CutWorkers {
                     node: Some(n),
-                    rest: None,
+                    machine_group: None,
                     from,
                     until,
                 })
@@ -456,7 +456,7 @@
         let crash = |node, at| Fault::Crash { node, at };
         let mut faults = vec![Fault::CutWorkers {
             node: None,
-            rest: Some(seed as usize % 3),
+            machine_group: Some(seed as usize % 3),
             from: S * 40,
             until: S * 48,
         }];
@@ -586,9 +586,9 @@
 /// controller cut off from its workers, then a paused controller process. Connections without a
 /// live client took up all sockets, and users and the load balancer were refused.
 fn run_socket_exhaustion(sabotage: Option<Sabotage>) -> Outcome {
-    let cut = |node, rest, from, until| Fault::CutWorkers {
+    let cut = |node, machine_group, from, until| Fault::CutWorkers {
         node,
-        rest,
+        machine_group,
         from: S * from,
         until: S * until,
     };
@@ -619,16 +619,20 @@
     assert_eq!((outcome.violations, outcome.open), (vec![], vec![]));
     let sockets = outcome.sockets;
     assert!((430..=450).contains(&sockets.peak), "{sockets:?}");
-    assert!(sockets.asked > 2000, "{sockets:?}");
-    let cut = (sockets.refused, sockets.users_cut, sockets.probes_cut);
+    assert!(sockets.requests > 2000, "{sockets:?}");
+    let cut = (
+        sockets.refused,
+        sockets.user_connections_cut,
+        sockets.probe_connections_cut,
+    );
     assert_eq!(cut, (0, 0, 0), "{sockets:?}");
 }
 
 #[test]
 fn missing_socket_shares_are_caught() {
     let sockets = run_socket_exhaustion(Some(Sabotage::NoShares)).sockets;
-    assert!(sockets.users_cut > 50, "{sockets:?}");
-    assert!(sockets.probes_cut > 50, "{sockets:?}");
+    assert!(sockets.user_connections_cut > 50, "{sockets:?}");
+    assert!(sockets.probe_connections_cut > 50, "{sockets:?}");
 }
 
 /// A paused controller learns after the pause which work was given up meanwhile.
--- a/crates/testkit/tests/exploration.rs
+++ b/crates/testkit/tests/exploration.rs
@@ -41,13 +41,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Link {
     State(usize),
-    Machine { node: usize, rest: usize },
+    Machine { node: usize, machine_group: usize },
 }
 
 fn links() -> Vec<Link> {
     let mut links: Vec<_> = CONTROLLERS.map(Link::State).to_vec();
     for node in CONTROLLERS {
-        links.extend(MACHINES.map(|rest| Link::Machine { node, rest }));
+        links.extend(MACHINES.map(|machine_group| Link::Machine {
+            node,
+            machine_group,
+        }));
     }
     links
 }
@@ -56,9 +59,12 @@
     fn down(self, from: Duration, until: Duration) -> Fault {
         match self {
             Self::State(node) => Fault::StateRefusesNode { node, from, until },
-            Self::Machine { node, rest } => Fault::CutWorkers {
+            Self::Machine {
+                node,
+                machine_group,
+            } => Fault::CutWorkers {
                 node: Some(node),
-                rest: Some(rest),
+                machine_group: Some(machine_group),
                 from,
                 until,
             },
--- a/crates/testkit/tests/links.rs
+++ b/crates/testkit/tests/links.rs
@@ -49,7 +49,7 @@
 fn cut_controllers_from_workers(seed: u64, at_once: bool, sabotage: Option<Sabotage>) -> Outcome {
     let cut = |node: usize, from| Fault::CutWorkers {
         node: Some(node % 3),
-        rest: None,
+        machine_group: None,
         from: S * from,
         until: S * (from + 40),
     };
@@ -132,9 +132,9 @@
 /// controllers receive reports, but their answers get lost.
 fn cut_answers(seed: u64) -> Outcome {
     let cut = |node: usize, from| {
-        (0..3).map(move |rest| Fault::OneWay {
+        (0..3).map(move |machine_group| Fault::OneWay {
             node: node % 3,
-            rest,
+            machine_group,
             direction: Direction::ToMachine,
             from: S * from,
             until: S * (from + 40),
@@ -219,7 +219,7 @@
 fn run_short_cuts(seed: u64, sabotage: Option<Sabotage>) -> Outcome {
     let cut = |from| Fault::CutWorkers {
         node: Some(seed as usize % 3),
-        rest: Some(seed as usize / 3 % 3),
+        machine_group: Some(seed as usize / 3 % 3),
         from: S * from,
         until: S * (from + 9),
     };
@@ -255,7 +255,7 @@
 fn long_cuts(seed: u64) -> Vec<Fault> {
     let cut = |from| Fault::CutWorkers {
         node: Some(seed as usize % 3),
-        rest: Some(seed as usize / 3 % 3),
+        machine_group: Some(seed as usize / 3 % 3),
         from: S * from,
         until: S * (from + 40),
     };
@@ -336,7 +336,7 @@
         let node = seed as usize;
         let cut = Fault::CutWorkers {
             node: Some(node % 3),
-            rest: None,
+            machine_group: None,
             from: S * 40,
             until: S * 120,
         };
--- a/crates/testkit/tests/meetings/main.rs
+++ b/crates/testkit/tests/meetings/main.rs
@@ -133,7 +133,7 @@
         |seed| {
             let mut faults = first_meeting(0, 1500);
             faults.push(Fault::WorkerHang {
-                rest: node_of(seed),
+                machine_group: node_of(seed),
                 from: S * 41,
                 until: S * (44 + 3 * (seed as u32 % 7)),
             });
@@ -148,7 +148,7 @@
                 until: S * 90,
             });
             faults.push(Fault::AnswersLost {
-                rest: node_of(seed),
+                machine_group: node_of(seed),
                 from: S * 41,
                 until: S * 60,
             });
--- a/crates/testkit/tests/meetings/observers.rs
+++ b/crates/testkit/tests/meetings/observers.rs
@@ -117,15 +117,15 @@
                off or hang, and the leader changes",
         crowds: &[URGENT, PATIENT],
         faults: |seed| {
-            let rest = node_of(seed);
+            let machine_group = node_of(seed);
             let [second, third] = first_leads();
             vec![
                 Fault::WorkerHang {
-                    rest,
+                    machine_group,
                     from: S * 42,
                     until: S * (50 + 4 * step_of(seed)),
                 },
-                cut_machines((rest + 1) % 3, 44, 68),
+                cut_machines((machine_group + 1) % 3, 44, 68),
                 ends(0, S * 46 + MS * (800 * step_of(seed)), S * 6),
                 Fault::CancelBurst {
                     count: 6,
@@ -155,7 +155,7 @@
                 0 => ends(node, S * 50, S * 9),
                 _ => Fault::CutWorkers {
                     node: Some(node),
-                    rest: None,
+                    machine_group: None,
                     from: S * 48,
                     until: S * 75,
                 },
@@ -186,15 +186,15 @@
                     until: S * 90,
                 },
                 Fault::MachineCrash {
-                    rest: node_of(seed),
+                    machine_group: node_of(seed),
                     at: S * 20,
                 },
                 Fault::MachineCrash {
-                    rest: (node_of(seed) + 1) % 3,
+                    machine_group: (node_of(seed) + 1) % 3,
                     at: S * 36,
                 },
                 Fault::MachineCrash {
-                    rest: (node_of(seed) + 2) % 3,
+                    machine_group: (node_of(seed) + 2) % 3,
                     at: S * 52,
                 },
                 ends(0, S * 24 + MS * (900 * step_of(seed)), MS * 400),
@@ -275,7 +275,7 @@
                 ends(node, S * 50 + MS * (600 * step_of(seed)), MS * 300),
                 Fault::CutWorkers {
                     node: Some((node + 1) % 3),
-                    rest: None,
+                    machine_group: None,
                     from: S * 68,
                     until: S * 84,
                 },
--- a/crates/testkit/tests/meetings/rows.rs
+++ b/crates/testkit/tests/meetings/rows.rs
@@ -34,10 +34,10 @@
     Fault::Restart { node, at, back }
 }
 
-pub fn cut_machines(rest: usize, from: u32, until: u32) -> Fault {
+pub fn cut_machines(machine_group: usize, from: u32, until: u32) -> Fault {
     Fault::CutWorkers {
         node: None,
-        rest: Some(rest),
+        machine_group: Some(machine_group),
         from: S * from,
         until: S * until,
     }
@@ -186,7 +186,7 @@
         name: "an old report arrives after newer ones, also of an earlier session",
         crowds: &[],
         faults: |seed| {
-            let rest = node_of(seed);
+            let machine_group = node_of(seed);
             vec![
                 Fault::LateReports {
                     one_in: 2,
@@ -194,12 +194,12 @@
                     until: S * 110,
                 },
                 Fault::WorkerHang {
-                    rest,
+                    machine_group,
                     from: S * 40,
                     until: S * 54,
                 },
-                ends(rest, S * 60, MS * 300),
-                cut_machines((rest + 1) % 3, 70, 84),
+                ends(machine_group, S * 60, MS * 300),
+                cut_machines((machine_group + 1) % 3, 70, 84),
             ]
         },
         met: |_, outcome| {
@@ -248,12 +248,12 @@
         name: "a leader ends while machines can't be reached or don't hear the new one",
         crowds: &[LONG],
         faults: |seed| {
-            let (rest, from, until) = (node_of(seed), S * 45, S * 70);
+            let (machine_group, from, until) = (node_of(seed), S * 45, S * 70);
             vec![
                 ends(0, S * 50, S * 12),
-                cut_machines(rest, 46, 66),
+                cut_machines(machine_group, 46, 66),
                 Fault::AnswersLost {
-                    rest: (rest + 1) % 3,
+                    machine_group: (machine_group + 1) % 3,
                     from,
                     until,
                 },
@@ -273,7 +273,7 @@
         faults: |seed| {
             let held = |node| Fault::CutWorkers {
                 node: Some(node),
-                rest: Some(node_of(seed)),
+                machine_group: Some(node_of(seed)),
                 from: S * 46,
                 until: S * 60,
             };
@@ -396,7 +396,7 @@
         faults: |seed| {
             vec![
                 Fault::ReportsLost {
-                    rest: node_of(seed),
+                    machine_group: node_of(seed),
                     from: S * 40,
                     until: S * 85,
                 },
@@ -508,15 +508,18 @@
         name: "jobs bound to one zone, arrays too, lose machines",
         crowds: &[URGENT],
         faults: |seed| {
-            let rest = node_of(seed);
+            let machine_group = node_of(seed);
             vec![
-                Fault::MachineCrash { rest, at: S * 50 },
                 Fault::MachineCrash {
-                    rest: (rest + 1) % 3,
+                    machine_group,
+                    at: S * 50,
+                },
+                Fault::MachineCrash {
+                    machine_group: (machine_group + 1) % 3,
                     at: S * 80,
                 },
                 Fault::SpotReclaim { at: S * 65 },
-                cut_machines((rest + 2) % 3, 95, 115),
+                cut_machines((machine_group + 2) % 3, 95, 115),
             ]
         },
         met: |_, outcome| bound_started_again(outcome),
