--- a/crates/xtask/src/widen.rs
+++ b/crates/xtask/src/widen.rs
@@ -158,9 +158,9 @@
     let mut site: Table = text
         .parse()
         .map_err(|e: toml::de::Error| bad(e.message()))?;
-    let old = site.get("name").and_then(Value::as_str);
-    let new = format!("{}-wide", old.ok_or_else(|| bad("it has no name"))?);
-    site.insert("name".into(), Value::String(new.clone()));
+    let old_name = site.get("name").and_then(Value::as_str);
+    let new_name = format!("{}-wide", old_name.ok_or_else(|| bad("it has no name"))?);
+    site.insert("name".into(), Value::String(new_name.clone()));
     let nodes = site.get_mut("nodes").and_then(Value::as_table_mut);
     let nodes = nodes.ok_or_else(|| bad("it has no [nodes]"))?;
     if let Some(restart) = restart {
@@ -191,7 +191,7 @@
         }
     }
     let text = toml::to_string(&site).map_err(|e| bad(&e.to_string()))?;
-    Ok((new, text))
+    Ok((new_name, text))
 }
 
 /// Writes the derived site and a copy of the file of wire names that it refers to.
@@ -203,23 +203,23 @@
     };
     let name = options.site.display().to_string();
     let text = std::fs::read_to_string(&site).map_err(file(&options.site))?;
-    let (new, wide) = widen(&name, &text, &Changes::from(options))?;
+    let (new_name, new_text) = widen(&name, &text, &Changes::from(options))?;
     let out = root.join(&options.out);
     std::fs::create_dir_all(&out).map_err(file(&options.out))?;
-    let within = |path: &Path| path.canonicalize().map_err(file(path));
-    if within(&out)?.starts_with(within(root)?) {
+    let canonical = |path: &Path| path.canonicalize().map_err(file(path));
+    if canonical(&out)?.starts_with(canonical(root)?) {
         return Err(Failure::InsideRepository(options.out.display().to_string()));
     }
     // The bench looks for the file of wire names next to the site file.
-    let wire: Table = text.parse().unwrap_or_default();
-    if let Some(wire) = wire.get("wire").and_then(Value::as_str) {
-        let from = site.with_file_name(wire);
+    let site_table: Table = text.parse().unwrap_or_default();
+    if let Some(wire_file) = site_table.get("wire").and_then(Value::as_str) {
+        let from = site.with_file_name(wire_file);
         // Files of the kit are read-only, and `fs::copy` would make the copies read-only too.
         let wire_text = std::fs::read(&from).map_err(file(&from))?;
-        std::fs::write(out.join(wire), wire_text).map_err(file(&from))?;
+        std::fs::write(out.join(wire_file), wire_text).map_err(file(&from))?;
     }
-    let path = out.join(format!("{new}.toml"));
-    std::fs::write(&path, wide).map_err(file(&path))?;
+    let path = out.join(format!("{new_name}.toml"));
+    std::fs::write(&path, new_text).map_err(file(&path))?;
     println!("{}", path.display());
     Ok(())
 }
