--- a/crates/testkit/src/draws.rs
+++ b/crates/testkit/src/draws.rs
@@ -59,9 +59,13 @@
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x726f_6c6c);
     let ms = Duration::from_millis;
     let at = ms(rng.u64(15_000..50_000));
-    let every = ms(rng.u64(2_000..15_000));
+    let interval = ms(rng.u64(2_000..15_000));
     let first = rng.usize(0..nodes);
-    faults.push(Fault::RollingUpgrade { first, at, every });
+    faults.push(Fault::RollingUpgrade {
+        first,
+        at,
+        interval,
+    });
     let new = upgrade_complete_at(&faults, nodes);
     faults.push(Fault::LowerStateLimits {
         at: new + ms(rng.u64(0..60_000)),
@@ -119,7 +123,7 @@
         let from = ms(rng.u64(15_000..110_000));
         faults.push(Fault::SlowController {
             node,
-            each: ms(rng.u64(40..700)),
+            time_per_request: ms(rng.u64(40..700)),
             from,
             until: (from + ms(rng.u64(10_000..60_000))).min(end),
         });
@@ -134,15 +138,19 @@
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x7175_6963);
     let ms = Duration::from_millis;
     let mut faults = draw(seed, nodes, end);
-    let back = |rng: &mut fastrand::Rng| match rng.u32(0..4) {
+    let restart_after = |rng: &mut fastrand::Rng| match rng.u32(0..4) {
         0 => ms(rng.u64(20..60)),
         1 | 2 => ms(rng.u64(60..800)),
         _ => ms(rng.u64(800..5000)),
     };
     for fault in &mut faults {
         if let Fault::Crash { node, at } = *fault {
-            let back = back(&mut rng);
-            *fault = Fault::Restart { node, at, back };
+            let restart_after = restart_after(&mut rng);
+            *fault = Fault::Restart {
+                node,
+                at,
+                restart_after,
+            };
         }
     }
     let last = end.as_millis() as u64 - 15_000;
@@ -154,27 +162,35 @@
             0 => faults.push(Fault::Restart {
                 node,
                 at,
-                back: ms(rng.u64(20..200)),
+                restart_after: ms(rng.u64(20..200)),
             }),
             // Repeated restarts, each soon after the process is running again.
             1 => {
                 for _ in 0..rng.usize(3..12) {
-                    let back = ms(rng.u64(20..600));
-                    faults.push(Fault::Restart { node, at, back });
-                    at += back + ms(rng.u64(100..1500));
+                    let restart_after = ms(rng.u64(20..600));
+                    faults.push(Fault::Restart {
+                        node,
+                        at,
+                        restart_after,
+                    });
+                    at += restart_after + ms(rng.u64(100..1500));
                 }
             }
             // Down long enough for an election; the other controllers restart during it.
             2 => {
-                let back = ms(rng.u64(2800..4500));
-                faults.push(Fault::Restart { node, at, back });
+                let restart_after = ms(rng.u64(2800..4500));
+                faults.push(Fault::Restart {
+                    node,
+                    at,
+                    restart_after,
+                });
                 for other in (0..nodes).filter(|n| *n != node) {
                     let at = at + ms(rng.u64(2500..4200));
-                    let back = ms(rng.u64(20..500));
+                    let restart_after = ms(rng.u64(20..500));
                     faults.push(Fault::Restart {
                         node: other,
                         at,
-                        back,
+                        restart_after,
                     });
                 }
             }
@@ -182,11 +198,19 @@
             _ => {
                 for node in 0..nodes {
                     let at = at + ms(rng.u64(0..400));
-                    let back = back(&mut rng);
-                    faults.push(Fault::Restart { node, at, back });
-                    let at = at + back + ms(rng.u64(50..4000));
-                    let back = ms(rng.u64(20..400));
-                    faults.push(Fault::Restart { node, at, back });
+                    let restart_after = restart_after(&mut rng);
+                    faults.push(Fault::Restart {
+                        node,
+                        at,
+                        restart_after,
+                    });
+                    let at = at + restart_after + ms(rng.u64(50..4000));
+                    let restart_after = ms(rng.u64(20..400));
+                    faults.push(Fault::Restart {
+                        node,
+                        at,
+                        restart_after,
+                    });
                 }
             }
         }
@@ -231,7 +255,7 @@
             3 => Fault::Restart {
                 node,
                 at: from,
-                back: ms(rng.u64(60_000..90_000)),
+                restart_after: ms(rng.u64(60_000..90_000)),
             },
             4 | 5 => Fault::CutWorkers {
                 node: Some(node),
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -28,7 +28,7 @@
         /// Time of the event.
         at: Duration,
         /// Delay until the restart.
-        back: Duration,
+        restart_after: Duration,
     },
     /// A late copy of one in `one_in` messages is delivered: writes of controllers to the state
     /// service and the cloud, messages between controllers, reports of workers, and submissions
@@ -116,7 +116,7 @@
         /// Time at which the first is killed.
         at: Duration,
         /// Interval between two upgrades.
-        every: Duration,
+        interval: Duration,
     },
     /// A controller process is killed and never restarts.
     PermanentLoss {
@@ -173,7 +173,7 @@
         /// Index of the controller.
         node: usize,
         /// Time per request.
-        each: Duration,
+        time_per_request: Duration,
         /// Start of the fault.
         from: Duration,
         /// End of the fault.
@@ -412,7 +412,9 @@
 pub fn last_fault_end(faults: &[Fault]) -> Duration {
     let ends = faults.iter().map(|fault| match *fault {
         Fault::Crash { at, .. } => at + RESTART_DELAY,
-        Fault::Restart { at, back, .. } => at + back,
+        Fault::Restart {
+            at, restart_after, ..
+        } => at + restart_after,
         Fault::CancelBurst { at, .. }
         | Fault::SpotReclaim { at }
         | Fault::MachineCrash { at, .. } => at,
@@ -437,8 +439,8 @@
 /// Time at which all controllers run the new program; zero without a rolling upgrade.
 pub fn upgrade_complete_at(faults: &[Fault], nodes: usize) -> Duration {
     let rolls = faults.iter().filter_map(|f| match f {
-        Fault::RollingUpgrade { at, every, .. } => {
-            Some(*at + *every * (nodes as u32 - 1) + RESTART_DELAY)
+        Fault::RollingUpgrade { at, interval, .. } => {
+            Some(*at + *interval * (nodes as u32 - 1) + RESTART_DELAY)
         }
         _ => None,
     });
--- a/crates/testkit/src/handover.rs
+++ b/crates/testkit/src/handover.rs
@@ -73,7 +73,7 @@
             _ => Fault::Restart {
                 node,
                 at,
-                back: MS * rng.u32(200..9_000),
+                restart_after: MS * rng.u32(200..9_000),
             },
         });
         for pair in 0..nodes * 3 {
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Resumes after a hang; the deadlines of its tasks move by its duration `after`.
-    pub fn resume(&mut self, after: Duration) {
+    /// Resumes after a hang; the end times of its tasks move by the duration of the hang.
+    pub fn resume(&mut self, hang_time: Duration) {
         for stage in self.tasks.values_mut() {
             match stage {
                 Stage::Fetching(until) | Stage::Running(Some(until)) | Stage::Saving(until) => {
-                    *until += after;
+                    *until += hang_time;
                 }
                 Stage::Running(None) | Stage::Exited(_) => {}
             }
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -390,15 +390,23 @@
         for fault in world.faults.clone() {
             match fault {
                 Fault::Crash { node, at } => world.schedule(at, Event::Crash(node, RESTART_DELAY)),
-                Fault::Restart { node, at, back } => world.schedule(at, Event::Crash(node, back)),
+                Fault::Restart {
+                    node,
+                    at,
+                    restart_after,
+                } => world.schedule(at, Event::Crash(node, restart_after)),
                 Fault::SpotReclaim { at } => world.schedule(at, Event::ReclaimSpotMachines),
                 Fault::FaultyMachine { machine, at } => {
                     world.schedule(at, Event::FaultyMachine(machine))
                 }
-                Fault::RollingUpgrade { first, at, every } => {
+                Fault::RollingUpgrade {
+                    first,
+                    at,
+                    interval,
+                } => {
                     for i in 0..CONTROLLER_COUNT {
                         let node = (first + i) % CONTROLLER_COUNT;
-                        world.schedule(at + every * i as u32, Event::Upgrade(node));
+                        world.schedule(at + interval * i as u32, Event::Upgrade(node));
                     }
                 }
                 Fault::LowerStateLimits { at } => world.schedule(at, Event::LowerStateLimits),
@@ -639,7 +647,7 @@
             Event::ReportAnswer(report, name, status, body) => {
                 self.report_answered(report, &name, status, &body);
             }
-            Event::Crash(node, back) => self.crash(node, back),
+            Event::Crash(node, restart_after) => self.crash(node, restart_after),
             Event::DuplicateCall(call) => self.execute_duplicate(call),
             Event::DuplicateUserRequest(user, kind) => self.send_user_request(user, kind),
             Event::Upgrade(node) => {
--- a/crates/testkit/src/world/processes.rs
+++ b/crates/testkit/src/world/processes.rs
@@ -9,10 +9,10 @@
 
 impl World {
     /// Kills a controller process, which restarts after `back`.
-    pub(super) fn crash(&mut self, node: usize, back: Duration) {
+    pub(super) fn crash(&mut self, node: usize, restart_after: Duration) {
         self.nodes[node].controller = None;
         self.nodes[node].incarnation += 1;
-        self.nodes[node].restart_at = self.now.saturating_add(back);
+        self.nodes[node].restart_at = self.now.saturating_add(restart_after);
         self.nodes[node].sockets = Sockets::default();
         self.nodes[node].deferred_inputs.clear();
         self.nodes[node].unread_requests.clear();
@@ -91,7 +91,11 @@
     /// Time that a slow controller takes for each request.
     pub(super) fn request_cost(&self, n: usize) -> Duration {
         self.active_lag(|f| match f {
-            Fault::SlowController { node, each, .. } if *node == n => Some(*each),
+            Fault::SlowController {
+                node,
+                time_per_request,
+                ..
+            } if *node == n => Some(*time_per_request),
             _ => None,
         })
     }
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -124,7 +124,7 @@
         let upgrade = Fault::RollingUpgrade {
             first: seed as usize % 3,
             at: S * 20,
-            every: S * 8,
+            interval: S * 8,
         };
         assert_upgrade_succeeds(seed, vec![upgrade, Fault::LowerStateLimits { at: S * 42 }]);
     }
@@ -140,7 +140,7 @@
             Fault::RollingUpgrade {
                 first: 0,
                 at: S * 20,
-                every: S * 8,
+                interval: S * 8,
             },
             Fault::PermanentLoss {
                 node: 2,
@@ -172,7 +172,7 @@
         Fault::RollingUpgrade {
             first: 1,
             at: S * 30,
-            every: S * 10,
+            interval: S * 10,
         },
         Fault::LowerStateLimits { at: S * 58 },
         Fault::SpotReclaim { at: S * 70 },
@@ -537,7 +537,7 @@
         let upgrade_at = |first, at| Fault::RollingUpgrade {
             first,
             at: S * at,
-            every: S * 9,
+            interval: S * 9,
         };
         let faults = vec![
             upgrade_at(seed as usize % 3, 30),
@@ -658,7 +658,7 @@
 fn run_overload(sabotage: Option<Sabotage>) -> Outcome {
     let slow = |node| Fault::SlowController {
         node,
-        each: Duration::from_millis(30),
+        time_per_request: Duration::from_millis(30),
         from: S * 50,
         until: S * 90,
     };
--- a/crates/testkit/tests/links.rs
+++ b/crates/testkit/tests/links.rs
@@ -303,10 +303,10 @@
             from: S * 45,
             until: S * 75,
         };
-        let restart = |at, back| Fault::Restart {
+        let restart = |at, restart_after| Fault::Restart {
             node: (node + 1) % 3,
             at: S * at,
-            back,
+            restart_after,
         };
         let mut faults = long_cuts(seed);
         faults.extend([partition, restart(52, S), restart(108, S * 5)]);
@@ -315,7 +315,7 @@
         faults.push(Fault::RollingUpgrade {
             first: node % 3,
             at: S * 50,
-            every: S * 8,
+            interval: S * 8,
         });
         assert_upgrade_succeeds(seed, faults);
     }
@@ -343,7 +343,7 @@
         let restart = Fault::Restart {
             node: (node + 1) % 3,
             at: S * 62,
-            back: S * 50,
+            restart_after: S * 50,
         };
         run_large_fleet(seed, vec![cut, restart], S * 400).lost
     });
--- a/crates/testkit/tests/meetings/rows.rs
+++ b/crates/testkit/tests/meetings/rows.rs
@@ -30,8 +30,12 @@
     S * from as u32..S * until as u32
 }
 
-pub fn ends(node: usize, at: Duration, back: Duration) -> Fault {
-    Fault::Restart { node, at, back }
+pub fn ends(node: usize, at: Duration, restart_after: Duration) -> Fault {
+    Fault::Restart {
+        node,
+        at,
+        restart_after,
+    }
 }
 
 pub fn cut_machines(machine_group: usize, from: u32, until: u32) -> Fault {
@@ -113,8 +117,8 @@
         let first = rng.usize(0..3);
         for i in 0..3u32 {
             let at = S * (30 + 10 * round) + MS * (2500 * i + rng.u32(0..1500));
-            let back = MS * rng.u32(50..4000);
-            faults.push(ends((first + i as usize) % 3, at, back));
+            let restart_after = MS * rng.u32(50..4000);
+            faults.push(ends((first + i as usize) % 3, at, restart_after));
         }
     }
     faults
@@ -289,9 +293,15 @@
         name: "jobs of two or three tasks end far apart across a change of leader",
         crowds: &[SMALL_JOBS],
         faults: |seed| {
-            let back = MS * (200 + 900 * (seed as u32 % 6));
+            let restart_after = MS * (200 + 900 * (seed as u32 % 6));
             (0..8u32)
-                .map(|i| ends((seed as usize + i as usize) % 3, S * (40 + 9 * i), back))
+                .map(|i| {
+                    ends(
+                        (seed as usize + i as usize) % 3,
+                        S * (40 + 9 * i),
+                        restart_after,
+                    )
+                })
                 .collect()
         },
         met: |_, outcome| ended_across(outcome),
@@ -445,9 +455,9 @@
         name: "all controllers are away for longer than a lease",
         crowds: &[URGENT],
         faults: |seed| {
-            let back = |i: u32| S * (14 + (seed as u32 + i) % 6);
+            let restart_after = |i: u32| S * (14 + (seed as u32 + i) % 6);
             (0..3u32)
-                .map(|i| ends(i as usize, S * 50, back(i)))
+                .map(|i| ends(i as usize, S * 50, restart_after(i)))
                 .collect()
         },
         met: |_, outcome| {
@@ -534,8 +544,12 @@
                 let first = rng.usize(0..3);
                 faults.push(ends(first, at, MS * rng.u32(50..900)));
                 for i in 1..3 {
-                    let back = S * rng.u32(8..16);
-                    faults.push(ends((first + i) % 3, at + MS * rng.u32(0..300), back));
+                    let restart_after = S * rng.u32(8..16);
+                    faults.push(ends(
+                        (first + i) % 3,
+                        at + MS * rng.u32(0..300),
+                        restart_after,
+                    ));
                 }
             }
             faults
