--- a/crates/testkit/tests/admission.rs
+++ b/crates/testkit/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Shares of what may be let in, handed out by leaders that come and go to
-//! controllers that lag, are cut off and begin anew.
+//! Admission shares that changing leaders grant to controllers that lag, are cut off and
+//! restart.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,7 +19,7 @@
 const HORIZON: f64 = 100.0;
 const FLEET: [f64; 3] = [1000.0, 0.0, 4000.0];
 
-/// What the state service has told, in order.
+/// A change that the state service reports to the controllers, in order.
 #[derive(Clone)]
 enum Event {
     Record(AdmissionRecord),
@@ -29,48 +29,49 @@
 
 struct Node {
     name: String,
-    life: u64,
+    incarnation: u64,
     admission_shares: AdmissionShares,
     share_planner: SharePlanner,
-    /// How many events it has seen, and what follows from them.
-    seen: usize,
+    /// How many events of the log it has applied; `record` and `open` follow from these.
+    events_applied: usize,
     record: Option<(u64, AdmissionRecord)>,
     open: BTreeMap<JobId, (Flow, f64)>,
-    cut_until: Duration,
+    disconnected_until: Duration,
 }
 
-/// A write under way.
+/// A write in flight to the state service, with the index of the controller that sent it.
 enum Write {
     Job(usize, JobSpec, AdmissionDecision),
     Record(usize, u64, AdmissionRecord),
 }
 
+/// A user who submits a job and retries until `gives_up_at`.
 struct User {
     spec: JobSpec,
-    comes: Duration,
-    gives_up: Duration,
-    again: bool,
+    next_attempt: Duration,
+    gives_up_at: Duration,
+    is_retry: bool,
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Debug, Default)]
-struct Came {
-    /// The most by which the sum of all shares went beyond the horizon.
-    beyond: f64,
-    /// The most that a controller spent beyond its share by more than one job.
-    twice: f64,
+struct Outcome {
+    /// The most by which the sum of all shares exceeded the horizon.
+    max_share_excess: f64,
+    /// The most that a controller spent beyond its share after the one job that may exceed it.
+    max_overspend: f64,
     records: u32,
-    asked: BTreeMap<String, u32>,
+    /// Submitted and accepted jobs by class.
+    submitted: BTreeMap<String, u32>,
     accepted: BTreeMap<String, u32>,
-    /// Of those who came for the first time, and again to the same controller:
-    /// how many, and how many came in.
+    /// Attempts and admissions under a limiting record, of first attempts and of retries.
     first: (u32, u32),
-    again: (u32, u32),
-    /// How many were told to come in each second.
-    told: BTreeMap<u64, u32>,
-    /// The most that was open while shares were handed out, beyond the horizon
-    /// and beyond what was open before.
-    beyond_open: f64,
+    retries: (u32, u32),
+    /// How many users were asked to retry in each second.
+    retries_by_second: BTreeMap<u64, u32>,
+    /// The most open work under a limiting record beyond the horizon, or beyond the work that
+    /// was open when the limit began, if that is more.
+    max_open_excess: f64,
 }
 
 fn spec(number: u32, class: &str, tasks: u32) -> JobSpec {
@@ -99,75 +100,79 @@
     }
 }
 
-/// A flood of one class and a trickle of another, for two minutes.
-fn play(seed: u64, sabotage: Option<Sabotage>) -> Came {
+/// Simulates two minutes with many jobs of one class and few of another.
+fn simulate(seed: u64, sabotage: Option<Sabotage>) -> Outcome {
     let mut rng = fastrand::Rng::with_seed(seed);
     let count = rng.usize(3..6);
     let mut nodes: Vec<Node> = (0..count)
         .map(|i| Node {
             name: format!("n-{i}"),
-            life: 1,
+            incarnation: 1,
             admission_shares: AdmissionShares::default(),
             share_planner: SharePlanner::default(),
-            seen: 0,
+            events_applied: 0,
             record: None,
             open: BTreeMap::new(),
-            cut_until: Duration::ZERO,
+            disconnected_until: Duration::ZERO,
         })
         .collect();
     let mut log: Vec<Event> = Vec::new();
     let mut records = 0u64;
     let mut open: BTreeMap<JobId, (Flow, f64)> = BTreeMap::new();
-    // By controller: what it has spent under the present record.
+    // By controller and class: the work admitted under the current record, and the part of
+    // it by which one large job exceeded the share.
     let mut spent: BTreeMap<(usize, String), (f64, f64)> = BTreeMap::new();
-    let mut over = 0.0;
+    let mut large_job_excess = 0.0;
     let mut limited_at = HORIZON;
     let mut record = AdmissionRecord::default();
     let mut leader = 0;
     let mut writes: Vec<(Duration, Write)> = Vec::new();
     let mut users: Vec<User> = Vec::new();
     let mut number = 0;
-    let mut came = Came::default();
+    let mut outcome = Outcome::default();
     let mut now = Duration::ZERO;
     while now < Duration::from_secs(120) {
         now += STEP;
-        // Users: more than twice what drains, and a few of the other class.
+        // Users submit more than twice the work that drains, and a few jobs of the other class.
         for (class, rate) in [("flood", 0.6), ("few", 0.02)] {
             if rng.f64() < rate * if rng.bool() { 0.5 } else { 1.5 } {
                 number += 1;
                 users.push(User {
                     spec: spec(number, class, rng.u32(1..20)),
-                    comes: now,
-                    gives_up: now + Duration::from_secs(60),
-                    again: false,
+                    next_attempt: now,
+                    gives_up_at: now + Duration::from_secs(60),
+                    is_retry: false,
                 });
-                *came.asked.entry(class.into()).or_default() += 1;
+                *outcome.submitted.entry(class.into()).or_default() += 1;
             }
         }
-        // Troubles.
+        // Faults: disconnections, restarts and leader changes.
         if rng.f64() < 0.004 {
             let at = rng.usize(0..count);
-            nodes[at].cut_until = now + Duration::from_secs(rng.u64(1..12));
+            nodes[at].disconnected_until = now + Duration::from_secs(rng.u64(1..12));
         }
         if rng.f64() < 0.003 {
             let at = rng.usize(0..count);
             nodes[at].admission_shares = AdmissionShares::default();
             nodes[at].share_planner = SharePlanner::default();
-            // Broken on purpose, it takes itself for the one that it was.
-            nodes[at].life += u64::from(sabotage != Some(Sabotage::ReusedIncarnation));
+            // With this sabotage the restarted controller reuses its incarnation.
+            nodes[at].incarnation += u64::from(sabotage != Some(Sabotage::ReusedIncarnation));
         }
         if rng.f64() < 0.004 {
             leader = rng.usize(0..count);
             nodes[leader].share_planner = SharePlanner::default();
         }
-        let up: Vec<_> = nodes.iter().map(|n| (n.name.clone(), n.life)).collect();
+        let up: Vec<_> = nodes
+            .iter()
+            .map(|n| (n.name.clone(), n.incarnation))
+            .collect();
         for (at, node) in nodes.iter_mut().enumerate() {
-            if now < node.cut_until {
+            if now < node.disconnected_until {
                 continue;
             }
-            // What it sees may be late.
-            while node.seen < log.len() && rng.f64() < 0.9 {
-                match log[node.seen].clone() {
+            // Events may reach the controller late.
+            while node.events_applied < log.len() && rng.f64() < 0.9 {
+                match log[node.events_applied].clone() {
                     Event::Record(r) => {
                         let version = node.record.as_ref().map_or(0, |(v, _)| *v) + 1;
                         node.record = Some((version, r));
@@ -179,12 +184,12 @@
                         node.open.remove(&id);
                     }
                 }
-                node.seen += 1;
+                node.events_applied += 1;
             }
             if at != leader {
                 continue;
             }
-            let mut seen = FleetLoad {
+            let mut fleet_load = FleetLoad {
                 fleet: FLEET,
                 horizon_s: HORIZON,
                 open: node.open.clone(),
@@ -192,28 +197,28 @@
                 ..FleetLoad::default()
             };
             for (flow, work) in node.open.values() {
-                let demand = seen.flows.entry(flow.clone()).or_insert(FlowLoad {
+                let flow_load = fleet_load.flows.entry(flow.clone()).or_insert(FlowLoad {
                     open_s: 0.0,
                     drain: 0.5,
                 });
-                demand.open_s += work;
+                flow_load.open_s += work;
             }
             node.share_planner.sabotage = sabotage;
             let present = node.record.as_ref().map(|(v, r)| (*v, r));
             let version = present.map_or(0, |(v, _)| v);
-            if let Some(next) = node.share_planner.next_record(now, present, &seen) {
+            if let Some(next) = node.share_planner.next_record(now, present, &fleet_load) {
                 let at = now + Duration::from_millis(rng.u64(2..400));
                 writes.push((at, Write::Record(leader, version, next)));
             }
         }
-        let (due, later): (Vec<_>, Vec<_>) = users.into_iter().partition(|u| u.comes <= now);
+        let (due, later): (Vec<_>, Vec<_>) = users.into_iter().partition(|u| u.next_attempt <= now);
         users = later;
         for mut user in due {
             let at = rng.usize(0..count);
             let node = &mut nodes[at];
-            if now < node.cut_until {
-                user.comes = now + Duration::from_secs(1);
-                if user.comes < user.gives_up {
+            if now < node.disconnected_until {
+                user.next_attempt = now + Duration::from_secs(1);
+                if user.next_attempt < user.gives_up_at {
                     users.push(user);
                 }
                 continue;
@@ -221,34 +226,40 @@
             node.admission_shares.sabotage = sabotage;
             let present = node.record.as_ref().map(|(v, r)| (*v, r));
             let limited = present.is_some_and(|(_, r)| r.is_limiting());
-            let verdict =
-                node.admission_shares
-                    .admit(now, (&node.name, node.life), present, &user.spec);
+            let decision = node.admission_shares.admit(
+                now,
+                (&node.name, node.incarnation),
+                present,
+                &user.spec,
+            );
             if limited {
-                let tries = if user.again {
-                    &mut came.again
+                let attempts = if user.is_retry {
+                    &mut outcome.retries
                 } else {
-                    &mut came.first
+                    &mut outcome.first
                 };
-                tries.0 += 1;
-                tries.1 += u32::from(!matches!(verdict, AdmissionDecision::RetryAfter(_)));
+                attempts.0 += 1;
+                attempts.1 += u32::from(!matches!(decision, AdmissionDecision::RetryAfter(_)));
             }
-            match verdict {
-                AdmissionDecision::RetryAfter(after) => {
-                    user.again = true;
-                    user.comes = now + after;
-                    *came.told.entry(user.comes.as_secs()).or_default() += 1;
-                    if user.comes < user.gives_up {
+            match decision {
+                AdmissionDecision::RetryAfter(delay) => {
+                    user.is_retry = true;
+                    user.next_attempt = now + delay;
+                    *outcome
+                        .retries_by_second
+                        .entry(user.next_attempt.as_secs())
+                        .or_default() += 1;
+                    if user.next_attempt < user.gives_up_at {
                         users.push(user);
                     }
                 }
-                verdict => {
+                decision => {
                     let at_time = now + Duration::from_millis(rng.u64(2..300));
-                    writes.push((at_time, Write::Job(at, user.spec, verdict)));
+                    writes.push((at_time, Write::Job(at, user.spec, decision)));
                 }
             }
         }
-        // The state service executes what has come.
+        // The state service executes the writes that have arrived.
         let (due, later): (Vec<_>, Vec<_>) = writes.into_iter().partition(|(at, _)| *at <= now);
         writes = later;
         for (_, write) in due {
@@ -258,71 +269,72 @@
             match write {
                 Write::Record(by, version, next) if by == leader && version == records => {
                     records += 1;
-                    came.records += 1;
+                    outcome.records += 1;
                     let before = sum(&open);
                     if next.is_limiting() && !record.is_limiting() {
                         limited_at = HORIZON.max(before);
                     }
                     if next.is_limiting() && record.is_limiting() {
-                        // What went beyond a share by one large job is nobody's
-                        // mistake.
-                        let whole = before + next.total_s() - over;
-                        came.beyond = came.beyond.max(whole - HORIZON.max(before - over));
+                        // One large job may exceed a share, so its excess does not count.
+                        let whole = before + next.total_s() - large_job_excess;
+                        outcome.max_share_excess = outcome
+                            .max_share_excess
+                            .max(whole - HORIZON.max(before - large_job_excess));
                     }
-                    over = 0.0;
+                    large_job_excess = 0.0;
                     spent.clear();
                     record = next.clone();
                     log.push(Event::Record(next));
                 }
                 Write::Record(..) => {}
-                Write::Job(by, spec, verdict) => {
-                    let holds = match verdict {
+                Write::Job(by, spec, decision) => {
+                    let holds = match decision {
                         AdmissionDecision::IfVersion(version) => version == records,
                         _ => true,
                     };
                     if !holds {
-                        // Refused by the condition: asked again at once.
+                        // The write's condition failed; the job is submitted again at once.
                         users.push(User {
                             spec,
-                            comes: now,
-                            gives_up: now + Duration::from_secs(30),
-                            again: true,
+                            next_attempt: now,
+                            gives_up_at: now + Duration::from_secs(30),
+                            is_retry: true,
                         });
                         continue;
                     }
                     let tasks = f64::from(spec.tasks);
                     let work = (4.0 / FLEET[0] * tasks * 10.0).max(HORIZON / 12_000.0);
                     let flow = Flow::of(&spec);
-                    if verdict != AdmissionDecision::Unrestricted {
-                        let mine = spent.entry((by, spec.class.clone())).or_default();
-                        let (mine, large) = (&mut mine.0, &mut mine.1);
+                    if decision != AdmissionDecision::Unrestricted {
+                        let entry = spent.entry((by, spec.class.clone())).or_default();
+                        let (used, large) = (&mut entry.0, &mut entry.1);
                         let share = record.flows.iter().find(|f| f.class == spec.class);
                         let share = share.map_or(record.other_s, |f| f.share_s);
                         let share = share + record.reserve_s;
-                        // Only one job may go beyond a share.
-                        let beyond = (*mine + work - share - *large).clamp(0.0, work);
-                        if *mine <= 0.0 {
-                            // The reserve comes on top of the share alone.
+                        // Only one job may exceed a share.
+                        let beyond = (*used + work - share - *large).clamp(0.0, work);
+                        if *used <= 0.0 {
+                            // The excess is counted from the share without the reserve.
                             *large = (work - share + record.reserve_s).clamp(0.0, work);
-                            over += *large;
+                            large_job_excess += *large;
                         } else {
-                            came.twice = came.twice.max(beyond);
+                            outcome.max_overspend = outcome.max_overspend.max(beyond);
                         }
-                        *mine += work;
+                        *used += work;
                     }
-                    *came.accepted.entry(spec.class.clone()).or_default() += 1;
+                    *outcome.accepted.entry(spec.class.clone()).or_default() += 1;
                     open.insert(spec.id.clone(), (flow.clone(), work));
                     log.push(Event::Opened(spec.id, flow, work));
                 }
             }
             if record.is_limiting() {
-                came.beyond_open = came.beyond_open.max(sum(&open) - limited_at);
+                outcome.max_open_excess = outcome.max_open_excess.max(sum(&open) - limited_at);
             }
         }
-        // The fleet works off the oldest.
+        // The fleet runs the oldest job first.
         let mut work = STEP.as_secs_f64();
         while let Some(id) = open.keys().next().cloned() {
-            let left = &mut open.get_mut(&id).expect("it is there").1;
+            let left = &mut open.get_mut(&id).expect("an open job").1;
             if *left > work {
                 *left -= work;
                 break;
@@ -332,74 +344,93 @@
             log.push(Event::Closed(id));
         }
     }
-    came
+    outcome
 }
 
 #[test]
-fn shares_never_sum_up_to_more_than_the_whole() {
+fn admission_shares_never_exceed_the_horizon() {
     let mut records = 0;
     for seed in 0..60 {
-        let came = play(seed, None);
-        assert!(came.beyond < 1e-6, "seed {seed}: {came:?}");
-        assert!(came.twice < 1e-6, "seed {seed}: {came:?}");
-        // One job of each controller may be larger than its share.
-        assert!(came.beyond_open < 5.0 * 0.8, "seed {seed}: {came:?}");
-        records += came.records;
+        let outcome = simulate(seed, None);
+        assert!(outcome.max_share_excess < 1e-6, "seed {seed}: {outcome:?}");
+        assert!(outcome.max_overspend < 1e-6, "seed {seed}: {outcome:?}");
+        // One job of each controller may exceed its share.
+        assert!(
+            outcome.max_open_excess < 5.0 * 0.8,
+            "seed {seed}: {outcome:?}"
+        );
+        records += outcome.records;
     }
-    assert!(records > 1000, "{records}");
-    let broken = (0..60).filter(|s| play(*s, Some(Sabotage::SharesReissued)).beyond > 0.5);
-    assert!(broken.count() > 20);
-    let broken = (0..60).filter(|s| play(*s, Some(Sabotage::ReusedIncarnation)).twice > 0.01);
-    assert!(broken.count() > 3);
+    assert!(records > 1000, "{records} records");
+    let caught =
+        (0..60).filter(|s| simulate(*s, Some(Sabotage::SharesReissued)).max_share_excess > 0.5);
+    assert!(caught.count() > 20);
+    let caught =
+        (0..60).filter(|s| simulate(*s, Some(Sabotage::ReusedIncarnation)).max_overspend > 0.01);
+    assert!(caught.count() > 3);
 }
 
-/// The class of few is let in whatever the flood of the other.
+/// A class with few jobs is admitted however many jobs of the other class are submitted.
 #[test]
-fn a_flood_keeps_no_other_class_out() {
-    let served = |sabotage| {
-        let days: Vec<_> = (100..120).map(|seed| play(seed, sabotage)).collect();
-        let sum = |what: fn(&Came) -> &BTreeMap<String, u32>, class: &str| {
-            let all = days
+fn a_flood_of_one_class_does_not_block_another() {
+    let admitted_shares = |sabotage| {
+        let outcomes: Vec<_> = (100..120).map(|seed| simulate(seed, sabotage)).collect();
+        let sum = |what: fn(&Outcome) -> &BTreeMap<String, u32>, class: &str| {
+            let all = outcomes
                 .iter()
                 .map(|d| what(d).get(class).copied().unwrap_or(0));
             f64::from(all.sum::<u32>())
         };
-        ["few", "flood"].map(|class| sum(|d| &d.accepted, class) / sum(|d| &d.asked, class))
+        ["few", "flood"].map(|class| sum(|d| &d.accepted, class) / sum(|d| &d.submitted, class))
     };
-    let [few, flood] = served(None);
-    assert!(few > 0.95, "{few}");
-    assert!(flood < 0.8, "not a flood: {flood}");
-    let [few, _] = served(Some(Sabotage::NoFlows));
+    let [few, flood] = admitted_shares(None);
+    assert!(few > 0.95, "share of the few admitted: {few}");
+    assert!(
+        flood < 0.8,
+        "share of the flood admitted, which is too large for a flood: {flood}"
+    );
+    let [few, _] = admitted_shares(Some(Sabotage::NoFlows));
     assert!(
         few < 0.85,
-        "a refusal that forgets the class goes unseen: {few}"
+        "refusals that ignore the class are not detected: {few} of the few admitted"
     );
 }
 
-/// Who was refused and comes again when he was told is let in sooner than a new
-/// one, and not all come at the same time.
+/// Users who retry at the requested time are admitted about as often as new ones or more
+/// often, and retries are spread over time.
 #[test]
-fn who_comes_again_is_not_worse_off() {
-    let days: Vec<_> = (200..220).map(|seed| play(seed, None)).collect();
-    let share = |tries: fn(&Came) -> (u32, u32)| {
-        let all = days.iter().map(tries);
+fn retries_are_not_at_a_disadvantage() {
+    let outcomes: Vec<_> = (200..220).map(|seed| simulate(seed, None)).collect();
+    let admitted_share = |attempts: fn(&Outcome) -> (u32, u32)| {
+        let all = outcomes.iter().map(attempts);
         let (all, got) = all.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         assert!(all > 500);
         f64::from(got) / f64::from(all)
     };
-    let (first, again) = (share(|d| d.first), share(|d| d.again));
-    assert!(again >= first * 0.95, "{first} {again}");
-    for day in &days {
-        let told: u32 = day.told.values().sum();
-        let most = day.told.values().max().copied().unwrap_or(0);
-        assert!(told < 200 || most * 10 < told, "{most} of {told} at once");
+    let (first, retries) = (admitted_share(|d| d.first), admitted_share(|d| d.retries));
+    assert!(
+        retries >= first * 0.95,
+        "admitted: {first} of first attempts, {retries} of retries"
+    );
+    for outcome in &outcomes {
+        let requested: u32 = outcome.retries_by_second.values().sum();
+        let most = outcome
+            .retries_by_second
+            .values()
+            .max()
+            .copied()
+            .unwrap_or(0);
+        assert!(
+            requested < 200 || most * 10 < requested,
+            "{most} of {requested} retries in one second"
+        );
     }
 }
 
-/// Whatever else is served, the oldest job of a late flow waits no longer than
-/// the older ones of its flow take by its part of the floors.
+/// The oldest job of a late flow waits no longer than the flow's part of the minimum shares
+/// needs for the older jobs of the flow, whatever other work is served.
 #[test]
-fn late_work_waits_no_longer_than_its_part_of_the_floors_takes() {
+fn late_work_waits_no_longer_than_its_minimum_share_takes() {
     for seed in 0..40 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let count = rng.usize(1..7);
@@ -420,7 +451,7 @@
                     .collect()
             })
             .collect();
-        // By when each has its turn: all that is older, by its flow's part.
+        // The latest turn of each job: the older work of its flow, divided by the flow's part.
         let mut bounds = BTreeMap::new();
         for queue in &queues {
             let mut older = 0.0;
@@ -437,13 +468,13 @@
                 Some((flow(i), OldestJob { id, work }))
             });
             let late: BTreeMap<_, _> = late.collect();
-            let waits = |id: &JobId| queues.iter().flatten().any(|(other, _)| other == id);
-            let turns = minimum_shares.turns(now, &late, waits);
+            let is_waiting = |id: &JobId| queues.iter().flatten().any(|(other, _)| other == id);
+            let turns = minimum_shares.turns(now, &late, is_waiting);
             for id in &turns {
-                let bound = bounds.remove(id).expect("one that waits");
+                let bound = bounds.remove(id).expect("a waiting job");
                 assert!(
                     now <= bound,
-                    "seed {seed}: {id} at {now:?}, not by {bound:?}"
+                    "seed {seed}: {id} got its turn at {now:?}, expected by {bound:?}"
                 );
             }
             for queue in &mut queues {
@@ -452,8 +483,8 @@
             now += Duration::from_millis(100);
             assert!(now < Duration::from_secs(4000));
         }
-        let mut broken = MinimumShares::default();
-        broken.sabotage = Some(Sabotage::NoMinimumShares);
+        let mut sabotaged = MinimumShares::default();
+        sabotaged.sabotage = Some(Sabotage::NoMinimumShares);
         let late = BTreeMap::from([(
             flow(0),
             OldestJob {
@@ -461,6 +492,6 @@
                 work: 1.0,
             },
         )]);
-        assert!(broken.turns(now, &late, |_| true).is_empty());
+        assert!(sabotaged.turns(now, &late, |_| true).is_empty());
     }
 }
--- a/crates/testkit/tests/policy.rs
+++ b/crates/testkit/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The policy against the slow plain model.
+//! Compares the policy with a slow reference model.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 };
 
 #[test]
-fn the_top_scorer_is_the_models() {
+fn the_best_machine_is_that_of_the_model() {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut placed = 0;
     for _ in 0..3000 {
@@ -62,8 +62,8 @@
     assert!(placed > 1000);
 }
 
-/// A large job on a thousand machines: the ranking scores each machine once and
-/// chooses what scoring all of them for every task would.
+/// A large job on a thousand machines: the ranking scores each machine once at first, and
+/// chooses the same machines as scoring all of them for every task.
 #[test]
 fn a_ranking_chooses_as_the_model_does() {
     let mut rng = fastrand::Rng::with_seed(11);
@@ -112,10 +112,10 @@
             placed += 1;
         }
     }
-    assert!(placed > 400, "{placed}");
+    assert!(placed > 400, "{placed} tasks placed");
 }
 
-fn draw_own(rng: &mut fastrand::Rng, now: u64) -> JobDemand {
+fn draw_demand(rng: &mut fastrand::Rng, now: u64) -> JobDemand {
     let priorities = [
         Priority::Production,
         Priority::High,
@@ -130,7 +130,7 @@
     }
 }
 
-fn compare(graph: &DependencyGraph<u32>, jobs: &PlainJobs, what: &str) {
+fn assert_matches_model(graph: &DependencyGraph<u32>, jobs: &PlainJobs, context: &str) {
     for (id, job) in jobs {
         if job.recorded == AwaitedState::Open {
             let real = (graph.readiness(id), graph.effective_priority(id));
@@ -138,15 +138,15 @@
                 Some(model::readiness(jobs, *id)),
                 model::effective_priority(jobs, *id),
             );
-            assert_eq!(real, plain, "{what}: job {id}");
+            assert_eq!(real, plain, "{context}: job {id}");
         } else {
-            assert_eq!(graph.readiness(id), None, "{what}: job {id}");
+            assert_eq!(graph.readiness(id), None, "{context}: job {id}");
         }
     }
 }
 
-/// Enters a job as its record has it, in whatever order records are read.
-fn enter(graph: &mut DependencyGraph<u32>, read: &PlainJobs, id: u32, job: &PlainJob) {
+/// Adds a job to the graph as it is recorded; records may be read in any order.
+fn add_recorded_job(graph: &mut DependencyGraph<u32>, read: &PlainJobs, id: u32, job: &PlainJob) {
     match job.recorded {
         AwaitedState::Open => {
             let awaits = job.awaits.iter().map(|a| {
@@ -160,12 +160,12 @@
     }
 }
 
-/// Random graphs, with jobs that end or are cancelled at any moment; and the
-/// same records read anew in a random order.
+/// Random graphs with jobs that end or are cancelled at any moment, and the same records read
+/// again in a random order.
 #[test]
-fn what_follows_for_awaiting_jobs_is_the_models() {
+fn readiness_and_priority_match_the_model() {
     let mut rng = fastrand::Rng::with_seed(13);
-    let (mut waited, mut chained) = (0, 0);
+    let (mut waiting, mut cancelled) = (0, 0);
     for round in 0..60 {
         let mut graph = DependencyGraph::default();
         let mut jobs = PlainJobs::new();
@@ -192,39 +192,42 @@
                     let id = jobs.len() as u32;
                     let count = rng.usize(0..4.min(jobs.len() + 1));
                     let job = PlainJob {
-                        own: draw_own(&mut rng, step),
+                        own: draw_demand(&mut rng, step),
                         awaits: rng.choose_multiple(jobs.keys().copied(), count),
                         recorded: AwaitedState::Open,
                     };
-                    enter(&mut graph, &jobs, id, &job);
+                    add_recorded_job(&mut graph, &jobs, id, &job);
                     jobs.insert(id, job);
                 }
             }
-            compare(&graph, &jobs, &format!("round {round}, step {step}"));
+            assert_matches_model(&graph, &jobs, &format!("round {round}, step {step}"));
         }
         let mut order: Vec<u32> = jobs.keys().copied().collect();
         rng.shuffle(&mut order);
         let (mut graph, mut read) = (DependencyGraph::default(), PlainJobs::new());
         for id in order {
-            enter(&mut graph, &read, id, &jobs[&id]);
+            add_recorded_job(&mut graph, &read, id, &jobs[&id]);
             read.insert(id, jobs[&id].clone());
         }
-        compare(&graph, &jobs, &format!("round {round}, read anew"));
+        assert_matches_model(&graph, &jobs, &format!("round {round}, records read again"));
         for (id, job) in &jobs {
             if job.recorded == AwaitedState::Open {
                 match model::readiness(&jobs, *id) {
-                    Readiness::Waiting => waited += 1,
-                    Readiness::Cancelled => chained += 1,
+                    Readiness::Waiting => waiting += 1,
+                    Readiness::Cancelled => cancelled += 1,
                     Readiness::Ready(_) => {}
                 }
             }
         }
     }
-    assert!(waited > 100 && chained > 100, "{waited} {chained}");
+    assert!(
+        waiting > 100 && cancelled > 100,
+        "{waiting} waiting, {cancelled} cancelled"
+    );
 }
 
-/// Chains of thousands, one job awaited by thousands, thousands awaited by
-/// one: what changes is found without looking at the rest.
+/// A chain of thousands of jobs, one job awaited by thousands, and thousands awaited by one:
+/// changed jobs are found without visiting the rest of the graph.
 #[test]
 fn deep_and_broad_graphs() {
     const MANY: u32 = 5000;
@@ -276,14 +279,16 @@
 }
 
 fn draw_waiting(rng: &mut fastrand::Rng, resources: usize) -> WaitingJob {
-    let aims = rng.usize(0..4);
-    let mut latest_starts_s: Vec<f64> = (0..aims).map(|_| rng.f64() * 200.0 - 40.0).collect();
+    let target_count = rng.usize(0..4);
+    let mut latest_starts_s: Vec<f64> = (0..target_count)
+        .map(|_| rng.f64() * 200.0 - 40.0)
+        .collect();
     latest_starts_s.sort_by(f64::total_cmp);
     let priority = [Priority::Production, Priority::High, Priority::Normal][rng.usize(0..3)];
-    let mut places = vec![(rng.usize(0..resources), rng.f64() * 0.8)];
+    let mut resource_shares = vec![(rng.usize(0..resources), rng.f64() * 0.8)];
     if rng.bool() {
-        let other = (places[0].0 + 1) % resources;
-        places.push((other, rng.f64()));
+        let other = (resource_shares[0].0 + 1) % resources;
+        resource_shares.push((other, rng.f64()));
     }
     WaitingJob {
         band: PriorityBand {
@@ -299,15 +304,15 @@
         order_ms: rng.u64(0..50),
         latest_starts_s,
         started: rng.u32(0..4) == 0,
-        resources: places,
+        resources: resource_shares,
         length_s: rng.f64() * 60.0,
     }
 }
 
 #[test]
-fn the_order_of_serving_is_the_models() {
+fn the_queue_order_matches_the_model() {
     let mut rng = fastrand::Rng::with_seed(23);
-    let mut put_back = 0;
+    let mut postponed = 0;
     for _ in 0..600 {
         let resources: Vec<_> = (0..3)
             .map(|_| SharedResource {
@@ -318,18 +323,18 @@
         let jobs: Vec<_> = (0..count).map(|_| draw_waiting(&mut rng, 3)).collect();
         let order = triage::order(&jobs, &resources);
         assert_eq!(order, model::order(&jobs, &resources));
-        let behind = |pair: &&[usize]| {
+        let is_postponed = |pair: &&[usize]| {
             let [a, b] = [&jobs[pair[0]], &jobs[pair[1]]];
             a.band == b.band && a.order_ms > b.order_ms
         };
-        put_back += order.windows(2).filter(behind).count();
+        postponed += order.windows(2).filter(is_postponed).count();
     }
-    assert!(put_back > 600, "{put_back}");
+    assert!(postponed > 600, "{postponed} jobs postponed");
 }
 
-/// A job of one kind of room with one aim, within so many seconds.
-fn draw_aimed(rng: &mut fastrand::Rng, within_s: f64) -> WaitingJob {
-    let latest = rng.f64() * within_s;
+/// Draws a job that uses one resource and has one latest start, within `max_latest_start_s`.
+fn draw_targeted(rng: &mut fastrand::Rng, max_latest_start_s: f64) -> WaitingJob {
+    let latest = rng.f64() * max_latest_start_s;
     WaitingJob {
         band: PriorityBand {
             behind_production: true,
@@ -345,65 +350,68 @@
     }
 }
 
-/// With one kind of room and one aim no order keeps the aim for more jobs.
+/// With one resource and one latest start per job, no order meets the latest start of more jobs.
 #[test]
-fn no_order_keeps_more_aims() {
+fn no_order_meets_more_latest_starts() {
     let mut rng = fastrand::Rng::with_seed(29);
-    let mut dropped = 0;
+    let mut infeasible = 0;
     for _ in 0..300 {
         let count = rng.usize(3..9);
-        let jobs: Vec<_> = (0..count).map(|_| draw_aimed(&mut rng, 100.0)).collect();
-        // A set can be kept if it can by the order of the latest starts.
-        let kept = |order: &mut dyn Iterator<Item = usize>| {
+        let jobs: Vec<_> = (0..count).map(|_| draw_targeted(&mut rng, 100.0)).collect();
+        // A set of jobs is feasible exactly if it is feasible in the order of latest starts.
+        let count_met = |order: &mut dyn Iterator<Item = usize>| {
             let mut work = 0.0;
-            let mut kept = 0u32;
+            let mut met = 0u32;
             for at in order {
                 work += jobs[at].work();
-                kept += u32::from(work * 1.2 <= jobs[at].latest_starts_s[0] + 1e-6);
+                met += u32::from(work * 1.2 <= jobs[at].latest_starts_s[0] + 1e-6);
             }
-            kept
+            met
         };
         let mut by_latest: Vec<_> = (0..count).collect();
         by_latest.sort_by_key(|at| jobs[*at].order_ms);
         let most = (0..1u32 << count)
             .filter_map(|set| {
                 let mut chosen = by_latest.iter().copied().filter(|at| set & (1 << at) != 0);
-                (kept(&mut chosen) == set.count_ones()).then_some(set.count_ones())
+                (count_met(&mut chosen) == set.count_ones()).then_some(set.count_ones())
             })
             .max()
             .unwrap_or(0);
         let order = triage::order(&jobs, &[SharedResource { free: 0.0 }]);
-        let got = kept(&mut order.into_iter());
-        assert!(got >= most, "{got} of {most}");
-        dropped += u32::from(most < count as u32);
+        let got = count_met(&mut order.into_iter());
+        assert!(got >= most, "{got} latest starts met, {most} possible");
+        infeasible += u32::from(most < count as u32);
     }
-    assert!(dropped > 100, "{dropped}");
+    assert!(
+        infeasible > 100,
+        "{infeasible} cases in which not all can be met"
+    );
 }
 
-/// All orders of some numbers.
-fn permutations(of: &[usize]) -> Vec<Vec<usize>> {
-    if of.is_empty() {
+/// Returns all permutations of `numbers`.
+fn permutations(numbers: &[usize]) -> Vec<Vec<usize>> {
+    if numbers.is_empty() {
         return vec![Vec::new()];
     }
     let mut all = Vec::new();
-    for (i, first) in of.iter().enumerate() {
-        let rest = [&of[..i], &of[i + 1..]].concat();
+    for (i, first) in numbers.iter().enumerate() {
+        let rest = [&numbers[..i], &numbers[i + 1..]].concat();
         let rest = permutations(&rest).into_iter();
         all.extend(rest.map(|rest| [&[*first], &rest[..]].concat()));
     }
     all
 }
 
-/// Of all orders that keep the aims of all jobs none ends them sooner on average.
+/// Of all orders that meet every latest start, none has an earlier average end of jobs.
 #[test]
-fn no_order_in_time_ends_jobs_sooner() {
+fn no_feasible_order_ends_jobs_earlier() {
     let mut rng = fastrand::Rng::with_seed(41);
-    let mut judged = 0;
+    let mut feasible = 0;
     let mut reordered = 0;
-    while judged < 150 {
+    while feasible < 150 {
         let count = rng.usize(2..8);
-        let jobs: Vec<_> = (0..count).map(|_| draw_aimed(&mut rng, 150.0)).collect();
-        // The sum of ends, if all keep their aims.
+        let jobs: Vec<_> = (0..count).map(|_| draw_targeted(&mut rng, 150.0)).collect();
+        // The sum of the end times, if all latest starts are met.
         let sum_of_ends = |order: &[usize]| {
             let mut work = 0.0;
             let mut sum = 0.0;
@@ -422,33 +430,39 @@
         let Some(least) = least.min_by(f64::total_cmp) else {
             continue;
         };
-        judged += 1;
+        feasible += 1;
         let order = triage::order(&jobs, &[SharedResource { free: 0.0 }]);
-        let got = sum_of_ends(&order).expect("all aims can be kept");
-        assert!(got <= least + 1e-6, "{got} instead of {least}: {jobs:?}");
+        let got = sum_of_ends(&order).expect("an order that meets all latest starts");
+        assert!(
+            got <= least + 1e-6,
+            "sum of end times {got} instead of {least}: {jobs:?}"
+        );
         let mut by_latest = numbers;
         by_latest.sort_by_key(|at| jobs[*at].order_ms);
         reordered += u32::from(order != by_latest);
     }
-    assert!(reordered > 50, "{reordered}");
+    assert!(reordered > 50, "{reordered} cases reordered");
 }
 
 #[test]
-fn too_little_is_divided_as_the_model_does() {
+fn fair_shares_match_the_model() {
     let mut rng = fastrand::Rng::with_seed(31);
     for _ in 0..200 {
-        let asked: Vec<f64> = (0..rng.usize(1..9)).map(|_| rng.f64() * 10.0).collect();
-        let whole = rng.f64() * 30.0;
-        let given = max_min(&asked, whole);
-        let plain = model::max_min(&asked, whole);
-        let near = |(a, b): (&f64, &f64)| (a - b).abs() < 0.02 * whole.max(1.0);
-        assert!(given.iter().zip(&plain).all(near), "{given:?} {plain:?}");
-        assert!(given.iter().sum::<f64>() <= whole + 1e-9);
+        let requested: Vec<f64> = (0..rng.usize(1..9)).map(|_| rng.f64() * 10.0).collect();
+        let capacity = rng.f64() * 30.0;
+        let granted = max_min(&requested, capacity);
+        let plain = model::max_min(&requested, capacity);
+        let near = |(a, b): (&f64, &f64)| (a - b).abs() < 0.02 * capacity.max(1.0);
+        assert!(
+            granted.iter().zip(&plain).all(near),
+            "granted {granted:?}, model {plain:?}"
+        );
+        assert!(granted.iter().sum::<f64>() <= capacity + 1e-9);
     }
 }
 
 #[test]
-fn what_is_rented_is_what_the_model_rents() {
+fn rented_machines_match_the_model() {
     let mut rng = fastrand::Rng::with_seed(37);
     let zones: Vec<String> = ["a", "b", "c"].map(String::from).into();
     let kind = |name: &str, cpus: f64, price: f64| MachineType {
@@ -471,8 +485,8 @@
             zone: zones[rng.usize(0..3)].clone(),
             spot: rng.bool(),
         };
-        let mut rooms = Vec::new();
-        let mut stock = FreeCapacity::default();
+        let mut model_capacity = Vec::new();
+        let mut free_capacity = FreeCapacity::default();
         for _ in 0..rng.usize(0..40) {
             let offer = offer(&mut rng);
             let cpus = f64::from(rng.u32(0..17));
@@ -481,11 +495,11 @@
                 gpus: 0.0,
                 memory_gb: cpus * 4.0,
             };
-            stock.add_machine(&offer.kind, &offer.zone, offer.spot, free);
-            rooms.push((offer, free));
+            free_capacity.add_machine(&offer.kind, &offer.zone, offer.spot, free);
+            model_capacity.push((offer, free));
         }
         let closed: Vec<_> = (0..rng.usize(0..8)).map(|_| offer(&mut rng)).collect();
-        let wants: Vec<_> = (0..rng.usize(1..30))
+        let requests: Vec<_> = (0..rng.usize(1..30))
             .map(|_| CapacityRequest {
                 need: Resources {
                     cpus: [0.25, 2.0, 4.0, 8.0, 32.0][rng.usize(0..5)],
@@ -503,17 +517,37 @@
                     .collect(),
             })
             .collect();
-        let most = rng.usize(0..12);
+        let max_machines = rng.usize(0..12);
         let is_closed = |o: &Offer| closed.contains(o);
-        let real = machines_to_rent(&wants, &mut stock, &types, is_closed, |_| 0, most);
-        let plain = model::machines_to_rent(&wants, &mut rooms, &types, &closed, most);
-        assert_eq!(real, plain, "{wants:?}");
+        let real = machines_to_rent(
+            &requests,
+            &mut free_capacity,
+            &types,
+            is_closed,
+            |_| 0,
+            max_machines,
+        );
+        let plain = model::machines_to_rent(
+            &requests,
+            &mut model_capacity,
+            &types,
+            &closed,
+            max_machines,
+        );
+        assert_eq!(real, plain, "{requests:?}");
         rented += real.len();
-        for want in &wants {
-            let left = stock.allocate(want);
-            assert_eq!(left, model::allocate(want, &mut rooms), "{want:?}");
-            placed += want.tasks - left;
+        for request in &requests {
+            let left = free_capacity.allocate(request);
+            assert_eq!(
+                left,
+                model::allocate(request, &mut model_capacity),
+                "{request:?}"
+            );
+            placed += request.tasks - left;
         }
     }
-    assert!(rented > 800 && placed > 100, "{rented} {placed}");
+    assert!(
+        rented > 800 && placed > 100,
+        "{rented} machines rented, {placed} tasks placed"
+    );
 }
