--- a/crates/testkit/tests/exploration.rs
+++ b/crates/testkit/tests/exploration.rs
@@ -1,11 +1,10 @@
-//! A small exhaustive search: every history of a few links that go up and down while
-//! blocks change hands, with whole controllers.
+//! A small exhaustive search with whole controllers: every history of a few links that go down
+//! and up while blocks are handed over.
 //!
-//! One task runs on one of two machines of a block, beside a replica on each that keeps the
-//! machines from being returned as idle. At each of a few moments one of the
-//! links between two controllers, the two machines and the state service goes down or
-//! comes up again, or none does; all that follows is the controllers' own. Nothing is
-//! drawn, so a history is its list of choices.
+//! One task runs on one of two machines of a block; a replica on each machine keeps the machines
+//! from being returned as idle. At each step one of the links between two controllers, the two
+//! machines and the state service goes down or comes up again, or none changes; the controllers
+//! determine everything else. Nothing is random, so a list of choices identifies a history.
 
 use std::{sync::Mutex, time::Duration};
 
@@ -19,22 +18,24 @@
 const MS: Duration = Duration::from_millis(1);
 /// The two controllers of the machines' zone.
 const CONTROLLERS: [usize; 2] = [0, 2];
-/// The two machines, by the rests of their numbers by three.
+/// The two machines, by their numbers modulo three.
 const MACHINES: [usize; 2] = [0, 2];
-/// A worker gives a report up after 4 s and so finds another controller within its lease,
-/// which is over well within the contact limit of 12.5 s.
+/// A worker abandons a report after 4 s, so it finds another controller within its lease. The
+/// lease expires well within the contact limit of 12.5 s.
 const TIMING: Timing = Timing {
     report: Duration::from_millis(1000),
     lease: Duration::from_millis(8000),
     cancel: Duration::from_millis(22_000),
     clock_drift: false,
 };
-/// When the first choice is made and how far apart they are: the block changes hands
-/// some 3.5 s after its holder has lost the state service.
-const FIRST: Duration = Duration::from_millis(12_000);
-const APART: Duration = Duration::from_millis(1200);
-/// When all links are up again, and when a history is over.
-const HEALED: Duration = Duration::from_millis(32_000);
+/// When the first choice is made. The block is handed over about 3.5 s after its holder loses
+/// the state service.
+const FIRST_CHOICE_AT: Duration = Duration::from_millis(12_000);
+/// The time between choices.
+const CHOICE_INTERVAL: Duration = Duration::from_millis(1200);
+/// When all links are up again.
+const RECOVERED_AT: Duration = Duration::from_millis(32_000);
+/// When a history ends.
 const END: Duration = Duration::from_secs(55);
 
 /// A link that can go down.
@@ -56,7 +57,8 @@
 }
 
 impl Link {
-    fn down(self, from: Duration, until: Duration) -> Fault {
+    /// The fault that takes the link down from `from` to `until`.
+    fn fault(self, from: Duration, until: Duration) -> Fault {
         match self {
             Self::State(node) => Fault::StateRefusesNode { node, from, until },
             Self::Machine {
@@ -72,31 +74,31 @@
     }
 }
 
-/// The links that go down and come up at the given moments, as faults. `choices`: which
-/// link changes at each moment; beyond the last: none.
+/// Converts a history into faults. `choices` holds the index of the link that changes at each
+/// step; an index beyond the last link means that none changes.
 fn faults(choices: &[usize]) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (i, link) in links().into_iter().enumerate() {
         let mut down_since = None;
         for (step, choice) in choices.iter().enumerate() {
-            let at = FIRST + APART * step as u32;
+            let at = FIRST_CHOICE_AT + CHOICE_INTERVAL * step as u32;
             if *choice != i {
                 continue;
             }
             match down_since.take() {
                 None => down_since = Some(at),
-                Some(from) => faults.push(link.down(from, at)),
+                Some(from) => faults.push(link.fault(from, at)),
             }
         }
-        faults.extend(down_since.map(|from| link.down(from, HEALED)));
+        faults.extend(down_since.map(|from| link.fault(from, RECOVERED_AT)));
     }
     faults
 }
 
-/// The task that is watched: there is room for it on either machine.
-fn job() -> JobSpec {
+/// A job of one observed task, which fits on either machine.
+fn observed_job() -> JobSpec {
     JobSpec {
-        id: "j-000001".parse().expect("an id"),
+        id: "j-000001".parse().expect("a valid job id"),
         class: "some".into(),
         team: "red".into(),
         shape: Shape::Array,
@@ -120,33 +122,34 @@
     }
 }
 
-/// A replica for each machine.
+/// A service with one replica for each machine.
 fn replicas() -> JobSpec {
     JobSpec {
-        id: "j-000002".parse().expect("an id"),
+        id: "j-000002".parse().expect("a valid job id"),
         shape: Shape::Service,
         priority: Priority::Production,
         tasks: 2,
         cpus: 3.0,
         estimate_s: 0.0,
-        ..job()
+        ..observed_job()
     }
 }
 
-/// Whether the controllers reach each other: if they do, reports that come to one that
-/// does not hold their machine are forwarded.
+/// Whether the controllers reach each other. If they do, a controller forwards reports of
+/// machines that it does not hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Peers {
-    Reached,
-    Refused,
+    Reachable,
+    Unreachable,
 }
 
-fn play(choices: &[usize], peers: Peers, sabotage: Option<Sabotage>) -> Outcome {
+/// Runs the history of `choices`.
+fn run_history(choices: &[usize], peers: Peers, sabotage: Option<Sabotage>) -> Outcome {
     let mut faults = faults(choices);
-    if peers == Peers::Refused {
+    if peers == Peers::Unreachable {
         faults.push(Fault::PeersUnreachable {
-            from: FIRST,
-            until: HEALED,
+            from: FIRST_CHOICE_AT,
+            until: RECOVERED_AT,
         });
     }
     let size = Size {
@@ -157,107 +160,115 @@
     let mut world = World::timed(size, TIMING, 1, S, faults, sabotage);
     world.use_fixed_delays();
     world.add_job(MS * 2000, replicas());
-    world.add_job(MS * 4000, job());
+    world.add_job(MS * 4000, observed_job());
     world.run(END)
 }
 
-/// What an exploration has found.
+/// The counts and rule violations of an exploration.
 #[derive(Debug, Default)]
 struct Explored {
     histories: usize,
-    /// Those on which workers were served by more than one of the controllers, on
-    /// which the task started again, and on which it was lost with a lease.
-    changed_hands: usize,
-    started_again: usize,
-    leases_lost: usize,
-    /// Those on which reports were forwarded.
-    forwarded: usize,
-    broken: Vec<(Vec<usize>, RuleViolation)>,
+    /// Histories in which all three controllers renewed leases, and so both of the machines' zone.
+    with_handover: usize,
+    /// Histories in which the observed task started again.
+    with_restart: usize,
+    /// Histories in which tasks were lost with a lease.
+    with_lost_lease: usize,
+    /// Histories in which reports were forwarded.
+    with_forwarding: usize,
+    violations: Vec<(Vec<usize>, RuleViolation)>,
 }
 
-/// The choices of a history, of so many ways each.
-fn choices_of(mut number: usize, ways: usize, depth: u32) -> Vec<usize> {
+/// Decodes the number of a history into its choices, with `options` possible values each.
+fn choices_of(mut number: usize, options: usize, depth: u32) -> Vec<usize> {
     let mut choices = Vec::new();
     for _ in 0..depth {
-        choices.push(number % ways);
-        number /= ways;
+        choices.push(number % options);
+        number /= options;
     }
     choices
 }
 
 impl Explored {
-    fn take(&mut self, choices: Vec<usize>, outcome: &Outcome) {
-        let mut served: Vec<_> = outcome
+    /// Adds the outcome of a history.
+    fn record(&mut self, choices: Vec<usize>, outcome: &Outcome) {
+        let mut controllers: Vec<_> = outcome
             .evidence
             .lease_renewals
             .iter()
             .map(|r| r.1)
             .collect();
-        served.sort_unstable();
-        served.dedup();
-        let watched = outcome.starts.iter().filter(|s| s.1.job == job().id);
+        controllers.sort_unstable();
+        controllers.dedup();
+        let starts = outcome
+            .starts
+            .iter()
+            .filter(|s| s.1.job == observed_job().id);
         self.histories += 1;
-        self.changed_hands += usize::from(served.len() > 2);
-        self.started_again += usize::from(watched.count() > 1);
-        self.leases_lost += usize::from(outcome.lost > 0);
-        self.forwarded += usize::from(outcome.evidence.forwarded_reports > 0);
-        let broken = outcome.violations.first().map(|b| (choices, b.1));
-        self.broken.extend(broken);
+        self.with_handover += usize::from(controllers.len() > 2);
+        self.with_restart += usize::from(starts.count() > 1);
+        self.with_lost_lease += usize::from(outcome.lost > 0);
+        self.with_forwarding += usize::from(outcome.evidence.forwarded_reports > 0);
+        let violation = outcome
+            .violations
+            .first()
+            .map(|violation| (choices, violation.1));
+        self.violations.extend(violation);
     }
 }
 
-/// Plays all histories of so many choices.
+/// Runs all histories of `depth` choices.
 fn explore(depth: u32, peers: Peers, sabotage: Option<Sabotage>) -> Explored {
-    let ways = links().len() + 1;
+    let options = links().len() + 1;
     let explored = Mutex::new(Explored::default());
-    run_seeds_in_parallel(0..ways.pow(depth) as u64, |number| {
-        let choices = choices_of(number as usize, ways, depth);
-        let outcome = play(&choices, peers, sabotage);
-        let mut explored = explored.lock().expect("no panic before");
-        explored.take(choices, &outcome);
+    run_seeds_in_parallel(0..options.pow(depth) as u64, |number| {
+        let choices = choices_of(number as usize, options, depth);
+        let outcome = run_history(&choices, peers, sabotage);
+        let mut explored = explored.lock().expect("no other thread panicked");
+        explored.record(choices, &outcome);
     });
-    explored.into_inner().expect("no panic")
+    explored.into_inner().expect("no thread panicked")
 }
 
-/// Plays all histories of so many choices; none may break a rule, and they have to
-/// show what the search is about. Leases are lost where controllers don't reach each
-/// other; where they do, forwarded reports save most of them.
-fn holds(depth: u32) {
-    let explored = [Peers::Refused, Peers::Reached].map(|peers| {
+/// Runs all histories of `depth` choices and asserts that none violates a rule, and that enough
+/// of them contain handovers, restarts, lost leases and forwarded reports. Leases are lost when
+/// controllers do not reach each other; when they do, forwarded reports save most of them.
+fn assert_all_histories_hold(depth: u32) {
+    let explored = [Peers::Unreachable, Peers::Reachable].map(|peers| {
         let explored = explore(depth, peers, None);
         println!("{depth} choices, peers {peers:?}: {explored:?}");
-        assert_eq!(explored.broken, []);
+        assert_eq!(explored.violations, []);
         assert_eq!(explored.histories, (links().len() + 1).pow(depth));
-        assert!(explored.changed_hands * 4 > explored.histories);
+        assert!(explored.with_handover * 4 > explored.histories);
         explored
     });
-    let [refused, reached] = &explored;
-    assert!(refused.started_again * 10 > refused.histories);
-    assert!(refused.leases_lost * 4 > refused.histories);
-    assert!(reached.forwarded * 4 > reached.histories);
-    assert!(reached.leases_lost * 2 < refused.leases_lost);
+    let [unreachable, reachable] = &explored;
+    assert!(unreachable.with_restart * 10 > unreachable.histories);
+    assert!(unreachable.with_lost_lease * 4 > unreachable.histories);
+    assert!(reachable.with_forwarding * 4 > reachable.histories);
+    assert!(reachable.with_lost_lease * 2 < unreachable.with_lost_lease);
 }
 
 #[test]
 fn every_history_of_three_choices_holds() {
-    holds(3);
+    assert_all_histories_hold(3);
 }
 
 #[test]
 #[ignore = "takes minutes"]
 fn every_history_of_five_choices_holds() {
-    holds(5);
+    assert_all_histories_hold(5);
 }
 
-/// Two choices are enough: the state service refuses the holder, and the next one does
-/// not reach one of the machines. The other machine goes over to the next holder with its
-/// task, and its silence then was all that the old holder went by.
+/// Two choices suffice: the state service refuses the holder, and the next holder does not reach
+/// one of the machines. The other machine, with its task, moves to the next holder, and with this
+/// sabotage the previous holder relies on its silence alone.
 #[test]
-fn trusting_silence_is_found_in_two_choices() {
-    let explored = explore(2, Peers::Reached, Some(Sabotage::StaleEvidence));
+fn relying_on_silence_is_caught_with_two_choices() {
+    let explored = explore(2, Peers::Reachable, Some(Sabotage::StaleEvidence));
     let ran_twice = explored
-        .broken
+        .violations
         .iter()
-        .filter(|b| b.1 == RuleViolation::RanTwice);
+        .filter(|violation| violation.1 == RuleViolation::RanTwice);
     assert_eq!(ran_twice.count(), 2, "{explored:?}");
 }
