--- a/crates/testkit/tests/handover.rs
+++ b/crates/testkit/tests/handover.rs
@@ -35,11 +35,11 @@
     run_simulation(seed, Timing::DEFAULT, faults, sabotage)
 }
 
-/// The state service refuses a holder, and its block is leased to another controller a
-/// second later. The new holder renews the lease of a worker whose reports no
-/// longer reach the previous holder, while other workers do not receive messages from the new
-/// holder. The previous holder must not conclude from one lease time of silence that the tasks of that
-/// worker run nowhere and start them again on the other workers.
+/// The state service refuses a holder, and its block is leased to another controller a second
+/// later. The new holder renews the lease of a worker whose reports no longer reach the previous
+/// holder, while other workers do not receive messages from the new holder. The previous holder
+/// must not conclude from one lease time of silence that the tasks of that worker run nowhere
+/// and start them again on the other workers.
 #[test]
 fn a_holder_that_has_lost_its_block_starts_no_task_again() {
     let mut violations = Vec::new();
--- a/crates/testkit/tests/meetings/main.rs
+++ b/crates/testkit/tests/meetings/main.rs
@@ -1,6 +1,6 @@
-//! Meetings of two troubles, as the operators list them: a row each, over several
-//! seeds and roles. A row shows that the two met, not only that no rule broke;
-//! what the code does about each stands in `docs/meetings.md`.
+//! Combinations of overlapping faults, as the operators list them, each with several seeds and
+//! roles. Each test checks that the faults actually overlapped, not only that no rule is
+//! violated. `docs/meetings.md` describes how the code handles each combination.
 
 mod observers;
 mod rows;
@@ -19,20 +19,23 @@
 use oliveshift_wire::job::{JobSpec, Priority, Shape};
 
 use observers::OBSERVERS;
-use rows::{LONG, MEETINGS, Meeting, ends, first_meeting, first_met, lone, node_of, refused};
-use sabotage::broke;
+use rows::{
+    COMBINATIONS, FaultCombination, LONG, cancel_before_outage, cancelled_before_outage, isolated,
+    node_of, refused, restart,
+};
+use sabotage::violates;
 
 const S: Duration = Duration::from_secs(1);
 const MS: Duration = Duration::from_millis(1);
 const END: Duration = Duration::from_secs(420);
-/// Rows are played with so many seeds, twice for each controller.
+/// The seeds of the combinations: two for each controller.
 const SEEDS: Range<u64> = 700..706;
-/// The later rows with so many, each controller at four distances.
-const MORE_SEEDS: Range<u64> = 700..712;
+/// The seeds of `OBSERVERS`: for each controller four times between faults.
+const OBSERVER_SEEDS: Range<u64> = 700..712;
 
-/// Plays a day; `RUST_LOG=debug` shows what the controllers say.
-fn play(
-    crowds: &[ExtraJobs],
+/// Runs a simulation; `RUST_LOG=debug` shows the log of the controllers.
+fn run_simulation(
+    extra_jobs: &[ExtraJobs],
     seed: u64,
     faults: Vec<Fault>,
     sabotage: Option<Sabotage>,
@@ -41,71 +44,81 @@
         .is_test(true)
         .try_init();
     let mut world = World::sized(Size::SMALL, seed, S * 150, faults, sabotage);
-    for (i, crowd) in (0..).zip(crowds) {
-        world.add_extra_jobs(seed + i, crowd);
+    for (i, jobs) in (0..).zip(extra_jobs) {
+        world.add_extra_jobs(seed + i, jobs);
     }
     world.scale_estimates(LONG.class, 5.0);
     world.run(END)
 }
 
-/// What has to hold on any day: no rule broken, all work done, nobody made to wait
-/// four minutes for a first task.
-fn holds(what: &str, seed: u64, outcome: &Outcome) {
-    assert_eq!(outcome.violations, [], "{what}, seed {seed}");
-    assert_eq!(outcome.open, [], "{what}, seed {seed}");
+/// Asserts that no rule is violated, all work is done, and no job waited four minutes for its
+/// first task.
+fn assert_holds(context: &str, seed: u64, outcome: &Outcome) {
+    assert_eq!(outcome.violations, [], "{context}, seed {seed}");
+    assert_eq!(outcome.open, [], "{context}, seed {seed}");
     let slowest = outcome.longest_start_delay();
     let in_time = slowest.as_ref().is_none_or(|(waited, _)| *waited < S * 240);
-    assert!(in_time, "{what}, seed {seed}: {slowest:?}");
+    assert!(in_time, "{context}, seed {seed}: {slowest:?}");
 }
 
-/// Plays numbered days side by side.
-fn side_by_side(count: usize, play: impl Fn(usize) + Sync) {
-    oliveshift_testkit::run_seeds_in_parallel(0..count as u64, |day| play(day as usize));
+/// Runs simulations with the numbers below `count` in parallel.
+fn run_in_parallel(count: usize, simulate: impl Fn(usize) + Sync) {
+    oliveshift_testkit::run_seeds_in_parallel(0..count as u64, |number| simulate(number as usize));
 }
 
-/// Plays rows with several seeds. On half of its days at least a meeting has to come
-/// about, and on none anything may break.
-fn play_rows(rows: &[Meeting], seeds: Range<u64>) {
+/// Runs combinations with several seeds. The faults of each must overlap with at least half of the
+/// seeds, and all simulations must hold.
+fn check_combinations(combinations: &[FaultCombination], seeds: Range<u64>) {
     let seeds: Vec<_> = seeds.collect();
-    let met: Vec<_> = rows.iter().map(|_| AtomicUsize::new(0)).collect();
-    side_by_side(rows.len() * seeds.len(), |day| {
-        let (row, seed) = (day / seeds.len(), seeds[day % seeds.len()]);
-        let meeting = &rows[row];
-        let outcome = play(meeting.crowds, seed, (meeting.faults)(seed), None);
-        holds(meeting.name, seed, &outcome);
-        if (meeting.met)(seed, &outcome) {
-            met[row].fetch_add(1, Ordering::Relaxed);
+    let occurred: Vec<_> = combinations.iter().map(|_| AtomicUsize::new(0)).collect();
+    run_in_parallel(combinations.len() * seeds.len(), |number| {
+        let (index, seed) = (number / seeds.len(), seeds[number % seeds.len()]);
+        let combination = &combinations[index];
+        let outcome = run_simulation(
+            combination.extra_jobs,
+            seed,
+            (combination.faults)(seed),
+            None,
+        );
+        assert_holds(combination.name, seed, &outcome);
+        if (combination.occurred)(seed, &outcome) {
+            occurred[index].fetch_add(1, Ordering::Relaxed);
         }
     });
-    let met: Vec<_> = met.into_iter().map(AtomicUsize::into_inner).collect();
-    let few: Vec<_> = rows
+    let occurred: Vec<_> = occurred.into_iter().map(AtomicUsize::into_inner).collect();
+    let too_few: Vec<_> = combinations
         .iter()
-        .zip(&met)
-        .filter(|(_, met)| **met * 2 < seeds.len())
-        .map(|(meeting, met)| (meeting.name, *met))
+        .zip(&occurred)
+        .filter(|(_, count)| **count * 2 < seeds.len())
+        .map(|(combination, count)| (combination.name, *count))
         .collect();
-    assert_eq!(few, [], "of {} days each", seeds.len());
+    assert_eq!(
+        too_few,
+        [],
+        "combinations that occurred with less than half of {} seeds",
+        seeds.len()
+    );
 }
 
 #[test]
-fn each_meeting_comes_about_and_breaks_nothing() {
-    play_rows(&MEETINGS, SEEDS);
+fn each_combination_occurs_and_violates_nothing() {
+    check_combinations(&COMBINATIONS, SEEDS);
 }
 
 #[test]
-fn each_meeting_of_observers_comes_about_and_breaks_nothing() {
-    play_rows(&OBSERVERS, MORE_SEEDS);
+fn each_combination_of_observers_occurs_and_violates_nothing() {
+    check_combinations(&OBSERVERS, OBSERVER_SEEDS);
 }
 
-/// The first meeting for the leader, a follower, and with what may happen to the
-/// old leader or its machines in between.
+/// Cancellations before an outage, for the leader and for a follower, also with further faults of
+/// the old leader or its machines in between.
 #[test]
-fn what_is_cancelled_behind_the_old_leaders_back_is_gone_in_time() {
+fn jobs_cancelled_unknown_to_the_old_leader_stop_in_time() {
     let variants: [fn(u64) -> Vec<Fault>; 7] = [
-        |seed| first_meeting(node_of(seed), 100 + 480 * (seed as u32 % 7)),
-        // Cut instead of refused, and the refusal ends inside the outage or not.
+        |seed| cancel_before_outage(node_of(seed), 100 + 480 * (seed as u32 % 7)),
+        // Cut off instead of refused; the cut ends inside the outage or not.
         |seed| {
-            let mut faults = first_meeting(0, 1000 + 300 * (seed as u32 % 7));
+            let mut faults = cancel_before_outage(0, 1000 + 300 * (seed as u32 % 7));
             faults[0] = Fault::CutState {
                 node: 0,
                 from: S * 40,
@@ -114,13 +127,13 @@
             faults
         },
         |seed| {
-            let mut faults = first_meeting(0, 1500 + 200 * (seed as u32 % 7));
-            faults.extend(lone(0, 40, 90));
+            let mut faults = cancel_before_outage(0, 1500 + 200 * (seed as u32 % 7));
+            faults.extend(isolated(0, 40, 90));
             faults
         },
-        // It stands still in between.
+        // The leader's process is paused in between.
         |seed| {
-            let mut faults = first_meeting(0, 1500);
+            let mut faults = cancel_before_outage(0, 1500);
             let from = S * 41 + MS * (300 * (seed as u32 % 7));
             faults.push(Fault::ProcessPause {
                 node: 0,
@@ -129,9 +142,9 @@
             });
             faults
         },
-        // Machines hang below, about and beyond their lease.
+        // Workers hang for less than, about and more than their lease.
         |seed| {
-            let mut faults = first_meeting(0, 1500);
+            let mut faults = cancel_before_outage(0, 1500);
             faults.push(Fault::WorkerHang {
                 machine_group: node_of(seed),
                 from: S * 41,
@@ -139,9 +152,9 @@
             });
             faults
         },
-        // Orders are held up, and machines don't hear.
+        // Orders are delayed, and answers to workers are lost.
         |seed| {
-            let mut faults = first_meeting(0, 1500);
+            let mut faults = cancel_before_outage(0, 1500);
             faults.push(Fault::DelayedOrders {
                 one_in: 2,
                 from: S * 35,
@@ -154,31 +167,38 @@
             });
             faults
         },
-        // It ends, and is back at once.
+        // The leader restarts at once.
         |seed| {
-            let mut faults = first_meeting(0, 1500);
+            let mut faults = cancel_before_outage(0, 1500);
             let at = S * (41 + 4 * (seed as u32 % 7));
-            faults.push(ends(0, at, MS * 100));
+            faults.push(restart(0, at, MS * 100));
             faults
         },
     ];
-    let met = AtomicUsize::new(0);
-    side_by_side(variants.len() * 7, |day| {
-        let seed = 720 + day as u64 % 7;
-        let outcome = play(&[LONG], seed, variants[day / 7](seed), None);
-        holds("the first meeting", seed, &outcome);
-        met.fetch_add(usize::from(first_met(0, &outcome)), Ordering::Relaxed);
+    let occurred = AtomicUsize::new(0);
+    run_in_parallel(variants.len() * 7, |number| {
+        let seed = 720 + number as u64 % 7;
+        let outcome = run_simulation(&[LONG], seed, variants[number / 7](seed), None);
+        assert_holds("cancellations before an outage", seed, &outcome);
+        occurred.fetch_add(
+            usize::from(cancelled_before_outage(0, &outcome)),
+            Ordering::Relaxed,
+        );
     });
-    let met = met.into_inner();
-    assert!(met >= 15, "met on {met} days of {}", variants.len() * 7);
+    let occurred = occurred.into_inner();
+    assert!(
+        occurred >= 15,
+        "occurred in {occurred} of {} simulations",
+        variants.len() * 7
+    );
 }
 
-/// Without the limit on the age of contact the old leader keeps those tasks alive.
+/// Without the contact limit the old leader keeps the tasks of cancelled jobs running.
 #[test]
-fn serving_on_without_contact_is_caught_by_the_first_meeting() {
+fn serving_on_without_contact_is_caught_by_the_cancel_before_outage() {
     let caught = SEEDS.filter(|seed| {
-        let faults = first_meeting(0, 1500);
-        let outcome = play(&[LONG], *seed, faults, Some(Sabotage::NoContactLimit));
+        let faults = cancel_before_outage(0, 1500);
+        let outcome = run_simulation(&[LONG], *seed, faults, Some(Sabotage::NoContactLimit));
         let late =
             |(_, rule, _): &(Duration, RuleViolation, String)| *rule == RuleViolation::RanCancelled;
         outcome.violations.iter().any(late)
@@ -187,75 +207,76 @@
 }
 
 #[test]
-fn drawn_days_of_meetings() {
-    side_by_side(40, |day| {
-        let seed = 800 + day as u64;
-        let outcome = play(&[], seed, draw_combined_faults(seed, 3, S * 180), None);
-        holds("a drawn day", seed, &outcome);
+fn drawn_days_of_combined_faults() {
+    run_in_parallel(40, |number| {
+        let seed = 800 + number as u64;
+        let outcome = run_simulation(&[], seed, draw_combined_faults(seed, 3, S * 180), None);
+        assert_holds("drawn faults", seed, &outcome);
     });
 }
 
-/// A longer search for broken rules, run by hand after larger changes.
+/// A longer search for rule violations, run by hand after larger changes.
 #[test]
 #[ignore = "takes minutes"]
-fn many_drawn_days_of_meetings() {
-    side_by_side(600, |day| {
-        let seed = 6000 + day as u64;
-        let outcome = play(&[], seed, draw_combined_faults(seed, 3, S * 180), None);
-        holds("a drawn day", seed, &outcome);
+fn many_drawn_days_of_combined_faults() {
+    run_in_parallel(600, |number| {
+        let seed = 6000 + number as u64;
+        let outcome = run_simulation(&[], seed, draw_combined_faults(seed, 3, S * 180), None);
+        assert_holds("drawn faults", seed, &outcome);
     });
-    side_by_side(24, |day| {
-        let seed = day as u64;
+    run_in_parallel(24, |number| {
+        let seed = number as u64;
         let faults = draw_combined_faults(seed, 3, S * 140);
         let world = World::sized(Size::LARGE, seed, S * 100, faults, None);
-        holds("a drawn day, grown", seed, &world.run(S * 440));
+        assert_holds("drawn faults, large fleet", seed, &world.run(S * 440));
     });
 }
 
-/// The same at the size of the largest deployments.
+/// Combined faults at the size of the largest deployments.
 #[test]
 #[ignore = "takes minutes"]
 fn a_dozen_drawn_days_of_meetings_at_fleet_size() {
-    side_by_side(12, |day| {
-        let seed = 40 + day as u64;
+    run_in_parallel(12, |number| {
+        let seed = 40 + number as u64;
         let faults = draw_combined_faults(seed, 3, S * 140);
         let world = World::sized(Size::FLEET, seed, S * 100, faults, None);
-        holds("a drawn day, fleet", seed, &world.run(S * 500));
+        assert_holds("drawn faults, largest fleet", seed, &world.run(S * 500));
     });
 }
 
-/// The longest that a job waited for its first task on a day on which teams are near
-/// their limits for minutes while machines have room.
-fn longest_wait_at_the_limit(seed: u64, sabotage: Option<Sabotage>) -> Duration {
-    let outcome = at_the_limit(seed, sabotage);
-    // At 25 writes a second single jobs still wait for 90 s beside room between two of
-    // their tasks; that is in the list of known faults.
-    let mut others = outcome.violations.iter();
-    let other = others.find(|(_, rule, _)| *rule != RuleViolation::LeftWaiting);
+/// The longest time that a job waited for its first task while teams are near their limits for
+/// minutes and machines have free capacity.
+fn longest_wait_at_team_limit(seed: u64, sabotage: Option<Sabotage>) -> Duration {
+    let outcome = run_at_team_limit(seed, sabotage);
+    // At 25 writes per second, single jobs still wait 90 s between two of their tasks although
+    // machines have free capacity; this is in the list of known faults.
+    let mut violations = outcome.violations.iter();
+    let other = violations.find(|(_, rule, _)| *rule != RuleViolation::LeftWaiting);
     assert_eq!(other, None, "seed {seed}");
     assert_eq!(outcome.open, [], "seed {seed}");
     outcome
         .longest_start_delay()
-        .map_or(Duration::ZERO, |(at, _)| at)
+        .map_or(Duration::ZERO, |(waited, _)| waited)
 }
 
-/// The least urgent jobs of a team at its limit had no task for as long as more
-/// urgent ones came: four minutes and more at this size, and at that of the largest
-/// deployments 90 s beside machines with room.
+/// The least urgent jobs of a team at its limit had no task while more urgent ones were
+/// submitted: for four minutes and more at this size, and at that of the largest deployments for
+/// 90 s although machines had free capacity.
 #[test]
-fn jobs_that_their_teams_limit_holds_back_get_a_turn() {
+fn jobs_held_back_by_the_team_limit_get_a_turn() {
     let sabotages = [None, Some(Sabotage::NoStarvationGuard)];
     let seeds = [1, 2, 5];
-    side_by_side(seeds.len() * sabotages.len(), |day| {
-        let (seed, sabotage) = (seeds[day / 2], sabotages[day % 2]);
-        let waited = longest_wait_at_the_limit(seed, sabotage);
+    run_in_parallel(seeds.len() * sabotages.len(), |number| {
+        let (seed, sabotage) = (seeds[number / 2], sabotages[number % 2]);
+        let waited = longest_wait_at_team_limit(seed, sabotage);
         let in_time = waited < S * 200;
         assert_eq!(in_time, sabotage.is_none(), "seed {seed}: {waited:?}");
     });
 }
 
-/// A day on which teams are near their limits for minutes while machines have room.
-fn at_the_limit(seed: u64, sabotage: Option<Sabotage>) -> Outcome {
+/// Runs a simulation in which teams are near their limits for minutes while machines have free
+/// capacity.
+fn run_at_team_limit(seed: u64, sabotage: Option<Sabotage>) -> Outcome {
     let size = Size {
         jobs: 90,
         ..Size::LARGE
@@ -264,37 +285,37 @@
     world.run(S * 500)
 }
 
-/// The same days, judged as a whole: `longest_wait_at_the_limit` passes over jobs left
-/// waiting, which the aim does not allow.
+/// Checks all rules for these simulations: `longest_wait_at_team_limit` ignores jobs left waiting,
+/// which the objective does not allow.
 ///
-/// What happened: a job of a team at its limit had no task for 90 s and more while
-/// machines had room. Why: the starvation guard gave its turns to the oldest job without
-/// a task out. An old job of short tasks was that again as soon as its task had ended,
-/// so it took turn after turn, and younger jobs had none. What showed it: the log's turns
-/// by job ("a turn, after ..."), 134 s of them without one for the job left waiting.
+/// A job of a team at its limit had no task for 90 s and more while machines had free capacity:
+/// the starvation guard gave each turn to the oldest job without an assigned task. An old job
+/// with short tasks qualified again as soon as its task had ended, so it took turn after turn,
+/// and younger jobs got none. The log of turns by job shows this: for 134 s the waiting job got
+/// no turn.
 #[test]
 fn jobs_at_their_teams_limit_are_not_left_waiting() {
-    side_by_side(3, |day| {
-        let seed = [1, 2, 5][day];
-        holds("at the limit", seed, &at_the_limit(seed, None));
+    run_in_parallel(3, |number| {
+        let seed = [1, 2, 5][number];
+        assert_holds("at the limit", seed, &run_at_team_limit(seed, None));
     });
 }
 
 #[test]
-fn turns_that_go_by_age_are_noticed() {
+fn turns_by_age_are_caught() {
     let caught = AtomicUsize::new(0);
-    side_by_side(4, |day| {
-        let outcome = at_the_limit([1, 8, 34, 45][day], Some(Sabotage::TurnsByAge));
-        let left = broke(RuleViolation::LeftWaiting)(&outcome);
-        caught.fetch_add(usize::from(left), Ordering::Relaxed);
+    run_in_parallel(4, |number| {
+        let outcome = run_at_team_limit([1, 8, 34, 45][number], Some(Sabotage::TurnsByAge));
+        let is_caught = violates(RuleViolation::LeftWaiting)(&outcome);
+        caught.fetch_add(usize::from(is_caught), Ordering::Relaxed);
     });
     assert!(caught.into_inner() >= 2);
 }
 
-/// Odd requests get what the protocol says while a leader changes, the state
-/// service is slow and controllers are behind.
+/// Unusual requests get the answers of the protocol while the leader changes, the state service is
+/// slow and controllers lag.
 #[test]
-fn odd_requests_are_told_apart_whatever_else_happens() {
+fn unusual_requests_are_answered_correctly_during_faults() {
     let mut answered = [0; 4];
     for seed in SEEDS {
         let mut faults = vec![
@@ -307,7 +328,7 @@
                 from: S * 30,
                 until: S * 50,
             },
-            ends(0, S * 60, S * 4),
+            restart(0, S * 60, S * 4),
             refused(1, 80, 95),
         ];
         faults.extend((0..3).map(|node| Fault::ControllerLag {
@@ -316,8 +337,8 @@
             from: S * 100,
             until: S * 130,
         }));
-        let outcome = play(&[], seed, faults, None);
-        holds("odd requests", seed, &outcome);
+        let outcome = run_simulation(&[], seed, faults, None);
+        assert_holds("unusual requests", seed, &outcome);
         for (sum, n) in answered.iter_mut().zip(outcome.evidence.unusual_requests) {
             *sum += n;
         }
@@ -325,12 +346,12 @@
     assert!(answered.iter().all(|n| *n > 100), "{answered:?}");
 }
 
-/// Work that its team's limit holds back, and that only fits large machines, had
-/// these to itself: what else would have fitted waited beside their room for as long.
+/// Large machines were reserved for work that fits only them but was held back by its team's
+/// limit, so other work that would have fitted waited although they had free capacity.
 #[test]
-fn machines_are_not_kept_for_work_that_its_limit_holds_back() {
+fn machines_are_not_reserved_for_work_held_back_by_its_limit() {
     let spec = |id: &str, team: &str, cpus: f64, tasks: u32, types: Option<&str>| JobSpec {
-        id: id.parse().expect("an id"),
+        id: id.parse().expect("a valid job id"),
         class: "some".into(),
         team: team.into(),
         shape: Shape::Array,
@@ -352,24 +373,24 @@
         deadline_s: None,
         awaits: Vec::new(),
     };
-    let day = |seed, sabotage| {
+    let simulate = |seed, sabotage| {
         let size = Size {
             jobs: 0,
             ..Size::SMALL
         };
         let mut world = World::sized(size, seed, S * 20, Vec::new(), sabotage);
-        // Limits: red 40, blue 24 processors. There are eight ordinary small machines
-        // at most, and each has memory for one task.
+        // Limits: red 40, blue 24 processors. There are at most eight small on-demand machines,
+        // and each has memory for one task.
         world.add_job(S * 5, spec("j-000001", "blue", 8.0, 9, Some("large")));
         world.add_job(S * 30, spec("j-000002", "red", 1.0, 30, None));
         world.run(S * 800)
     };
     for seed in SEEDS {
-        holds("kept for nobody", seed, &day(seed, None));
+        assert_holds("reserved machines", seed, &simulate(seed, None));
     }
     let caught = SEEDS.filter(|seed| {
-        let outcome = day(*seed, Some(Sabotage::ReservedForBlockedWork));
-        broke(RuleViolation::LeftWaiting)(&outcome)
+        let outcome = simulate(*seed, Some(Sabotage::ReservedForBlockedWork));
+        violates(RuleViolation::LeftWaiting)(&outcome)
     });
     assert!(caught.count() > 0);
 }
--- a/crates/testkit/tests/meetings/observers.rs
+++ b/crates/testkit/tests/meetings/observers.rs
@@ -1,6 +1,6 @@
-//! Eight more rows: what users get to see, what a new leader or holder finds, and
-//! messages of those that are none any more. Each seed is about another controller
-//! (the leader or a follower) and another distance between the troubles.
+//! Eight more combinations of faults: the answers that users see, the state that a new leader or
+//! holder finds, and messages of former leaders and holders. Each seed selects a controller (the
+//! leader or a follower) and the time between the faults.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::{
     MS, S,
     rows::{
-        LONG, Meeting, PATIENT, SMALL_JOBS, URGENT, cut_machines, ends, first_leads, node_of, span,
+        FaultCombination, LONG, PATIENT, SMALL_JOBS, URGENT, cut_machines, first_leads, node_of,
+        restart, span,
     },
 };
 
@@ -25,20 +26,20 @@
     cancel_one_in: 4,
 };
 
-/// The distance between two troubles that a seed is about, in steps.
+/// The time between two faults that a seed selects, in steps.
 fn step_of(seed: u64) -> u32 {
     seed as u32 / 3 % 4
 }
 
-/// Users look closely all day.
-pub fn close_looks() -> Fault {
+/// Users send follow-up requests throughout the simulation.
+pub fn follow_up_requests() -> Fault {
     Fault::FollowUpRequests {
         from: S * 5,
         until: S * 200,
     }
 }
 
-/// Whether a task of both teams kept it at its limit within a span of seconds.
+/// Whether both teams were at their limits between two times in seconds.
 fn all_at_limit(outcome: &Outcome, from: u64, until: u64) -> bool {
     ["red", "blue"].iter().all(|team| {
         let at_limit =
@@ -47,23 +48,24 @@
     })
 }
 
-/// Whether jobs with tasks on machines were cancelled within a span of seconds.
+/// Whether jobs with tasks on machines were cancelled between two times in seconds.
 fn cancelled_on_machines(outcome: &Outcome, from: u64, until: u64) -> bool {
-    let told = outcome.evidence.cancelled.iter();
-    told.filter(|c| c.on > 0)
+    let cancelled = outcome.evidence.cancelled.iter();
+    cancelled
+        .filter(|c| c.on > 0)
         .any(|c| span(from, until).contains(&c.at))
 }
 
-pub const OBSERVERS: [Meeting; 8] = [
-    Meeting {
-        name: "users ask at all nodes within milliseconds and repeat the submission, and \
-               some cancel at once, while nodes are new, behind or cut",
-        crowds: &[SMALL_JOBS],
+pub const OBSERVERS: [FaultCombination; 8] = [
+    FaultCombination {
+        name: "users query all controllers within milliseconds and repeat the submission, and \
+               some cancel at once, while controllers are new, lagging or cut off",
+        extra_jobs: &[SMALL_JOBS],
         faults: |seed| {
             let node = node_of(seed);
             vec![
-                close_looks(),
-                ends(node, S * 60, MS * 300),
+                follow_up_requests(),
+                restart(node, S * 60, MS * 300),
                 Fault::CutState {
                     node: (node + 1) % 3,
                     from: S * 70,
@@ -77,18 +79,18 @@
                 },
             ]
         },
-        met: |_, outcome| {
-            let seen = &outcome.evidence;
-            seen.follow_up_answers[0] > 100
-                && seen.follow_up_answers[1] > 100
-                && seen.follow_up_answers[2] > 2
-                && seen.overtaken_follow_ups > 20
+        occurred: |_, outcome| {
+            let evidence = &outcome.evidence;
+            evidence.follow_up_answers[0] > 100
+                && evidence.follow_up_answers[1] > 100
+                && evidence.follow_up_answers[2] > 2
+                && evidence.overtaken_follow_ups > 20
         },
     },
-    Meeting {
-        name: "a transaction is carried out at once and only its answer is lost, while \
-               other nodes read what it wrote",
-        crowds: &[SMALL_JOBS],
+    FaultCombination {
+        name: "a transaction is executed at once and only its answer is lost, while other \
+               controllers read what it wrote",
+        extra_jobs: &[SMALL_JOBS],
         faults: |seed| {
             vec![
                 Fault::LostAnswers {
@@ -96,8 +98,8 @@
                     from: S * 20,
                     until: S * 120,
                 },
-                close_looks(),
-                ends(node_of(seed), S * 70 + MS * (700 * step_of(seed)), MS * 300),
+                follow_up_requests(),
+                restart(node_of(seed), S * 70 + MS * (700 * step_of(seed)), MS * 300),
                 Fault::CancelBurst {
                     count: 4,
                     at: S * 50,
@@ -108,14 +110,14 @@
                 },
             ]
         },
-        met: |_, outcome| {
+        occurred: |_, outcome| {
             outcome.evidence.lost_answers > 30 && outcome.evidence.follow_up_answers[0] > 50
         },
     },
-    Meeting {
+    FaultCombination {
         name: "every team is at its limit while jobs are cancelled whose machines are cut \
                off or hang, and the leader changes",
-        crowds: &[URGENT, PATIENT],
+        extra_jobs: &[URGENT, PATIENT],
         faults: |seed| {
             let machine_group = node_of(seed);
             let [second, third] = first_leads();
@@ -126,7 +128,7 @@
                     until: S * (50 + 4 * step_of(seed)),
                 },
                 cut_machines((machine_group + 1) % 3, 44, 68),
-                ends(0, S * 46 + MS * (800 * step_of(seed)), S * 6),
+                restart(0, S * 46 + MS * (800 * step_of(seed)), S * 6),
                 Fault::CancelBurst {
                     count: 6,
                     at: S * 45,
@@ -139,20 +141,20 @@
                 third,
             ]
         },
-        met: |_, outcome| {
+        occurred: |_, outcome| {
             all_at_limit(outcome, 30, 60)
                 && outcome.evidence.leaders_in(span(46, 60)) > 0
                 && cancelled_on_machines(outcome, 44, 60)
         },
     },
-    Meeting {
-        name: "jobs are cancelled in the seconds in which one controller's work changes hands",
-        crowds: &[LONG],
+    FaultCombination {
+        name: "jobs are cancelled in the seconds in which one controller's work is handed over",
+        extra_jobs: &[LONG],
         faults: |seed| {
             let node = node_of(seed);
-            // It ends, or loses its workers and keeps the rest.
-            let loses = match step_of(seed) % 2 {
-                0 => ends(node, S * 50, S * 9),
+            // The controller restarts, or loses its workers only.
+            let fault = match step_of(seed) % 2 {
+                0 => restart(node, S * 50, S * 9),
                 _ => Fault::CutWorkers {
                     node: Some(node),
                     machine_group: None,
@@ -160,19 +162,19 @@
                     until: S * 75,
                 },
             };
-            let mut faults = vec![loses];
+            let mut faults = vec![fault];
             faults.extend((0..4).map(|i| Fault::CancelBurst {
                 count: 2,
                 at: S * 50 + MS * (350 * step_of(seed) + 1100 * i),
             }));
             faults
         },
-        met: |_, outcome| cancelled_on_machines(outcome, 50, 57),
+        occurred: |_, outcome| cancelled_on_machines(outcome, 50, 57),
     },
-    Meeting {
+    FaultCombination {
         name: "new machines are up within two seconds and get work at once while writes \
-               lag, and the leader ends",
-        crowds: &[URGENT],
+               lag, and the leader stops",
+        extra_jobs: &[URGENT],
         faults: |seed| {
             let [second, third] = first_leads();
             vec![
@@ -197,32 +199,32 @@
                     machine_group: (node_of(seed) + 2) % 3,
                     at: S * 52,
                 },
-                ends(0, S * 24 + MS * (900 * step_of(seed)), MS * 400),
-                ends(node_of(seed), S * 40 + MS * (900 * step_of(seed)), S * 3),
+                restart(0, S * 24 + MS * (900 * step_of(seed)), MS * 400),
+                restart(node_of(seed), S * 40 + MS * (900 * step_of(seed)), S * 3),
                 second,
                 third,
             ]
         },
-        met: |_, outcome| {
-            let seen = &outcome.evidence;
-            let early = seen.early_starts.iter();
+        occurred: |_, outcome| {
+            let evidence = &outcome.evidence;
+            let early = evidence.early_starts.iter();
             early.filter(|at| span(18, 100).contains(at)).count() > 2
-                && seen.late_writes.len() > 10
-                && seen.leaders_in(span(24, 60)) > 0
+                && evidence.late_writes.len() > 10
+                && evidence.leaders_in(span(24, 60)) > 0
         },
     },
-    Meeting {
-        name: "an old report reaches every controller just as a new leader begins",
-        crowds: &[LONG],
+    FaultCombination {
+        name: "an old report reaches every controller just as a new leader takes over",
+        extra_jobs: &[LONG],
         faults: |seed| {
-            // All are away for longer than a lease, so the copies that the next leader
-            // gets are of the session before.
-            let away = |node: usize| {
-                let later = (node + node_of(seed)) % 3;
-                ends(
+            // All controllers are down for longer than a lease, so the copies that the next
+            // leader receives belong to the previous session.
+            let long_restart = |node: usize| {
+                let order = (node + node_of(seed)) % 3;
+                restart(
                     node,
                     S * 32,
-                    S * 13 + MS * (700 * step_of(seed)) + S * later as u32,
+                    S * 13 + MS * (700 * step_of(seed)) + S * order as u32,
                 )
             };
             vec![
@@ -231,39 +233,44 @@
                     from: S * 15,
                     until: S * 110,
                 },
-                away(0),
-                away(1),
-                away(2),
-                ends(node_of(seed), S * 62, S * 5),
-                ends(1, S * 85, S * 4),
-                ends(2, S * 95, MS * 500),
+                long_restart(0),
+                long_restart(1),
+                long_restart(2),
+                restart(node_of(seed), S * 62, S * 5),
+                restart(1, S * 85, S * 4),
+                restart(2, S * 95, MS * 500),
             ]
         },
-        met: |_, outcome| {
-            let seen = &outcome.evidence;
-            let old_session = seen.old_reports.iter().any(|(_, earlier)| *earlier);
-            seen.reports_for_leader > 10 && old_session && seen.leaders_in(span(40, 60)) > 0
+        occurred: |_, outcome| {
+            let evidence = &outcome.evidence;
+            let of_earlier_session = evidence
+                .old_reports
+                .iter()
+                .any(|(_, earlier_session)| *earlier_session);
+            evidence.reports_for_leader > 10
+                && of_earlier_session
+                && evidence.leaders_in(span(40, 60)) > 0
         },
     },
-    Meeting {
+    FaultCombination {
         name: "one-task jobs come four a second for minutes, a quarter of them cancelled",
-        crowds: &[SINGLES],
+        extra_jobs: &[SINGLES],
         faults: |seed| match step_of(seed) {
             0 => Vec::new(),
             step => vec![
-                ends(node_of(seed), S * 60, MS * (300 * step)),
+                restart(node_of(seed), S * 60, MS * (300 * step)),
                 Fault::StateOutage {
                     from: S * 90,
                     until: S * (92 + 4 * step),
                 },
             ],
         },
-        met: |_, outcome| outcome.accepted > 480 && outcome.cancelled.len() > 90,
+        occurred: |_, outcome| outcome.accepted > 480 && outcome.cancelled.len() > 90,
     },
-    Meeting {
-        name: "a command of a leader or holder that has ended or was deposed arrives after \
-               the new one's",
-        crowds: &[URGENT],
+    FaultCombination {
+        name: "an order of a leader or holder that has stopped or lost its role arrives \
+               after one of its successor",
+        extra_jobs: &[URGENT],
         faults: |seed| {
             let node = node_of(seed);
             vec![
@@ -272,14 +279,14 @@
                     from: S * 20,
                     until: S * 110,
                 },
-                ends(node, S * 50 + MS * (600 * step_of(seed)), MS * 300),
+                restart(node, S * 50 + MS * (600 * step_of(seed)), MS * 300),
                 Fault::CutWorkers {
                     node: Some((node + 1) % 3),
                     machine_group: None,
                     from: S * 68,
                     until: S * 84,
                 },
-                ends((node + 2) % 3, S * 92, S * 3),
+                restart((node + 2) % 3, S * 92, S * 3),
                 Fault::CancelBurst {
                     count: 4,
                     at: S * 52,
@@ -290,7 +297,7 @@
                 },
             ]
         },
-        met: |_, outcome| {
+        occurred: |_, outcome| {
             let late = &outcome.evidence.late_orders;
             late.iter().any(|order| order.sender_ended) && late.iter().any(|order| order.fenced)
         },
--- a/crates/testkit/tests/meetings/rows.rs
+++ b/crates/testkit/tests/meetings/rows.rs
@@ -1,5 +1,4 @@
-//! The first eighteen rows: what happens to controllers, machines and the state
-//! service.
+//! The first eighteen combinations of faults, of controllers, machines and the state service.
 
 use std::{ops::Range, time::Duration};
 
@@ -11,26 +10,28 @@
 
 use crate::{MS, S};
 
-/// A meeting.
-pub struct Meeting {
+/// A combination of faults that overlap in time.
+pub struct FaultCombination {
     pub name: &'static str,
-    /// Jobs that come besides the drawn ones.
-    pub crowds: &'static [ExtraJobs],
+    /// Jobs that are submitted besides the drawn ones.
+    pub extra_jobs: &'static [ExtraJobs],
     pub faults: fn(seed: u64) -> Vec<Fault>,
-    /// Whether the troubles met.
-    pub met: fn(seed: u64, &Outcome) -> bool,
+    /// Whether the faults actually overlapped.
+    pub occurred: fn(seed: u64, &Outcome) -> bool,
 }
 
-/// The controller that a seed is about.
+/// The controller, or the machines by their number modulo three, that a seed selects.
 pub fn node_of(seed: u64) -> usize {
     seed as usize % 3
 }
 
+/// The times from `from` to `until`, in seconds.
 pub fn span(from: u64, until: u64) -> Range<Duration> {
     S * from as u32..S * until as u32
 }
 
-pub fn ends(node: usize, at: Duration, restart_after: Duration) -> Fault {
+/// Stops a controller at `at` and restarts it after `restart_after`.
+pub fn restart(node: usize, at: Duration, restart_after: Duration) -> Fault {
     Fault::Restart {
         node,
         at,
@@ -38,6 +39,7 @@
     }
 }
 
+/// Cuts a third of the machines off from all controllers.
 pub fn cut_machines(machine_group: usize, from: u32, until: u32) -> Fault {
     Fault::CutWorkers {
         node: None,
@@ -47,6 +49,7 @@
     }
 }
 
+/// The state service refuses a controller.
 pub fn refused(node: usize, from: u32, until: u32) -> Fault {
     Fault::StateRefusesNode {
         node,
@@ -55,8 +58,8 @@
     }
 }
 
-/// Cut from the state service and from all other controllers.
-pub fn lone(node: usize, from: u32, until: u32) -> [Fault; 2] {
+/// Cuts a controller off from the state service and from all other controllers.
+pub fn isolated(node: usize, from: u32, until: u32) -> [Fault; 2] {
     let (from, until) = (S * from, S * until);
     [
         Fault::CutState { node, from, until },
@@ -64,15 +67,15 @@
     ]
 }
 
-/// The others come up later, so the first one leads.
+/// The other controllers start 2 s later, so the first one becomes leader.
 pub fn first_leads() -> [Fault; 2] {
-    [1, 2].map(|node| ends(node, Duration::ZERO, S * 2))
+    [1, 2].map(|node| restart(node, Duration::ZERO, S * 2))
 }
 
-/// The state service refuses one controller, users call jobs off through others,
-/// then it is down for all for longer than the 30 s that a cancellation has.
-/// `gap_ms` lies between the refusal and the outage.
-pub fn first_meeting(node: usize, gap_ms: u32) -> Vec<Fault> {
+/// The state service refuses one controller, users cancel jobs through the other controllers,
+/// and then the service is down for all controllers for longer than the 30 s within which a
+/// cancellation must take effect. `gap_ms` is the time between the refusal and the outage.
+pub fn cancel_before_outage(node: usize, gap_ms: u32) -> Vec<Fault> {
     let [second, third] = first_leads();
     vec![
         refused(node, 40, 54),
@@ -89,25 +92,25 @@
     ]
 }
 
-/// Whether somebody else confirmed a cancellation while the one refused led, and
-/// workers went on getting its answers.
-pub fn first_met(node: usize, outcome: &Outcome) -> bool {
-    let seen = &outcome.evidence;
-    let leader = seen.leader_changes.iter().rfind(|(at, _)| *at < S * 40);
-    let told = seen
+/// Whether another controller confirmed a cancellation while the refused controller was leader,
+/// and workers continued to receive answers of the refused one.
+pub fn cancelled_before_outage(node: usize, outcome: &Outcome) -> bool {
+    let evidence = &outcome.evidence;
+    let leader = evidence.leader_changes.iter().rfind(|(at, _)| *at < S * 40);
+    let cancelled = evidence
         .cancelled
         .iter()
         .find(|c| (S * 40..S * 45).contains(&c.at) && c.by != node && c.on > 0);
-    let told_at = told.map(|c| c.at);
+    let cancelled_at = cancelled.map(|c| c.at);
     leader.is_some_and(|(_, n)| *n == node)
-        && told_at.is_some_and(|told| {
-            let later = |(at, by): &(Duration, usize)| *by == node && *at > told + S * 5;
-            seen.lease_renewals.iter().any(later)
+        && cancelled_at.is_some_and(|cancelled_at| {
+            let later = |(at, by): &(Duration, usize)| *by == node && *at > cancelled_at + S * 5;
+            evidence.lease_renewals.iter().any(later)
         })
 }
 
-/// Controllers end one after the other, all three within each ten seconds.
-fn ten_changes(seed: u64) -> Vec<Fault> {
+/// Controllers restart one after the other, all three within each ten seconds.
+fn ten_leader_changes(seed: u64) -> Vec<Fault> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut faults = vec![Fault::StateOutage {
         from: S * 80,
@@ -118,7 +121,7 @@
         for i in 0..3u32 {
             let at = S * (30 + 10 * round) + MS * (2500 * i + rng.u32(0..1500));
             let restart_after = MS * rng.u32(50..4000);
-            faults.push(ends((first + i as usize) % 3, at, restart_after));
+            faults.push(restart((first + i as usize) % 3, at, restart_after));
         }
     }
     faults
@@ -144,7 +147,7 @@
     until: Duration::from_secs(70),
     cancel_one_in: 0,
 };
-/// Few jobs of long tasks.
+/// A few jobs with long tasks.
 pub const LONG: ExtraJobs = ExtraJobs {
     class: "long",
     team: "red",
@@ -161,8 +164,8 @@
     ..URGENT
 };
 
-/// Whether a task of a job bound to one zone had to start once more.
-fn bound_started_again(outcome: &Outcome) -> bool {
+/// Whether a task of a job bound to one zone started again.
+fn zone_bound_task_restarted(outcome: &Outcome) -> bool {
     let mut starts: Vec<_> = outcome.starts.iter().map(|(_, task)| task).collect();
     starts.sort();
     let twice = starts.windows(2).filter(|pair| pair[0] == pair[1]);
@@ -170,9 +173,9 @@
     jobs.any(|spec| spec.shape == Shape::Array && (spec.one_zone || spec.zone.is_some()))
 }
 
-/// Whether the tasks of a job of two or three ended far apart, with the lead
-/// changing in between.
-fn ended_across(outcome: &Outcome) -> bool {
+/// Whether tasks of a job with two or three tasks ended more than 3 s apart, with a change of
+/// leader in between.
+fn ended_across_leader_change(outcome: &Outcome) -> bool {
     outcome.evidence.leader_changes.iter().any(|(led, _)| {
         outcome.ends.iter().any(|(first, task)| {
             let few = |spec: &JobSpec| (2..=3).contains(&spec.tasks);
@@ -185,10 +188,10 @@
     })
 }
 
-pub const MEETINGS: [Meeting; 18] = [
-    Meeting {
+pub const COMBINATIONS: [FaultCombination; 18] = [
+    FaultCombination {
         name: "an old report arrives after newer ones, also of an earlier session",
-        crowds: &[],
+        extra_jobs: &[],
         faults: |seed| {
             let machine_group = node_of(seed);
             vec![
@@ -202,23 +205,23 @@
                     from: S * 40,
                     until: S * 54,
                 },
-                ends(machine_group, S * 60, MS * 300),
+                restart(machine_group, S * 60, MS * 300),
                 cut_machines((machine_group + 1) % 3, 70, 84),
             ]
         },
-        met: |_, outcome| {
+        occurred: |_, outcome| {
             let old = &outcome.evidence.old_reports;
             old.len() > 50 && old.iter().any(|(_, earlier_session)| *earlier_session)
         },
     },
-    Meeting {
-        name: "a team is at its limit when the lead changes, some machines can't be asked, \
-               and a cancellation falls into that spell",
-        crowds: &[URGENT],
+    FaultCombination {
+        name: "a team is at its limit when the leader changes, some machines can't be \
+               queried, and jobs are cancelled meanwhile",
+        extra_jobs: &[URGENT],
         faults: |seed| {
             vec![
                 cut_machines(node_of(seed), 44, 75),
-                ends(0, S * 50, S * 6),
+                restart(0, S * 50, S * 6),
                 Fault::CancelBurst {
                     count: 5,
                     at: S * 52,
@@ -232,29 +235,30 @@
             .chain(first_leads())
             .collect()
         },
-        met: |_, outcome| {
-            let seen = &outcome.evidence;
+        occurred: |_, outcome| {
+            let evidence = &outcome.evidence;
             let at_limit = |(at, _): &(Duration, String)| span(40, 75).contains(at);
-            let told = seen.cancelled.iter().filter(|c| c.on > 0);
-            seen.leaders_in(span(50, 60)) > 0
+            let cancelled = evidence.cancelled.iter().filter(|c| c.on > 0);
+            evidence.leaders_in(span(50, 60)) > 0
                 && outcome.at_limit.iter().any(at_limit)
-                && told.filter(|c| span(50, 75).contains(&c.at)).count() > 0
+                && cancelled.filter(|c| span(50, 75).contains(&c.at)).count() > 0
         },
     },
-    Meeting {
-        name: "jobs are cancelled as the state service refuses the leader alone, and it is \
-               out a second later for longer than a cancellation has",
-        crowds: &[LONG],
-        faults: |seed| first_meeting(0, 500 * (seed as u32 % 6) + 500),
-        met: |_, outcome| first_met(0, outcome),
+    FaultCombination {
+        name: "jobs are cancelled as the state service refuses only the leader, and the \
+               service is down a second later for longer than the cancellation timeout",
+        extra_jobs: &[LONG],
+        faults: |seed| cancel_before_outage(0, 500 * (seed as u32 % 6) + 500),
+        occurred: |_, outcome| cancelled_before_outage(0, outcome),
     },
-    Meeting {
-        name: "a leader ends while machines can't be reached or don't hear the new one",
-        crowds: &[LONG],
+    FaultCombination {
+        name: "a leader stops while machines can't be reached or don't receive answers of \
+               the new one",
+        extra_jobs: &[LONG],
         faults: |seed| {
             let (machine_group, from, until) = (node_of(seed), S * 45, S * 70);
             vec![
-                ends(0, S * 50, S * 12),
+                restart(0, S * 50, S * 12),
                 cut_machines(machine_group, 46, 66),
                 Fault::AnswersLost {
                     machine_group: (machine_group + 1) % 3,
@@ -266,14 +270,16 @@
             .chain(first_leads())
             .collect()
         },
-        met: |_, outcome| {
-            let seen = &outcome.evidence;
-            seen.leaders_in(span(50, 60)) > 0 && seen.lost_report_answers > 3 && outcome.lost > 0
+        occurred: |_, outcome| {
+            let evidence = &outcome.evidence;
+            evidence.leaders_in(span(50, 60)) > 0
+                && evidence.lost_report_answers > 3
+                && outcome.lost > 0
         },
     },
-    Meeting {
-        name: "a report is held back until a new leader has acted, and then arrives there",
-        crowds: &[],
+    FaultCombination {
+        name: "a report is delayed until a new leader has acted, and then arrives there",
+        extra_jobs: &[],
         faults: |seed| {
             let held = |node| Fault::CutWorkers {
                 node: Some(node),
@@ -282,21 +288,21 @@
                 until: S * 60,
             };
             let [second, third] = first_leads();
-            vec![ends(0, S * 50, S * 30), held(1), held(2), second, third]
+            vec![restart(0, S * 50, S * 30), held(1), held(2), second, third]
         },
-        met: |_, outcome| {
+        occurred: |_, outcome| {
             let across = &outcome.evidence.reports_across_leaders;
             across.iter().any(|at| span(59, 63).contains(at))
         },
     },
-    Meeting {
+    FaultCombination {
         name: "jobs of two or three tasks end far apart across a change of leader",
-        crowds: &[SMALL_JOBS],
+        extra_jobs: &[SMALL_JOBS],
         faults: |seed| {
             let restart_after = MS * (200 + 900 * (seed as u32 % 6));
             (0..8u32)
                 .map(|i| {
-                    ends(
+                    restart(
                         (seed as usize + i as usize) % 3,
                         S * (40 + 9 * i),
                         restart_after,
@@ -304,11 +310,11 @@
                 })
                 .collect()
         },
-        met: |_, outcome| ended_across(outcome),
+        occurred: |_, outcome| ended_across_leader_change(outcome),
     },
-    Meeting {
-        name: "a command or its answer is held up for seconds, and the machine goes on",
-        crowds: &[],
+    FaultCombination {
+        name: "an order or its answer is delayed for seconds, and the machine continues",
+        extra_jobs: &[],
         faults: |seed| {
             vec![
                 Fault::DelayedOrders {
@@ -316,18 +322,19 @@
                     from: S * 20,
                     until: S * 130,
                 },
-                ends(node_of(seed), S * 60, MS * 400),
+                restart(node_of(seed), S * 60, MS * 400),
                 Fault::CancelBurst {
                     count: 4,
                     at: S * 70,
                 },
             ]
         },
-        met: |_, outcome| outcome.evidence.delayed_orders > 20,
+        occurred: |_, outcome| outcome.evidence.delayed_orders > 20,
     },
-    Meeting {
-        name: "a cancellation, a question or a repeat meets the end of a job's last task",
-        crowds: &[SMALL_JOBS],
+    FaultCombination {
+        name: "a cancellation, a query or a repeated request coincides with the end of \
+               a job's last task",
+        extra_jobs: &[SMALL_JOBS],
         faults: |_| {
             vec![Fault::RequestsAtJobEnd {
                 one_in: 1,
@@ -335,14 +342,14 @@
                 until: S * 200,
             }]
         },
-        met: |_, outcome| outcome.evidence.requests_at_job_end.iter().all(|n| *n > 2),
+        occurred: |_, outcome| outcome.evidence.requests_at_job_end.iter().all(|n| *n > 2),
     },
-    Meeting {
-        name: "the state service answers slowly, or refuses the leader alone and then \
-               everybody, while users cancel and ask",
-        crowds: &[LONG],
+    FaultCombination {
+        name: "the state service answers slowly, or refuses only the leader and then all \
+               controllers, while users cancel jobs and query",
+        extra_jobs: &[LONG],
         faults: |seed| {
-            let mut faults = first_meeting(0, 1500);
+            let mut faults = cancel_before_outage(0, 1500);
             faults.push(Fault::SlowState {
                 lag: MS * (400 + 200 * (seed as u32 % 6)),
                 from: S * 95,
@@ -363,27 +370,27 @@
             });
             faults
         },
-        met: |_, outcome| {
-            let seen = &outcome.evidence;
-            let told = |c: &&Cancelled| c.at > S * 95;
-            seen.slow_answers > 20 && seen.cancelled.iter().any(|c| told(&c))
+        occurred: |_, outcome| {
+            let evidence = &outcome.evidence;
+            let is_late = |c: &&Cancelled| c.at > S * 95;
+            evidence.slow_answers > 20 && evidence.cancelled.iter().any(|c| is_late(&c))
         },
     },
-    Meeting {
+    FaultCombination {
         name: "leaders change ten times in two minutes, also inside an outage",
-        crowds: &[],
-        faults: ten_changes,
-        met: |_, outcome| {
-            let seen = &outcome.evidence;
+        extra_jobs: &[],
+        faults: ten_leader_changes,
+        occurred: |_, outcome| {
+            let evidence = &outcome.evidence;
             let inside = |(at, _): &&(Duration, usize)| span(80, 95).contains(at);
-            seen.leaders_in(span(30, 150)) >= 10
-                && seen.controller_starts.iter().any(|b| inside(&b))
+            evidence.leaders_in(span(30, 150)) >= 10
+                && evidence.controller_starts.iter().any(|b| inside(&b))
         },
     },
-    Meeting {
-        name: "a transaction without an answer is carried out late, after newer ones of \
+    FaultCombination {
+        name: "a transaction without an answer is executed late, after newer ones of \
                the same controller",
-        crowds: &[],
+        extra_jobs: &[],
         faults: |seed| {
             vec![
                 Fault::LateWrites {
@@ -391,18 +398,18 @@
                     from: S * 20,
                     until: S * 120,
                 },
-                ends(node_of(seed), S * 70, MS * 500),
+                restart(node_of(seed), S * 70, MS * 500),
             ]
         },
-        met: |_, outcome| {
+        occurred: |_, outcome| {
             let late = &outcome.evidence.late_writes;
             let overtaken = |w: &&LateWrite| w.overtaken_by > 0;
             late.iter().filter(overtaken).count() > 10 && late.iter().any(|w| w.took_effect)
         },
     },
-    Meeting {
-        name: "workers can't open connections to any controller, direct commands reach them",
-        crowds: &[URGENT],
+    FaultCombination {
+        name: "workers can't open connections to any controller, direct orders reach them",
+        extra_jobs: &[URGENT],
         faults: |seed| {
             vec![
                 Fault::ReportsLost {
@@ -410,7 +417,7 @@
                     from: S * 40,
                     until: S * 85,
                 },
-                ends(0, S * 60, S * 5),
+                restart(0, S * 60, S * 5),
                 Fault::CancelBurst {
                     count: 6,
                     at: S * 42,
@@ -421,11 +428,11 @@
                 },
             ]
         },
-        met: |_, outcome| outcome.evidence.orders_during_report_loss > 0,
+        occurred: |_, outcome| outcome.evidence.orders_during_report_loss > 0,
     },
-    Meeting {
+    FaultCombination {
         name: "a zone with workers and a controller is cut off for longer than a lease",
-        crowds: &[URGENT],
+        extra_jobs: &[URGENT],
         faults: |seed| {
             vec![
                 Fault::ZoneCut {
@@ -443,34 +450,34 @@
                 },
             ]
         },
-        met: |seed, outcome| {
-            let seen = &outcome.evidence;
+        occurred: |seed, outcome| {
+            let evidence = &outcome.evidence;
             let inside = |(at, by): &(Duration, usize)| {
                 span(42, 72).contains(at) && by % 2 == seed as usize % 2
             };
-            seen.lease_renewals.iter().any(inside) && outcome.lost > 0
+            evidence.lease_renewals.iter().any(inside) && outcome.lost > 0
         },
     },
-    Meeting {
-        name: "all controllers are away for longer than a lease",
-        crowds: &[URGENT],
+    FaultCombination {
+        name: "all controllers are down for longer than a lease",
+        extra_jobs: &[URGENT],
         faults: |seed| {
             let restart_after = |i: u32| S * (14 + (seed as u32 + i) % 6);
             (0..3u32)
-                .map(|i| ends(i as usize, S * 50, restart_after(i)))
+                .map(|i| restart(i as usize, S * 50, restart_after(i)))
                 .collect()
         },
-        met: |_, outcome| {
-            let begun = outcome.evidence.controller_starts.iter();
-            begun.filter(|(at, _)| span(50, 63).contains(at)).count() == 0 && outcome.lost > 0
+        occurred: |_, outcome| {
+            let started = outcome.evidence.controller_starts.iter();
+            started.filter(|(at, _)| span(50, 63).contains(at)).count() == 0 && outcome.lost > 0
         },
     },
-    Meeting {
-        name: "a leader is cut from the state service and the other controllers while \
+    FaultCombination {
+        name: "a leader is cut off from the state service and the other controllers while \
                workers and users reach it, and jobs are cancelled through the new one",
-        crowds: &[URGENT],
+        extra_jobs: &[URGENT],
         faults: |seed| {
-            let mut faults = lone(0, 40, 75).to_vec();
+            let mut faults = isolated(0, 40, 75).to_vec();
             faults.extend(first_leads());
             faults.push(Fault::CancelBurst {
                 count: 8,
@@ -478,19 +485,21 @@
             });
             faults
         },
-        met: |_, outcome| {
-            let seen = &outcome.evidence;
-            let told = seen
+        occurred: |_, outcome| {
+            let evidence = &outcome.evidence;
+            let cancelled = evidence
                 .cancelled
                 .iter()
                 .any(|c| span(43, 60).contains(&c.at) && c.by != 0 && c.on > 0);
             let served = |(at, by): &(Duration, usize)| *by == 0 && span(40, 50).contains(at);
-            seen.leaders_in(span(40, 50)) > 0 && told && seen.lease_renewals.iter().any(served)
+            evidence.leaders_in(span(40, 50)) > 0
+                && cancelled
+                && evidence.lease_renewals.iter().any(served)
         },
     },
-    Meeting {
-        name: "there is more work than room, urgent and not, over slow links",
-        crowds: &[URGENT, PATIENT],
+    FaultCombination {
+        name: "there is more work than capacity, urgent and not, over slow links",
+        extra_jobs: &[URGENT, PATIENT],
         faults: |seed| {
             let mut faults = Vec::new();
             for node in 0..3 {
@@ -509,14 +518,14 @@
             }
             faults
         },
-        met: |_, outcome| {
+        occurred: |_, outcome| {
             let waited = outcome.longest_start_delay().map(|(waited, _)| waited);
             waited > Some(S * 20) && outcome.slowest_report_answer > S / 2
         },
     },
-    Meeting {
-        name: "jobs bound to one zone, arrays too, lose machines",
-        crowds: &[URGENT],
+    FaultCombination {
+        name: "jobs bound to one zone, also arrays, lose machines",
+        extra_jobs: &[URGENT],
         faults: |seed| {
             let machine_group = node_of(seed);
             vec![
@@ -532,20 +541,20 @@
                 cut_machines((machine_group + 2) % 3, 95, 115),
             ]
         },
-        met: |_, outcome| bound_started_again(outcome),
+        occurred: |_, outcome| zone_bound_task_restarted(outcome),
     },
-    Meeting {
-        name: "controllers hand over and back, all end, and one returns, also within a second",
-        crowds: &[],
+    FaultCombination {
+        name: "controllers hand over and back, all stop, and one returns, also within a second",
+        extra_jobs: &[],
         faults: |seed| {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let mut faults = vec![ends(0, S * 30, MS * 4500), ends(1, S * 42, MS * 4500)];
+            let mut faults = vec![restart(0, S * 30, MS * 4500), restart(1, S * 42, MS * 4500)];
             for at in [S * 55, S * 90] {
                 let first = rng.usize(0..3);
-                faults.push(ends(first, at, MS * rng.u32(50..900)));
+                faults.push(restart(first, at, MS * rng.u32(50..900)));
                 for i in 1..3 {
                     let restart_after = S * rng.u32(8..16);
-                    faults.push(ends(
+                    faults.push(restart(
                         (first + i) % 3,
                         at + MS * rng.u32(0..300),
                         restart_after,
@@ -554,16 +563,16 @@
             }
             faults
         },
-        met: |_, outcome| {
-            let seen = &outcome.evidence;
-            let alone = |from: u64| {
-                let begun = seen.controller_starts.iter();
-                begun
+        occurred: |_, outcome| {
+            let evidence = &outcome.evidence;
+            let one_started = |from: u64| {
+                let started = evidence.controller_starts.iter();
+                started
                     .filter(|(at, _)| span(from, from + 5).contains(at))
                     .count()
                     == 1
             };
-            alone(55) && alone(90) && seen.leaders_in(span(55, 60)) > 0
+            one_started(55) && one_started(90) && evidence.leaders_in(span(55, 60)) > 0
         },
     },
 ];
--- a/crates/testkit/tests/meetings/sabotage.rs
+++ b/crates/testkit/tests/meetings/sabotage.rs
@@ -1,23 +1,36 @@
-//! Each check and each guard is tripped by breaking the code on purpose.
+//! Each check and each guard is triggered by sabotage of the code.
 
 use oliveshift_core::Sabotage;
 use oliveshift_testkit::{Fault, Outcome, RuleViolation};
 
-use crate::{MS, S, SEEDS, observers::close_looks, play, rows::URGENT};
+use crate::{MS, S, SEEDS, observers::follow_up_requests, rows::URGENT, run_simulation};
 
-/// Whether breaking the code on purpose shows on some of the days.
-pub fn is_caught(
+/// Asserts that `is_caught` holds with `sabotage` for one of the seeds.
+pub fn assert_caught(
     sabotage: Sabotage,
     faults: fn(u64) -> Vec<Fault>,
-    shows: impl Fn(&Outcome) -> bool,
+    is_caught: impl Fn(&Outcome) -> bool,
 ) {
     let mut seeds = SEEDS;
-    let caught = seeds.any(|seed| shows(&play(&[URGENT], seed, faults(seed), Some(sabotage))));
-    assert!(caught, "{sabotage:?} went unnoticed");
+    let caught = seeds.any(|seed| {
+        is_caught(&run_simulation(
+            &[URGENT],
+            seed,
+            faults(seed),
+            Some(sabotage),
+        ))
+    });
+    assert!(caught, "{sabotage:?} was not caught with any seed");
 }
 
-pub fn broke(rule: RuleViolation) -> impl Fn(&Outcome) -> bool {
-    move |outcome| outcome.violations.iter().any(|(_, b, _)| *b == rule)
+/// Returns a predicate: whether an outcome violates `rule`.
+pub fn violates(rule: RuleViolation) -> impl Fn(&Outcome) -> bool {
+    move |outcome| {
+        outcome
+            .violations
+            .iter()
+            .any(|(_, violated, _)| *violated == rule)
+    }
 }
 
 fn cancels(_: u64) -> Vec<Fault> {
@@ -28,66 +41,66 @@
 }
 
 #[test]
-fn tasks_of_cancelled_jobs_that_go_on_or_start_are_caught() {
-    is_caught(
+fn tasks_of_cancelled_jobs_that_keep_running_or_start_are_caught() {
+    assert_caught(
         Sabotage::NoStops,
         cancels,
-        broke(RuleViolation::RanCancelled),
+        violates(RuleViolation::RanCancelled),
     );
-    is_caught(Sabotage::NoStops, cancels, |outcome| {
+    assert_caught(Sabotage::NoStops, cancels, |outcome| {
         outcome.late_starts > 0
     });
 }
 
 #[test]
-fn leaving_questions_unanswered_is_caught() {
-    is_caught(
+fn leaving_requests_unanswered_is_caught() {
+    assert_caught(
         Sabotage::UnansweredRequests,
         cancels,
-        broke(RuleViolation::Forgotten),
+        violates(RuleViolation::Forgotten),
     );
 }
 
 #[test]
-fn leaving_work_beside_room_is_caught() {
-    is_caught(
+fn leaving_work_waiting_beside_free_capacity_is_caught() {
+    assert_caught(
         Sabotage::SkippedJobs,
         cancels,
-        broke(RuleViolation::LeftWaiting),
+        violates(RuleViolation::LeftWaiting),
     );
 }
 
 #[test]
-fn accepting_what_can_not_run_is_caught() {
-    let odd = |_| {
+fn accepting_jobs_that_cannot_run_is_caught() {
+    let unusual_requests = |_| {
         vec![Fault::UnusualRequests {
             from: S * 20,
             until: S * 60,
         }]
     };
-    is_caught(
+    assert_caught(
         Sabotage::NoAdmissionChecks,
-        odd,
-        broke(RuleViolation::Unfit),
+        unusual_requests,
+        violates(RuleViolation::Unfit),
     );
 }
 
-/// Whatever one controller has told, another that answers from memory takes back.
+/// A controller that answers from memory contradicts what another controller has answered.
 #[test]
-fn answers_from_memory_are_caught_by_close_looks() {
-    let looks = |_| vec![close_looks()];
-    is_caught(Sabotage::FromMemory, looks, |outcome| {
-        let older = [RuleViolation::Forgotten, RuleViolation::WentBack];
+fn answers_from_memory_are_caught_by_follow_up_requests() {
+    let faults = |_| vec![follow_up_requests()];
+    assert_caught(Sabotage::FromMemory, faults, |outcome| {
+        let rules = [RuleViolation::Forgotten, RuleViolation::WentBack];
         outcome
             .violations
             .iter()
-            .any(|(_, rule, _)| older.contains(rule))
+            .any(|(_, rule, _)| rules.contains(rule))
     });
 }
 
-/// A start that was held up arrives after its attempt was forgotten.
+/// A delayed start order arrives after its attempt was forgotten.
 #[test]
-fn forgetting_that_a_start_may_come_late_is_caught() {
+fn ignoring_late_starts_is_caught() {
     let faults = |seed| {
         let mut faults = vec![Fault::DelayedOrders {
             one_in: 2,
@@ -100,15 +113,15 @@
         }));
         faults
     };
-    is_caught(Sabotage::NoLateStarts, faults, |outcome| {
+    assert_caught(Sabotage::NoLateStarts, faults, |outcome| {
         !outcome.violations.is_empty() || outcome.late_starts > 0
     });
 }
 
-/// What a write without an answer has handed out is counted, or a team at its limit
-/// gets beyond it.
+/// Assignments by a write without an answer must be counted; otherwise a team at its limit
+/// exceeds it.
 #[test]
-fn forgetting_hand_outs_in_doubt_is_caught() {
+fn ignoring_unconfirmed_assignments_is_caught() {
     let faults = |_| {
         vec![Fault::LateWrites {
             one_in: 2,
@@ -116,9 +129,9 @@
             until: S * 140,
         }]
     };
-    is_caught(
+    assert_caught(
         Sabotage::LostAnswerAsFailure,
         faults,
-        broke(RuleViolation::Quota),
+        violates(RuleViolation::Quota),
     );
 }
