--- a/crates/testkit/src/draws.rs
+++ b/crates/testkit/src/draws.rs
@@ -232,7 +232,7 @@
     faults
 }
 
-/// Draws two to four faults that the operators' on-call engineers have seen in production,
+/// Draws two to four faults that the on-call engineers of operators have met,
 /// on top of [`draw_quick_restarts`]: a controller is paused for seconds while its clocks
 /// run on, is down for a minute or more, reaches its workers but not the state service or
 /// the reverse, or is the only one that the state service rejects.
@@ -271,7 +271,7 @@
 }
 
 /// Draws two to four faults of the kinds whose combinations operators reported, on top of
-/// [`draw_incidents`], and adds those of [`draw_observers`].
+/// [`draw_incidents`], and adds those of `draw_observers`.
 pub fn draw_combined_faults(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
     let mut faults = draw_incidents(seed, nodes, end);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x6d65_6574);
