--- a/crates/daemon/src/cwl.rs
+++ b/crates/daemon/src/cwl.rs
@@ -16,7 +16,7 @@
     load::{self, Resolver},
 };
 use oliveshift_wire::wes::State;
-use oliveshift_workflow::plan::{Plan, Planned, plan};
+use oliveshift_workflow::plan::{Plan, PlannedJob, plan};
 use termtree::Tree;
 use thiserror::Error;
 
@@ -362,8 +362,8 @@
         let awaits = job.awaits.iter();
         lines.extend(awaits.map(|awaited| format!("  {} -> {step};", quoted(awaited))));
     }
-    for later in &plan.later {
-        let label = quoted(&format!("{}: {}", later.step, later.why));
+    for later in &plan.deferred_steps {
+        let label = quoted(&format!("{}: {}", later.step, later.reason));
         lines.push(format!(
             "  {} [label={label}, style=dashed];",
             quoted(&later.step)
@@ -381,8 +381,8 @@
             tree.push(job_tree(plan, i));
         }
     }
-    for later in &plan.later {
-        tree.push(Tree::new(format!("{}: {}", later.step, later.why)));
+    for later in &plan.deferred_steps {
+        tree.push(Tree::new(format!("{}: {}", later.step, later.reason)));
     }
     tree
 }
@@ -400,7 +400,7 @@
     tree
 }
 
-fn describe_job(job: &Planned) -> String {
+fn describe_job(job: &PlannedJob) -> String {
     let tasks = match job.tasks {
         1 => "1 task".to_owned(),
         n => format!("{n} tasks"),
--- a/crates/workflow/examples/measure.rs
+++ b/crates/workflow/examples/measure.rs
@@ -23,7 +23,7 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use support::{example, leaves, stored};
+use support::{answer_store_call, example, task_result};
 
 const S: Duration = Duration::from_secs(1);
 
@@ -142,7 +142,7 @@
                         if let StoreCall::Txn(txn) = &ask {
                             writes += txn.changes.len();
                         }
-                        let reply = stored(&mut state, now, &ask);
+                        let reply = answer_store_call(&mut state, now, &ask);
                         let reply = api::store_reply(&ask, reply);
                         inputs.push(Input::Store(call, reply));
                     }
@@ -165,7 +165,7 @@
                     }
                     Output::Results(call, id, tasks) => {
                         let class = &jobs[&id].0;
-                        let results = (0..tasks).map(|i| leaves(class, &id, i, 0)).collect();
+                        let results = (0..tasks).map(|i| task_result(class, &id, i, 0)).collect();
                         inputs.push(Input::Results(call, Some(results)));
                     }
                     Output::Text(call, _) => inputs.push(Input::Text(call, None)),
--- a/crates/workflow/src/active.rs
+++ b/crates/workflow/src/active.rs
@@ -18,8 +18,8 @@
 };
 
 use crate::{
-    flow::{JobKey, Run, Work},
-    job::{Defaults, TaskResult, spec},
+    flow::{JobKey, JobRequest, Run},
+    job::{Defaults, TaskResult, job_spec},
     records::{
         JobRecord, RunId, RunRecord, RunState, StoredRun, piece_key, pieces, put, put_text, run_key,
     },
@@ -246,9 +246,9 @@
 
     /// Lets the flow go on and takes up the work that comes of it.
     fn advance(&mut self, unix_s: u64) {
-        for Work {
+        for JobRequest {
             key,
-            needed,
+            requirements,
             tasks,
             awaits,
         } in self.flow.advance()
@@ -262,7 +262,7 @@
             let ids = awaits.iter().filter_map(|k| self.jobs.get(k));
             let ids = ids.map(|job| job.spec.id.clone()).collect();
             let gone = unix_s.saturating_sub(self.record.begun_s) as f64;
-            let spec = spec(id, &needed, tasks, ids, &self.defaults, gone);
+            let spec = job_spec(id, &requirements, tasks, ids, &self.defaults, gone);
             let job = Job {
                 awaits: Some(awaits),
                 spec,
@@ -375,7 +375,7 @@
 
     /// Submits, polls and fetches.
     fn go_on(&mut self, now: Duration, most: usize, acts: &mut Vec<Act>) {
-        let wanted: Vec<_> = self.flow.wanted().cloned().collect();
+        let wanted: Vec<_> = self.flow.files_to_read().cloned().collect();
         for location in wanted {
             if acts.len() < most && self.texts.insert(location.clone()) {
                 acts.push(Act::Text(location));
@@ -498,7 +498,7 @@
             (JobState::Written, JobReply::Refused(reason)) => {
                 job.state = JobState::Over;
                 let reason = format!("its job was refused: {reason}");
-                self.flow.refused(key, reason);
+                self.flow.job_failed(key, reason);
             }
             (JobState::Written, JobReply::Unknown) => job.next = now + RETRY,
             (JobState::Written | JobState::Accepted, JobReply::Known(phase)) => {
@@ -510,7 +510,8 @@
                     JobPhase::Done => job.state = JobState::Done,
                     JobPhase::Cancelled => {
                         job.state = JobState::Over;
-                        self.flow.refused(key, "its job was cancelled".to_owned());
+                        self.flow
+                            .job_failed(key, "its job was cancelled".to_owned());
                     }
                     JobPhase::Pending | JobPhase::Running => {}
                 }
@@ -561,7 +562,7 @@
         match results {
             Some(results) => {
                 job.state = JobState::Over;
-                self.flow.ended(key, &results);
+                self.flow.job_done(key, &results);
             }
             None => job.next = now + RETRY,
         }
@@ -569,6 +570,6 @@
 
     /// The beginning of a file; none: there is no such file.
     pub fn text(&mut self, location: &str, text: Option<String>) {
-        self.flow.text(location, text);
+        self.flow.file_read(location, text);
     }
 }
--- a/crates/workflow/src/documents.rs
+++ b/crates/workflow/src/documents.rs
@@ -11,11 +11,11 @@
 use crate::records::Bundle;
 
 /// The most that are kept.
-const MOST: usize = 64;
+const MAX_CACHED_DOCUMENTS: usize = 64;
 
 /// A document and what it was read as.
 #[derive(Debug)]
-struct Known {
+struct CachedDocument {
     main: String,
     files: std::collections::BTreeMap<String, String>,
     process: Process,
@@ -23,24 +23,24 @@
 
 /// Documents, the last used first.
 #[derive(Debug, Default)]
-pub struct Documents {
-    known: VecDeque<Arc<Known>>,
+pub struct DocumentCache {
+    known: VecDeque<Arc<CachedDocument>>,
 }
 
-impl Documents {
+impl DocumentCache {
     /// What a bundle runs.
     ///
     /// # Errors
     /// The first fault of its document, in words.
     pub fn read(&mut self, bundle: &Bundle) -> Result<Process, String> {
-        let same = |k: &Arc<Known>| k.main == bundle.main && k.files == bundle.files;
+        let same = |k: &Arc<CachedDocument>| k.main == bundle.main && k.files == bundle.files;
         let known = match self.known.iter().position(same) {
             Some(i) => self.known.remove(i),
             None => None,
         };
         let known = match known {
             Some(known) => known,
-            None => Arc::new(Known {
+            None => Arc::new(CachedDocument {
                 process: load::load(bundle, &bundle.main).map_err(|f| f.to_string())?,
                 main: bundle.main.clone(),
                 files: bundle.files.clone(),
@@ -48,7 +48,7 @@
         };
         let process = known.process.clone();
         self.known.push_front(known);
-        self.known.truncate(MOST);
+        self.known.truncate(MAX_CACHED_DOCUMENTS);
         Ok(process)
     }
 }
@@ -75,18 +75,18 @@
             },
         }
         };
-        let mut documents = Documents::default();
+        let mut documents = DocumentCache::default();
         let tool = |process: Process| match process {
             Process::Tool(tool) => tool,
             other => panic!("{other:?}"),
         };
         let first = tool(documents.read(&bundle("echo")).expect("good"));
-        for i in 0..MOST - 1 {
+        for i in 0..MAX_CACHED_DOCUMENTS - 1 {
             documents.read(&bundle(&format!("w{i}"))).expect("good");
         }
         let again = tool(documents.read(&bundle("echo")).expect("good"));
         assert!(Arc::ptr_eq(&first, &again));
-        for i in 0..MOST {
+        for i in 0..MAX_CACHED_DOCUMENTS {
             documents.read(&bundle(&format!("v{i}"))).expect("good");
         }
         let anew = tool(documents.read(&bundle("echo")).expect("good"));
--- a/crates/workflow/src/flow.rs
+++ b/crates/workflow/src/flow.rs
@@ -17,7 +17,7 @@
 };
 use serde_json::{Map, Value};
 
-use crate::job::{Needed, TaskResult, is_early, needed};
+use crate::job::{TaskRequirements, TaskResult, can_submit_early, task_requirements};
 
 /// The most workflows in one run, those of scattered steps counted each.
 const MAX_FLOWS: usize = 10_000;
@@ -33,11 +33,11 @@
 
 /// Work to be submitted.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Work {
+pub struct JobRequest {
     /// Its name in the run.
     pub key: JobKey,
     /// What its tasks need.
-    pub needed: Needed,
+    pub requirements: TaskRequirements,
     /// How many.
     pub tasks: u32,
     /// Work that has to be done before.
@@ -94,7 +94,7 @@
     engine: Engine,
     flows: Vec<Flow>,
     texts: BTreeMap<String, String>,
-    wanted: BTreeSet<String>,
+    files_to_read: BTreeSet<String>,
     failure: Option<Failure>,
     outputs: Option<Value>,
 }
@@ -117,7 +117,7 @@
             engine,
             flows: Vec::new(),
             texts: BTreeMap::new(),
-            wanted: BTreeSet::new(),
+            files_to_read: BTreeSet::new(),
             failure: None,
             outputs: None,
         };
@@ -154,13 +154,13 @@
     }
 
     /// Files whose beginnings are needed to go on.
-    pub fn wanted(&self) -> impl Iterator<Item = &String> {
-        self.wanted.iter()
+    pub fn files_to_read(&self) -> impl Iterator<Item = &String> {
+        self.files_to_read.iter()
     }
 
     /// The beginning of a file; none: there is no such file.
-    pub fn text(&mut self, location: &str, text: Option<String>) {
-        self.wanted.remove(location);
+    pub fn file_read(&mut self, location: &str, text: Option<String>) {
+        self.files_to_read.remove(location);
         match text {
             Some(text) => {
                 self.texts.insert(location.to_owned(), text);
@@ -176,7 +176,7 @@
     }
 
     /// Steps that have not begun, and what they wait for.
-    pub fn outstanding(&self) -> impl Iterator<Item = (String, String)> {
+    pub fn waiting_steps(&self) -> impl Iterator<Item = (String, String)> {
         self.flows.iter().enumerate().flat_map(move |(f, flow)| {
             let waits = flow.workflow.steps.iter().zip(&flow.states);
             let waits = waits.filter(|(_, state)| matches!(state, State::Waiting));
@@ -210,12 +210,12 @@
     }
 
     /// A job will never be done.
-    pub fn refused(&mut self, key: &JobKey, reason: String) {
+    pub fn job_failed(&mut self, key: &JobKey, reason: String) {
         self.fails(&key.step, reason);
     }
 
     /// Goes on as far as it can and returns what is to be submitted.
-    pub fn advance(&mut self) -> Vec<Work> {
+    pub fn advance(&mut self) -> Vec<JobRequest> {
         let mut work = Vec::new();
         let mut moved = true;
         while moved && self.failure.is_none() && self.outputs.is_none() {
@@ -237,7 +237,7 @@
     }
 
     /// Moves a step on; true if it moved.
-    fn step(&mut self, f: usize, s: usize, work: &mut Vec<Work>) -> bool {
+    fn step(&mut self, f: usize, s: usize, work: &mut Vec<JobRequest>) -> bool {
         let workflow = self.flows[f].workflow.clone();
         let step = &workflow.steps[s];
         match &self.flows[f].states[s] {
@@ -292,13 +292,13 @@
     }
 
     fn wants_texts(&mut self, f: usize, step: &Step) -> bool {
-        let wanted = values::wanted_contents(step, &|source| self.value(f, source));
-        let missing: Vec<_> = wanted
+        let files_to_read = values::wanted_contents(step, &|source| self.value(f, source));
+        let missing: Vec<_> = files_to_read
             .into_iter()
             .filter(|w| !self.texts.contains_key(w))
             .collect();
         let any = !missing.is_empty();
-        self.wanted.extend(missing);
+        self.files_to_read.extend(missing);
         any
     }
 
@@ -314,12 +314,12 @@
         s: usize,
         step: &Step,
         members: values::Members,
-        work: &mut Vec<Work>,
+        work: &mut Vec<JobRequest>,
     ) -> bool {
         let path = self.path(f, step);
         let scattered = !members.shape.is_empty();
         let mut parts = Vec::with_capacity(members.members.len());
-        let mut groups: Vec<(Needed, u32)> = Vec::new();
+        let mut groups: Vec<(TaskRequirements, u32)> = Vec::new();
         for (m, member) in members.members.iter().enumerate() {
             if !member.runs {
                 parts.push(Part::Skipped);
@@ -327,14 +327,14 @@
             }
             let part = match &step.run {
                 Process::Tool(tool) => {
-                    let needed = needed(tool, Some(&member.inputs), &self.engine);
-                    needed.map(|needed| {
-                        let needed = needed.expect("told with inputs");
+                    let requirements = task_requirements(tool, Some(&member.inputs), &self.engine);
+                    requirements.map(|requirements| {
+                        let requirements = requirements.expect("told with inputs");
                         // Members in a row mostly need the same.
-                        let group = match groups.iter().rposition(|g| g.0 == needed) {
+                        let group = match groups.iter().rposition(|g| g.0 == requirements) {
                             Some(group) => group,
                             None => {
-                                groups.push((needed, 0));
+                                groups.push((requirements, 0));
                                 groups.len() - 1
                             }
                         };
@@ -376,13 +376,13 @@
                 }
             }
         }
-        for (group, (needed, tasks)) in groups.into_iter().enumerate() {
-            work.push(Work {
+        for (group, (requirements, tasks)) in groups.into_iter().enumerate() {
+            work.push(JobRequest {
                 key: JobKey {
                     step: path.clone(),
                     group: group as u32,
                 },
-                needed,
+                requirements,
                 tasks,
                 awaits: Vec::new(),
             });
@@ -397,12 +397,12 @@
 
     /// Begins a step whose inputs are made by work that is under way, if what
     /// it needs and how many members it has is known.
-    fn begin_early(&mut self, f: usize, s: usize, step: &Step, work: &mut Vec<Work>) -> bool {
+    fn begin_early(&mut self, f: usize, s: usize, step: &Step, work: &mut Vec<JobRequest>) -> bool {
         let Process::Tool(tool) = &step.run else {
             return false;
         };
-        let needed = match needed(tool, None, &self.engine) {
-            Ok(Some(needed)) if is_early(step) => needed,
+        let requirements = match task_requirements(tool, None, &self.engine) {
+            Ok(Some(requirements)) if can_submit_early(step) => requirements,
             _ => return false,
         };
         let Some(shape) = self.early_shape(f, step) else {
@@ -424,9 +424,9 @@
             index,
         });
         let parts = parts.collect();
-        work.push(Work {
+        work.push(JobRequest {
             key,
-            needed,
+            requirements,
             tasks: count as u32,
             awaits,
         });
@@ -560,7 +560,7 @@
     }
 
     /// A job is done: what its tasks left behind, in order.
-    pub fn ended(&mut self, key: &JobKey, results: &[TaskResult]) {
+    pub fn job_done(&mut self, key: &JobKey, results: &[TaskResult]) {
         for f in 0..self.flows.len() {
             for s in 0..self.flows[f].states.len() {
                 let workflow = self.flows[f].workflow.clone();
@@ -624,7 +624,8 @@
             let made = match results.get(*index as usize) {
                 Some(result) => {
                     let inputs = &members[m].inputs;
-                    let made = command::collect(tool, inputs, result.code, result, &self.engine);
+                    let made =
+                        command::collect(tool, inputs, result.exit_code, result, &self.engine);
                     made.map_err(|e| e.to_string())
                 }
                 None => Err("it left no result behind".to_owned()),
--- a/crates/workflow/src/job.rs
+++ b/crates/workflow/src/job.rs
@@ -23,14 +23,14 @@
 
 /// What the members of a job have in common.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Needed {
+pub struct TaskRequirements {
     cores: f64,
     ram_mib: f64,
     image: String,
     placement: Placement,
 }
 
-impl Needed {
+impl TaskRequirements {
     /// Processors.
     pub fn cpus(&self) -> f64 {
         self.cores
@@ -57,11 +57,11 @@
 ///
 /// # Errors
 /// An expression throws, or gives no number.
-pub fn needed(
+pub fn task_requirements(
     tool: &Tool,
     inputs: Option<&Object>,
     engine: &Engine,
-) -> Result<Option<Needed>, Fault> {
+) -> Result<Option<TaskRequirements>, Fault> {
     let needs = &tool.common.needs;
     if inputs.is_none() && !needs.resources_are_plain() {
         return Ok(None);
@@ -73,7 +73,7 @@
         library: needs.library(),
     };
     let (cores, ram_mib) = needs.resources(&scope, engine)?;
-    Ok(Some(Needed {
+    Ok(Some(TaskRequirements {
         cores,
         ram_mib,
         image: needs.image().unwrap_or("none").to_owned(),
@@ -91,20 +91,20 @@
 }
 
 /// The job of a group of members; `gone_s` is how long ago the run was begun.
-pub fn spec(
+pub fn job_spec(
     id: JobId,
-    needed: &Needed,
+    requirements: &TaskRequirements,
     tasks: u32,
     awaits: Vec<JobId>,
     defaults: &Defaults,
     gone_s: f64,
 ) -> JobSpec {
-    let Needed {
+    let TaskRequirements {
         cores,
         image,
         placement,
         ..
-    } = needed;
+    } = requirements;
     let text = |given: &Option<String>, other: &String| given.as_ref().unwrap_or(other).clone();
     JobSpec {
         id,
@@ -119,7 +119,7 @@
         tasks,
         cpus: *cores,
         gpus: placement.gpus.unwrap_or(0.0),
-        memory_gb: needed.memory_gb(),
+        memory_gb: requirements.memory_gb(),
         image: image.clone(),
         image_gb: placement.image_gb.unwrap_or(IMAGE_GB),
         types: placement.types.clone(),
@@ -140,23 +140,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskResult {
     /// The exit code.
-    pub code: i64,
+    #[serde(rename = "code")]
+    pub exit_code: i64,
     /// Files and directories: path, whether a directory, bytes, location.
-    pub left: Vec<(String, bool, u64, String)>,
+    #[serde(rename = "left")]
+    pub files: Vec<(String, bool, u64, String)>,
     /// The beginnings of those that outputs are made from.
     pub texts: BTreeMap<String, String>,
 }
 
 impl OutDir for TaskResult {
     fn list(&self) -> Vec<Left> {
-        let left = self.left.iter();
-        let left = left.map(|(path, is_dir, size, location)| Left {
+        let files = self.files.iter();
+        let files = files.map(|(path, is_dir, size, location)| Left {
             path: path.clone(),
             is_dir: *is_dir,
             size: *size,
             location: location.clone(),
         });
-        left.collect()
+        files.collect()
     }
 
     fn text(&self, path: &str) -> Result<String, String> {
@@ -167,6 +169,6 @@
 
 /// Whether a step's members can be counted and its needs told before its
 /// inputs are there.
-pub fn is_early(step: &Step) -> bool {
+pub fn can_submit_early(step: &Step) -> bool {
     step.when.is_none() && step.inputs.iter().all(|i| !i.load_contents)
 }
--- a/crates/workflow/src/plan.rs
+++ b/crates/workflow/src/plan.rs
@@ -12,14 +12,15 @@
     /// Its name.
     pub name: String,
     /// Jobs that go in at once.
-    pub jobs: Vec<Planned>,
+    pub jobs: Vec<PlannedJob>,
     /// Steps whose jobs are known later.
-    pub later: Vec<Later>,
+    #[serde(rename = "later")]
+    pub deferred_steps: Vec<DeferredStep>,
 }
 
 /// A job.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Planned {
+pub struct PlannedJob {
     /// The step.
     pub step: String,
     /// How many tasks.
@@ -40,11 +41,12 @@
 
 /// A step whose job is known later.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Later {
+pub struct DeferredStep {
     /// The step.
     pub step: String,
     /// What it waits for.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 /// Plans a document.
@@ -58,15 +60,15 @@
     if let Some(failure) = run.failure() {
         return Err(failure.reason.clone());
     }
-    let jobs = work.into_iter().map(|work| Planned {
+    let jobs = work.into_iter().map(|work| PlannedJob {
         step: work.key.step,
         tasks: work.tasks,
-        cpus: work.needed.cpus(),
-        memory_gb: work.needed.memory_gb(),
-        image: work.needed.image().to_owned(),
-        team: work.needed.placement().team.clone(),
+        cpus: work.requirements.cpus(),
+        memory_gb: work.requirements.memory_gb(),
+        image: work.requirements.image().to_owned(),
+        team: work.requirements.placement().team.clone(),
         urgency: work
-            .needed
+            .requirements
             .placement()
             .urgency
             .clone()
@@ -76,9 +78,9 @@
     Ok(Plan {
         name: process.common().id.clone(),
         jobs: jobs.collect(),
-        later: run
-            .outstanding()
-            .map(|(step, why)| Later { step, why })
+        deferred_steps: run
+            .waiting_steps()
+            .map(|(step, reason)| DeferredStep { step, reason })
             .collect(),
     })
 }
--- a/crates/workflow/tests/flow.rs
+++ b/crates/workflow/tests/flow.rs
@@ -5,7 +5,7 @@
 
 use oliveshift_cwl::{Engine, load};
 use oliveshift_workflow::{
-    flow::{Failure, Run, Work},
+    flow::{Failure, JobRequest, Run},
     job::{Defaults, TaskResult},
     records::Bundle,
 };
@@ -49,14 +49,14 @@
     let bundle = bundle(text, inputs);
     let process = load::load(&bundle, "w.cwl").unwrap_or_else(|e| panic!("{e}\n{text}"));
     let mut run = Run::new(&process, &bundle.inputs, Engine::default()).expect("inputs");
-    let mut queue: VecDeque<Work> = VecDeque::new();
+    let mut queue: VecDeque<JobRequest> = VecDeque::new();
     let (mut jobs, mut early) = (BTreeMap::new(), Vec::new());
     loop {
         queue.extend(run.advance());
-        let wanted: Vec<String> = run.wanted().cloned().collect();
-        for location in wanted {
+        let files_to_read: Vec<String> = run.files_to_read().cloned().collect();
+        for location in files_to_read {
             let text = location.starts_with("store://").then(|| "7\n".to_owned());
-            run.text(&location, text);
+            run.file_read(&location, text);
             queue.extend(run.advance());
         }
         let Some(work) = queue.pop_front() else { break };
@@ -66,19 +66,19 @@
             early.push(step.clone());
         }
         let result = |i: u32| TaskResult {
-            code: if step == fails { 1 } else { 0 },
-            left: vec![("said.txt".into(), false, 2, format!("store://{step}/{i}"))],
+            exit_code: if step == fails { 1 } else { 0 },
+            files: vec![("said.txt".into(), false, 2, format!("store://{step}/{i}"))],
             texts: BTreeMap::new(),
         };
         let results: Vec<_> = (0..work.tasks).map(result).collect();
-        run.ended(&work.key, &results);
+        run.job_done(&work.key, &results);
     }
     let end = match (run.failure(), run.outputs()) {
         (Some(failure), _) => Err(failure.clone()),
         (None, Some(outputs)) => Ok(outputs.clone()),
         (None, None) => panic!(
             "it neither ended nor has work: {:?}",
-            run.outstanding().collect::<Vec<_>>()
+            run.waiting_steps().collect::<Vec<_>>()
         ),
     };
     Played { end, jobs, early }
--- a/crates/workflow/tests/runs.rs
+++ b/crates/workflow/tests/runs.rs
@@ -21,7 +21,7 @@
 
 mod support;
 
-use support::{example, leaves, stored};
+use support::{answer_store_call, example, task_result};
 
 const MS: Duration = Duration::from_millis(1);
 const S: Duration = Duration::from_secs(1);
@@ -330,7 +330,7 @@
             if let StoreCall::Txn(txn) = ask {
                 self.writes += txn.changes.len();
             }
-            stored(&mut self.state, self.now, ask)
+            answer_store_call(&mut self.state, self.now, ask)
         };
         if self.rng.f64() < self.trouble.lost {
             return;
@@ -356,7 +356,7 @@
                     let tasks = 0..job.spec.tasks;
                     let code = |i| if i == job.spec.tasks - 1 { job.code } else { 0 };
                     tasks
-                        .map(|i| leaves(&job.spec.class, &id, i, code(i)))
+                        .map(|i| task_result(&job.spec.class, &id, i, code(i)))
                         .collect()
                 });
                 let latency = self.latency();
@@ -537,7 +537,8 @@
                 prefix: prefix.to_owned(),
                 after,
             };
-            let Reply::Answer(_, body, _) = stored(&mut self.state, self.now, &ask) else {
+            let Reply::Answer(_, body, _) = answer_store_call(&mut self.state, self.now, &ask)
+            else {
                 return all;
             };
             let page: oliveshift_wire::state::Page = decode(&body).expect("a page");
--- a/crates/workflow/tests/sides.rs
+++ b/crates/workflow/tests/sides.rs
@@ -20,7 +20,7 @@
 
 mod support;
 
-use support::{example, leaves, stored};
+use support::{answer_store_call, example, task_result};
 
 const S: Duration = Duration::from_secs(1);
 /// When pipelines are handed in.
@@ -250,7 +250,7 @@
             let soon = now + Duration::from_millis(8);
             match output {
                 Output::Store(call, ask) => {
-                    let reply = stored(&mut self.state, now, &ask);
+                    let reply = answer_store_call(&mut self.state, now, &ask);
                     let reply = api::store_reply(&ask, reply);
                     self.waiting.push((soon, Input::Store(call, reply)));
                 }
@@ -275,7 +275,7 @@
                 Output::Abort(call, id) => self.ask(call, ApiOperation::Abort(id), asks),
                 Output::Results(call, id, _) => {
                     let spec = &self.specs[&id];
-                    let results = (0..spec.tasks).map(|i| leaves(&spec.class, &id, i, 0));
+                    let results = (0..spec.tasks).map(|i| task_result(&spec.class, &id, i, 0));
                     let input = Input::Results(call, Some(results.collect()));
                     self.waiting.push((soon, input));
                 }
--- a/crates/workflow/tests/support/mod.rs
+++ b/crates/workflow/tests/support/mod.rs
@@ -13,7 +13,7 @@
 };
 
 /// What the stand-in for the state service answers.
-pub fn stored(state: &mut StateService, now: Duration, ask: &StoreCall) -> Reply {
+pub fn answer_store_call(state: &mut StateService, now: Duration, ask: &StoreCall) -> Reply {
     let request = api::store_request(ask);
     let call = Call {
         id: 0,
@@ -61,16 +61,16 @@
 }
 
 /// What the tools of the examples leave behind.
-pub fn leaves(class: &str, job: &JobId, index: u32, code: i64) -> TaskResult {
+pub fn task_result(class: &str, job: &JobId, index: u32, exit_code: i64) -> TaskResult {
     let names = oliveshift_testkit::tools::output_files(class);
-    let left = names.iter().map(|name| {
+    let files = names.iter().map(|name| {
         let location = format!("store://{job}/{index}/{name}");
         ((*name).to_owned(), false, 10, location)
     });
     TaskResult {
-        code,
-        left: if code == 0 {
-            left.collect()
+        exit_code,
+        files: if exit_code == 0 {
+            files.collect()
         } else {
             Vec::new()
         },
