--- a/crates/cwl/src/command.rs
+++ b/crates/cwl/src/command.rs
@@ -7,11 +7,11 @@
 use thiserror::Error;
 
 use crate::{
-    document::{Below, Binding, Bound, Found, Output, Tool},
+    document::{Binding, BoundParts, BoundType, Output, OutputBinding, Tool},
     engine::Engine,
     expr::{Object, Scope, Template},
     fault::Fault,
-    needs::{Entry, WorkDir, runtime},
+    requirements::{WorkDir, WorkDirEntry, runtime},
     types::{Type, class_of},
     values::{basename, checked},
 };
@@ -81,7 +81,7 @@
         cores,
         ram_mib,
     } = prepared(tool, inputs, engine)?;
-    if let Some(dir) = common.needs.work_dir() {
+    if let Some(dir) = common.requirements.work_dir() {
         work_dir(dir, &scope, engine, &mut staged)?;
     }
     let text = |template: &Option<Template>| -> Result<Option<String>, Fault> {
@@ -92,18 +92,18 @@
             Value::String(text) if !text.is_empty() => Ok(Some(text)),
             Value::Null => Ok(None),
             other => Err(template
-                .spot()
+                .cursor()
                 .fault(format!("a file's name is expected, not {other}"))),
         }
     };
     let stdin = text(&tool.stdin)?;
     let names = streams(tool, &scope, engine)?;
     let mut environment = Vec::new();
-    for (name, template) in common.needs.environment() {
+    for (name, template) in common.requirements.environment() {
         environment.push((name.clone(), as_word(&template.eval(&scope, engine)?)));
     }
     let words = words(tool, &scope, engine)?;
-    let argv = if common.needs.shell() {
+    let argv = if common.requirements.shell() {
         let line: Vec<_> = words.iter().map(Word::for_shell).collect();
         vec!["/bin/sh".into(), "-c".into(), line.join(" ")]
     } else {
@@ -118,7 +118,7 @@
         staged,
         cores,
         ram_mib,
-        time_limit_s: common.needs.time_limit(&scope, engine)?,
+        time_limit_s: common.requirements.time_limit(&scope, engine)?,
     })
 }
 
@@ -139,14 +139,14 @@
         place(&mut value, &format!("in/{number}"), &mut staged);
         placed.insert_mut(name.clone(), Arc::new(value));
     }
-    let needs = &tool.common.needs;
+    let requirements = &tool.common.requirements;
     let mut scope = Scope {
         inputs: placed,
         own: Value::Null,
         runtime: Value::Null,
-        library: needs.library(),
+        library: requirements.library(),
     };
-    let (cores, ram_mib) = needs.resources(&scope, engine)?;
+    let (cores, ram_mib) = requirements.resources(&scope, engine)?;
     scope.runtime = runtime(cores, ram_mib);
     Ok(Prepared {
         scope,
@@ -168,7 +168,7 @@
             return match name {
                 Value::String(name) if is_name(&name) => Ok(Some(name)),
                 other => Err(template
-                    .spot()
+                    .cursor()
                     .fault(format!("`{other}` is no file's name"))),
             };
         }
@@ -280,12 +280,12 @@
     match dir {
         WorkDir::Entries(entries) => {
             for entry in entries {
-                let Entry {
+                let WorkDirEntry {
                     name,
-                    what,
+                    content,
                     writable,
                 } = entry;
-                let value = what.eval(scope, engine)?;
+                let value = content.eval(scope, engine)?;
                 let name = match name {
                     Some(name) => Some((as_word(&name.eval(scope, engine)?), name)),
                     None => None,
@@ -293,15 +293,17 @@
                 if let Some((name, template)) = &name
                     && !is_name(name)
                 {
-                    return Err(template.spot().fault(format!("`{name}` is no file's name")));
+                    return Err(template
+                        .cursor()
+                        .fault(format!("`{name}` is no file's name")));
                 }
                 let name = name.map(|(name, _)| name);
-                put_in(&value, name, *writable, staged).map_err(|e| what.spot().fault(e))?;
+                put_in(&value, name, *writable, staged).map_err(|e| content.cursor().fault(e))?;
             }
         }
         WorkDir::All(template) => {
             let value = template.eval(scope, engine)?;
-            put_in(&value, None, false, staged).map_err(|e| template.spot().fault(e))?;
+            put_in(&value, None, false, staged).map_err(|e| template.cursor().fault(e))?;
         }
     }
     Ok(())
@@ -416,13 +418,13 @@
     let words: Vec<_> = command.chain(parts.into_iter().flat_map(|p| p.1)).collect();
     if words.len() > MAX_WORDS {
         let what = format!("a command line of more than {MAX_WORDS} words");
-        return Err(tool.common.spot.fault(what));
+        return Err(tool.common.cursor.fault(what));
     }
     Ok(words)
 }
 
 fn collect_words(
-    bound: &Bound,
+    bound: &BoundType,
     value: &Value,
     outer: &[Key],
     here: Key,
@@ -450,9 +452,9 @@
         key.push(Key::Number(0));
         key.push(here);
     }
-    match &bound.below {
-        Below::Nothing => {}
-        Below::Choice(choices) => {
+    match &bound.parts {
+        BoundParts::Leaf => {}
+        BoundParts::Union(choices) => {
             if let Some(choice) = choices.iter().find(|c| c.kind.check(value).is_ok()) {
                 let mut choice = choice.clone();
                 pass_on(bound, &mut choice);
@@ -460,7 +462,7 @@
                 collect_words(&choice, value, &key, here, scope, engine, parts)?;
             }
         }
-        Below::Items(item) => {
+        BoundParts::Items(item) => {
             let mut item = (**item).clone();
             pass_on(bound, &mut item);
             for (i, value) in value.as_array().into_iter().flatten().enumerate() {
@@ -468,7 +470,7 @@
                 collect_words(&item, value, &key, here, scope, engine, parts)?;
             }
         }
-        Below::Fields(fields) => {
+        BoundParts::Fields(fields) => {
             for (name, field) in fields {
                 let value = value.get(name).unwrap_or(&Value::Null);
                 let here = Key::Name(name.clone());
@@ -480,7 +482,7 @@
 }
 
 /// The items of an array that is bound as a whole are words of their own.
-fn pass_on(outer: &Bound, part: &mut Bound) {
+fn pass_on(outer: &BoundType, part: &mut BoundType) {
     if let Some(binding) = &outer.binding
         && part.binding.is_none()
         && matches!(outer.kind, Type::Array(_))
@@ -488,9 +490,9 @@
     {
         part.binding = Some(Binding::word(binding.quote));
     }
-    if matches!(outer.below, Below::Choice(_))
+    if matches!(outer.parts, BoundParts::Union(_))
         && let (Some(binding), Type::Array(_)) = (&outer.binding, &part.kind)
-        && let Below::Items(item) = &mut part.below
+        && let BoundParts::Items(item) = &mut part.parts
         && item.binding.is_none()
         && binding.separator.is_none()
         && binding.value_from.is_none()
@@ -517,7 +519,7 @@
         Value::Null => Ok(0),
         other => other.as_i64().ok_or_else(|| {
             template
-                .spot()
+                .cursor()
                 .fault(format!("a position is expected, not {other}"))
         }),
     }
@@ -640,11 +642,11 @@
 /// It does not.
 pub fn verdict(tool: &Tool, code: i64) -> Result<(), Failure> {
     // The tool's own word counts before the custom that 0 is success.
-    if tool.success.contains(&code) {
+    if tool.success_codes.contains(&code) {
         Ok(())
-    } else if tool.temporary.contains(&code) {
+    } else if tool.temporary_fail_codes.contains(&code) {
         Err(Failure::Temporary(code))
-    } else if tool.permanent.contains(&code) || code != 0 {
+    } else if tool.permanent_fail_codes.contains(&code) || code != 0 {
         Err(Failure::Code(code))
     } else {
         Ok(())
@@ -674,8 +676,8 @@
     if by_path.contains_key(OWN_OUTPUT) {
         let text = dir.text(OWN_OUTPUT);
         let value = text.and_then(|t| serde_json::from_str(&t).map_err(|e| e.to_string()));
-        let mut value = value.map_err(|e| common.spot.fault(format!("{OWN_OUTPUT}: {e}")))?;
-        located(&mut value, &by_path).map_err(|e| common.spot.fault(e))?;
+        let mut value = value.map_err(|e| common.cursor.fault(format!("{OWN_OUTPUT}: {e}")))?;
+        located(&mut value, &by_path).map_err(|e| common.cursor.fault(e))?;
         return Ok(checked(common, value)?);
     }
     let names = streams(tool, &scope, engine)?;
@@ -711,17 +713,17 @@
 
 impl Finder<'_> {
     fn value(&self, stream: Option<&str>) -> Result<Value, Fault> {
-        let spot = &self.output.spot;
+        let cursor = &self.output.cursor;
         if let Some(name) = stream {
             let file = self.by_path.get(name);
-            let file = file.ok_or_else(|| spot.fault(format!("`{name}` was not left behind")))?;
+            let file = file.ok_or_else(|| cursor.fault(format!("`{name}` was not left behind")))?;
             return self.file(file);
         }
-        let Some(found) = &self.output.found else {
+        let Some(found) = &self.output.output_binding else {
             return match self.output.kind.is_optional() {
                 true => Ok(Value::Null),
                 false => {
-                    Err(spot.fault("no `outputBinding`, and the tool left no cwl.output.json"))
+                    Err(cursor.fault("no `outputBinding`, and the tool left no cwl.output.json"))
                 }
             };
         };
@@ -735,11 +737,11 @@
         match matching.len() {
             _ if !one => {}
             0 if self.output.kind.is_optional() => return Ok(Value::Null),
-            0 => return Err(spot.fault(format!("no file matches {}", patterns()))),
+            0 => return Err(cursor.fault(format!("no file matches {}", patterns()))),
             1 => {}
             n => {
                 let what = format!("{n} files match {}, one is expected", patterns());
-                return Err(spot.fault(what));
+                return Err(cursor.fault(what));
             }
         }
         let mut files = Vec::new();
@@ -747,7 +749,7 @@
             let mut file = self.file(left)?;
             if found.load_contents && !left.is_dir {
                 let text = self.dir.text(&left.path);
-                let text = text.map_err(|e| spot.fault(format!("{}: {e}", left.path)))?;
+                let text = text.map_err(|e| cursor.fault(format!("{}: {e}", left.path)))?;
                 if let Value::Object(map) = &mut file {
                     map.insert("contents".into(), text.into());
                 }
@@ -772,7 +774,7 @@
     }
 
     /// The patterns of an output, each with where it stands.
-    fn globs<'f>(&self, found: &'f Found) -> Result<Vec<(&'f Template, String)>, Fault> {
+    fn globs<'f>(&self, found: &'f OutputBinding) -> Result<Vec<(&'f Template, String)>, Fault> {
         let mut globs = Vec::new();
         for template in &found.glob {
             match template.eval(self.scope, self.engine)? {
@@ -791,10 +793,10 @@
             let pattern = pattern.trim_start_matches("./").trim_end_matches('/');
             if pattern.starts_with('/') || pattern.split('/').any(|p| p == "..") {
                 let what = format!("`{pattern}` leads out of the working directory");
-                return Err(template.spot().fault(what));
+                return Err(template.cursor().fault(what));
             }
             let glob = GlobBuilder::new(pattern).literal_separator(true).build();
-            let glob = glob.map_err(|e| template.spot().fault(e.to_string()))?;
+            let glob = glob.map_err(|e| template.cursor().fault(e.to_string()))?;
             let glob = glob.compile_matcher();
             let mut matching: Vec<_> = self
                 .left
@@ -811,8 +813,8 @@
     fn file(&self, left: &Left) -> Result<Value, Fault> {
         let mut value = as_value(left);
         let mut beside = Vec::new();
-        for secondary in &self.output.secondary {
-            let name = secondary.of(basename(&value));
+        for secondary in &self.output.secondary_files {
+            let name = secondary.name_for(basename(&value));
             let path = match left.path.rsplit_once('/') {
                 Some((dir, _)) => format!("{dir}/{name}"),
                 None => name,
@@ -821,7 +823,7 @@
                 Some(file) => beside.push(as_value(file)),
                 None if secondary.required => {
                     let what = format!("the secondary file `{path}` was not left behind");
-                    return Err(self.output.spot.fault(what));
+                    return Err(self.output.cursor.fault(what));
                 }
                 None => {}
             }
--- a/crates/cwl/src/spot.rs
+++ b/crates/cwl/src/cursor.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     fault::Fault,
-    yaml::{At, Data, Node},
+    yaml::{Data, Location, Node},
 };
 
 /// The most steps, inputs and the like in one place.
@@ -13,14 +13,14 @@
 
 /// A value and the way to it from the document's top.
 #[derive(Clone, Debug)]
-pub struct Spot {
+pub struct Cursor {
     /// The value.
     pub node: Node,
     /// The way, `steps.split.in`.
     pub path: String,
 }
 
-impl Spot {
+impl Cursor {
     /// The top of a document.
     pub fn top(node: Node) -> Self {
         Self {
@@ -30,8 +30,8 @@
     }
 
     /// A fault here.
-    pub fn fault(&self, what: impl Into<String>) -> Fault {
-        fault(&self.node.at, &self.path, what)
+    pub fn fault(&self, message: impl Into<String>) -> Fault {
+        fault(&self.node.location, &self.path, message)
     }
 
     /// A value below this one.
@@ -77,7 +77,7 @@
     }
 
     /// A list, or one value that stands for a list of itself.
-    pub fn one_or_list(&self) -> Vec<Spot> {
+    pub fn to_list(&self) -> Vec<Cursor> {
         match &self.node.data {
             Data::List(list) => list
                 .iter()
@@ -91,19 +91,19 @@
 
     /// Texts of a list, or one text.
     pub fn texts(&self) -> Result<Vec<String>, Fault> {
-        let texts = self.one_or_list();
+        let texts = self.to_list();
         texts.iter().map(|s| s.text().map(str::to_owned)).collect()
     }
 
     /// Whole numbers of a list, or one.
     pub fn ints(&self) -> Result<Vec<i64>, Fault> {
-        self.one_or_list().iter().map(Spot::int).collect()
+        self.to_list().iter().map(Cursor::int).collect()
     }
 
     /// A list of maps that name themselves by `key`, or a map by these names.
     /// There a value that is no map stands for one that only has `short`.
-    pub fn named(&self, key: &str, short: Option<&str>) -> Result<Vec<(String, Spot)>, Fault> {
-        let mut named: Vec<(String, Spot)> = Vec::new();
+    pub fn named(&self, key: &str, short: Option<&str>) -> Result<Vec<(String, Cursor)>, Fault> {
+        let mut named: Vec<(String, Cursor)> = Vec::new();
         let count = match &self.node.data {
             Data::List(list) => list.len(),
             Data::Map(map) => map.len(),
@@ -116,12 +116,12 @@
             Data::Null => {}
             Data::List(list) => {
                 for (i, node) in list.iter().enumerate() {
-                    let spot = self.below(&i.to_string(), node.clone());
+                    let cursor = self.below(&i.to_string(), node.clone());
                     let Some(name) = node.get(key) else {
-                        return Err(spot.fault(format!("`{key}` is missing")));
+                        return Err(cursor.fault(format!("`{key}` is missing")));
                     };
-                    let name = spot.below(key, name.clone()).text()?.to_owned();
-                    named.push((name, spot));
+                    let name = cursor.below(key, name.clone()).text()?.to_owned();
+                    named.push((name, cursor));
                 }
             }
             Data::Map(map) => {
@@ -129,7 +129,7 @@
                     let node = match (&node.data, short) {
                         (Data::Map(_), _) | (_, None) => node.clone(),
                         (_, Some(short)) => Node {
-                            at: node.at.clone(),
+                            location: node.location.clone(),
                             data: Data::Map(Arc::new(vec![(short.into(), node.clone())])),
                         },
                     };
@@ -145,7 +145,7 @@
     pub fn fields(&self) -> Result<Fields, Fault> {
         match &self.node.data {
             Data::Map(map) => Ok(Fields {
-                spot: self.clone(),
+                cursor: self.clone(),
                 map: map.clone(),
                 known: Vec::new(),
             }),
@@ -159,12 +159,12 @@
 }
 
 /// A fault at a place.
-pub fn fault(at: &At, path: &str, what: impl Into<String>) -> Fault {
+pub fn fault(location: &Location, path: &str, message: impl Into<String>) -> Fault {
     Fault {
-        file: at.file.to_string(),
-        line: at.line,
+        file: location.file.to_string(),
+        line: location.line,
         path: path.to_owned(),
-        what: what.into(),
+        message: message.into(),
     }
 }
 
@@ -173,48 +173,48 @@
 #[derive(Debug)]
 pub struct Fields {
     /// Where the map is.
-    pub spot: Spot,
+    pub cursor: Cursor,
     map: Arc<Vec<(Arc<str>, Node)>>,
     known: Vec<&'static str>,
 }
 
 impl Fields {
     /// A value, if it is there and not null.
-    pub fn get(&mut self, name: &'static str) -> Option<Spot> {
+    pub fn get(&mut self, name: &'static str) -> Option<Cursor> {
         self.known.push(name);
         let (_, node) = self.map.iter().find(|(n, _)| &**n == name)?;
         match node.data {
             Data::Null => None,
-            _ => Some(self.spot.below(name, node.clone())),
+            _ => Some(self.cursor.below(name, node.clone())),
         }
     }
 
     /// A value that must be there.
-    pub fn need(&mut self, name: &'static str) -> Result<Spot, Fault> {
-        let missing = self.spot.fault(format!("`{name}` is missing"));
+    pub fn require(&mut self, name: &'static str) -> Result<Cursor, Fault> {
+        let missing = self.cursor.fault(format!("`{name}` is missing"));
         self.get(name).ok_or(missing)
     }
 
     /// A value that may be null where that says something.
-    pub fn raw(&mut self, name: &'static str) -> Option<Spot> {
+    pub fn get_or_null(&mut self, name: &'static str) -> Option<Cursor> {
         self.known.push(name);
         let (_, node) = self.map.iter().find(|(n, _)| &**n == name)?;
-        Some(self.spot.below(name, node.clone()))
+        Some(self.cursor.below(name, node.clone()))
     }
 
     /// Values that change nothing of what is done.
-    pub fn remarks(&mut self) {
+    pub fn allow_descriptive_fields(&mut self) {
         self.known.extend(["id", "label", "doc", "intent"]);
     }
 
     /// Refuses what is in the map and was not asked for. Names with a prefix
     /// are extensions of others, which CWL allows.
-    pub fn end(self) -> Result<(), Fault> {
+    pub fn finish(self) -> Result<(), Fault> {
         for (name, node) in self.map.iter() {
             let known = self.known.iter().any(|k| *k == &**name);
             if !known && !name.contains(':') && !name.starts_with('$') {
-                let spot = self.spot.below(name, node.clone());
-                return Err(spot.fault("this field is not known or not supported here"));
+                let cursor = self.cursor.below(name, node.clone());
+                return Err(cursor.fault("this field is not known or not supported here"));
             }
         }
         Ok(())
--- a/crates/cwl/src/document.rs
+++ b/crates/cwl/src/document.rs
@@ -5,11 +5,11 @@
 use serde_json::Value;
 
 use crate::{
+    cursor::{Cursor, Fields, local},
     expr::Template,
     fault::Fault,
-    needs::Needs,
-    spot::{Fields, Spot, local},
-    types::{Names, Type},
+    requirements::Requirements,
+    types::{NamedTypes, Type},
     yaml::Data,
 };
 
@@ -41,13 +41,13 @@
     /// Its name in its file, or the file's.
     pub id: String,
     /// Where it stands.
-    pub spot: Spot,
+    pub cursor: Cursor,
     /// What goes in.
     pub inputs: Vec<Parameter>,
     /// What comes out.
     pub outputs: Vec<Output>,
     /// Requirements and hints.
-    pub needs: Needs,
+    pub requirements: Requirements,
 }
 
 /// What goes into a process.
@@ -58,13 +58,13 @@
     /// Its type.
     pub kind: Type,
     /// Where it goes in a command line.
-    pub bound: Bound,
+    pub bound: BoundType,
     /// What it is if nothing is given.
     pub default: Option<Value>,
     /// Whether expressions see the first 64 KiB of the file.
     pub load_contents: bool,
     /// Files that have to come with it.
-    pub secondary: Vec<Secondary>,
+    pub secondary_files: Vec<SecondaryFile>,
 }
 
 /// What comes out of a process.
@@ -75,18 +75,18 @@
     /// Its type.
     pub kind: Type,
     /// How a tool's output is found.
-    pub found: Option<Found>,
+    pub output_binding: Option<OutputBinding>,
     /// Files that come with it.
-    pub secondary: Vec<Secondary>,
+    pub secondary_files: Vec<SecondaryFile>,
     /// Where a workflow's output comes from.
     pub link: Option<Link>,
     /// Where it stands.
-    pub spot: Spot,
+    pub cursor: Cursor,
 }
 
 /// How a tool's output is found.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct OutputBinding {
     /// Patterns of file names; none: `eval` alone gives the value.
     pub glob: Vec<Template>,
     /// Whether `eval` sees the first 64 KiB.
@@ -98,16 +98,16 @@
 /// A file that comes with another one: `.bai` is added to its name, each `^`
 /// before takes an extension away.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Secondary {
+pub struct SecondaryFile {
     /// The pattern.
     pub pattern: String,
     /// Whether it is an error if there is none.
     pub required: bool,
 }
 
-impl Secondary {
+impl SecondaryFile {
     /// The name of the file that comes with `name`.
-    pub fn of(&self, name: &str) -> String {
+    pub fn name_for(&self, name: &str) -> String {
         let suffix = self.pattern.trim_start_matches('^');
         let mut stem = name;
         for _ in 0..self.pattern.len() - suffix.len() {
@@ -119,26 +119,26 @@
 
 /// A type with what its parts add to a command line.
 #[derive(Clone, Debug)]
-pub struct Bound {
+pub struct BoundType {
     /// The type.
     pub kind: Type,
     /// What a value of it adds.
     pub binding: Option<Binding>,
     /// Its parts.
-    pub below: Below,
+    pub parts: BoundParts,
 }
 
 /// The parts of a type.
 #[derive(Clone, Debug)]
-pub enum Below {
+pub enum BoundParts {
     /// None.
-    Nothing,
+    Leaf,
     /// Those of an array.
-    Items(Box<Bound>),
+    Items(Box<BoundType>),
     /// Those of a record.
-    Fields(Vec<(String, Bound)>),
+    Fields(Vec<(String, BoundType)>),
     /// It is one of these; the first that fits counts.
-    Choice(Vec<Bound>),
+    Union(Vec<BoundType>),
 }
 
 /// What a value adds to a command line.
@@ -185,11 +185,11 @@
     /// The same for its standard error.
     pub stderr: Option<Template>,
     /// Exit codes that mean success; none: 0.
-    pub success: Vec<i64>,
+    pub success_codes: Vec<i64>,
     /// Exit codes after which it may be tried again.
-    pub temporary: Vec<i64>,
+    pub temporary_fail_codes: Vec<i64>,
     /// Exit codes after which it must not.
-    pub permanent: Vec<i64>,
+    pub permanent_fail_codes: Vec<i64>,
 }
 
 /// An expression that is a process.
@@ -216,7 +216,7 @@
     /// Its name.
     pub name: String,
     /// Where it stands.
-    pub spot: Spot,
+    pub cursor: Cursor,
     /// What goes in.
     pub inputs: Vec<StepInput>,
     /// Names of what comes out.
@@ -228,20 +228,20 @@
     /// The inputs that are scattered over.
     pub scatter: Vec<String>,
     /// How, if they are several.
-    pub method: Method,
+    pub scatter_method: ScatterMethod,
     /// Requirements and hints, within those of the workflow.
-    pub needs: Needs,
+    pub requirements: Requirements,
 }
 
 /// How several inputs are scattered over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Method {
+pub enum ScatterMethod {
     /// The first with the first, the second with the second.
-    Dot,
+    DotProduct,
     /// Each with each, as arrays in arrays.
-    Nested,
+    NestedCrossProduct,
     /// Each with each, as one array.
-    Flat,
+    FlatCrossProduct,
 }
 
 /// What goes into a step.
@@ -258,7 +258,7 @@
     /// Whether expressions see the first 64 KiB of the file.
     pub load_contents: bool,
     /// Where it stands.
-    pub spot: Spot,
+    pub cursor: Cursor,
 }
 
 /// Where a value of a workflow comes from.
@@ -267,17 +267,17 @@
     /// From these.
     pub sources: Vec<Source>,
     /// How several become one; given, a single one becomes a list of one.
-    pub merge: Option<Merge>,
+    pub merge: Option<LinkMerge>,
     /// Which of them count.
-    pub pick: Option<Pick>,
+    pub pick: Option<PickValue>,
 }
 
 impl Link {
     /// How the values become one; none: there is only one.
-    pub fn merges(&self) -> Option<Merge> {
+    pub fn effective_merge(&self) -> Option<LinkMerge> {
         match (self.merge, self.sources.len()) {
             (None, 0 | 1) => None,
-            (merge, _) => Some(merge.unwrap_or(Merge::Nested)),
+            (merge, _) => Some(merge.unwrap_or(LinkMerge::Nested)),
         }
     }
 }
@@ -293,7 +293,7 @@
 
 /// How several sources become one value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merge {
+pub enum LinkMerge {
     /// An array of them.
     Nested,
     /// One array of what is in them.
@@ -302,7 +302,7 @@
 
 /// Which values of several count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pick {
+pub enum PickValue {
     /// The first that is not null.
     First,
     /// The only one that is not null.
@@ -315,18 +315,22 @@
 ///
 /// # Errors
 /// The first that is wrong.
-pub fn parameters(spot: Option<Spot>, names: &Names, js: bool) -> Result<Vec<Parameter>, Fault> {
+pub fn parameters(
+    cursor: Option<Cursor>,
+    names: &NamedTypes,
+    js: bool,
+) -> Result<Vec<Parameter>, Fault> {
     let mut all: Vec<Parameter> = Vec::new();
-    let Some(spot) = spot else { return Ok(all) };
-    for (name, spot) in spot.named("id", Some("type"))? {
+    let Some(cursor) = cursor else { return Ok(all) };
+    for (name, cursor) in cursor.named("id", Some("type"))? {
         // A list of types stands for `type` too.
-        let spot = with_type(spot);
-        let mut fields = spot.fields()?;
-        fields.remarks();
-        let kind_spot = fields.need("type")?;
-        let kind = Type::parse(&kind_spot, names)?;
+        let cursor = with_type(cursor);
+        let mut fields = cursor.fields()?;
+        fields.allow_descriptive_fields();
+        let type_cursor = fields.require("type")?;
+        let kind = Type::parse(&type_cursor, names)?;
         if uses_streams(&kind) {
-            return Err(kind_spot.fault("only outputs can be `stdout` or `stderr`"));
+            return Err(type_cursor.fault("only outputs can be `stdout` or `stderr`"));
         }
         let own = fields.get("inputBinding");
         let own = own.map(|b| binding(&b, js)).transpose()?;
@@ -334,26 +338,26 @@
             Some((binding, load)) => (load, Some(binding)),
             None => (false, None),
         };
-        let bound = bound(&kind_spot, own, names, js)?;
+        let bound = bound(&type_cursor, own, names, js)?;
         let load_contents = flag(&mut fields, "loadContents")?.unwrap_or(load);
-        passed_over(&mut fields)?;
-        let default = fields.raw("default").map(|d| d.node.to_value());
+        skip_unused_fields(&mut fields)?;
+        let default = fields.get_or_null("default").map(|d| d.node.to_value());
         let parameter = Parameter {
             name: local(&name).to_owned(),
             kind,
             bound,
             load_contents,
-            secondary: secondary(&mut fields)?,
+            secondary_files: secondary_files(&mut fields)?,
             default: default.filter(|d| !d.is_null()),
         };
         if let Some(default) = &parameter.default
             && let Err(e) = parameter.kind.check(default)
         {
-            return Err(spot.fault(format!("default: {e}")));
+            return Err(cursor.fault(format!("default: {e}")));
         }
-        fields.end()?;
+        fields.finish()?;
         if all.iter().any(|p| p.name == parameter.name) {
-            return Err(spot.fault(format!("`{}` is named twice", parameter.name)));
+            return Err(cursor.fault(format!("`{}` is named twice", parameter.name)));
         }
         all.push(parameter);
     }
@@ -364,49 +368,49 @@
 ///
 /// # Errors
 /// The first that is wrong.
-pub fn outputs(spot: Option<Spot>, names: &Names, js: bool) -> Result<Vec<Output>, Fault> {
+pub fn outputs(cursor: Option<Cursor>, names: &NamedTypes, js: bool) -> Result<Vec<Output>, Fault> {
     let mut all: Vec<Output> = Vec::new();
-    let Some(spot) = spot else { return Ok(all) };
-    for (name, spot) in spot.named("id", Some("type"))? {
-        let spot = with_type(spot);
-        let mut fields = spot.fields()?;
-        fields.remarks();
-        let kind = Type::parse(&fields.need("type")?, names)?;
-        let found = match fields.get("outputBinding") {
-            Some(spot) => Some(found(&spot, js)?),
+    let Some(cursor) = cursor else { return Ok(all) };
+    for (name, cursor) in cursor.named("id", Some("type"))? {
+        let cursor = with_type(cursor);
+        let mut fields = cursor.fields()?;
+        fields.allow_descriptive_fields();
+        let kind = Type::parse(&fields.require("type")?, names)?;
+        let output_binding = match fields.get("outputBinding") {
+            Some(cursor) => Some(output_binding(&cursor, js)?),
             None => None,
         };
-        passed_over(&mut fields)?;
+        skip_unused_fields(&mut fields)?;
         let link = match fields.get("outputSource") {
-            Some(spot) => Some(link(&spot, &mut fields)?),
+            Some(cursor) => Some(link(&cursor, &mut fields)?),
             None => None,
         };
         let output = Output {
             name: local(&name).to_owned(),
             kind,
-            found,
-            secondary: secondary(&mut fields)?,
+            output_binding,
+            secondary_files: secondary_files(&mut fields)?,
             link,
-            spot: spot.clone(),
+            cursor: cursor.clone(),
         };
-        fields.end()?;
+        fields.finish()?;
         if all.iter().any(|o| o.name == output.name) {
-            return Err(spot.fault(format!("`{}` is named twice", output.name)));
+            return Err(cursor.fault(format!("`{}` is named twice", output.name)));
         }
         all.push(output);
     }
     Ok(all)
 }
 
-fn with_type(spot: Spot) -> Spot {
-    if matches!(spot.node.data, Data::Map(_)) {
-        return spot;
+fn with_type(cursor: Cursor) -> Cursor {
+    if matches!(cursor.node.data, Data::Map(_)) {
+        return cursor;
     }
-    let mut node = spot.node.clone();
-    node.data = Data::Map(Arc::new(vec![("type".into(), spot.node.clone())]));
-    Spot {
+    let mut node = cursor.node.clone();
+    node.data = Data::Map(Arc::new(vec![("type".into(), cursor.node.clone())]));
+    Cursor {
         node,
-        path: spot.path,
+        path: cursor.path,
     }
 }
 
@@ -420,7 +424,7 @@
 }
 
 /// Fields that only describe, and one of which no other value is supported.
-fn passed_over(fields: &mut Fields) -> Result<(), Fault> {
+fn skip_unused_fields(fields: &mut Fields) -> Result<(), Fault> {
     fields.get("format");
     fields.get("streamable");
     match fields.get("loadListing") {
@@ -435,19 +439,19 @@
     fields.get(name).map(|s| s.bool()).transpose()
 }
 
-fn secondary(fields: &mut Fields) -> Result<Vec<Secondary>, Fault> {
-    let Some(spot) = fields.get("secondaryFiles") else {
+fn secondary_files(fields: &mut Fields) -> Result<Vec<SecondaryFile>, Fault> {
+    let Some(cursor) = fields.get("secondaryFiles") else {
         return Ok(Vec::new());
     };
     let mut all = Vec::new();
-    for spot in spot.one_or_list() {
-        let (pattern, required) = match spot.text() {
-            Ok(text) => (spot.clone(), !text.ends_with('?')),
+    for cursor in cursor.to_list() {
+        let (pattern, required) = match cursor.text() {
+            Ok(text) => (cursor.clone(), !text.ends_with('?')),
             Err(_) => {
-                let mut fields = spot.fields()?;
-                let pattern = fields.need("pattern")?;
+                let mut fields = cursor.fields()?;
+                let pattern = fields.require("pattern")?;
                 let required = flag(&mut fields, "required")?.unwrap_or(true);
-                fields.end()?;
+                fields.finish()?;
                 (pattern, required)
             }
         };
@@ -455,7 +459,7 @@
         if text.contains(['$', '/']) || text.trim_start_matches('^').is_empty() {
             return Err(pattern.fault("only patterns as `.bai` or `^.bai` are supported"));
         }
-        all.push(Secondary {
+        all.push(SecondaryFile {
             pattern: text.to_owned(),
             required,
         });
@@ -465,31 +469,31 @@
 
 /// Reads what a type's parts add to a command line.
 fn bound(
-    spot: &Spot,
+    cursor: &Cursor,
     binding_here: Option<Binding>,
-    names: &Names,
+    names: &NamedTypes,
     js: bool,
-) -> Result<Bound, Fault> {
-    let kind = Type::parse(spot, names)?;
-    let inner = |spot: &Spot| -> Result<Option<Binding>, Fault> {
-        let Some(node) = spot.node.get("inputBinding") else {
+) -> Result<BoundType, Fault> {
+    let kind = Type::parse(cursor, names)?;
+    let inner = |cursor: &Cursor| -> Result<Option<Binding>, Fault> {
+        let Some(node) = cursor.node.get("inputBinding") else {
             return Ok(None);
         };
-        let (binding, _) = binding(&spot.below("inputBinding", node.clone()), js)?;
+        let (binding, _) = binding(&cursor.below("inputBinding", node.clone()), js)?;
         Ok(Some(binding))
     };
-    let below = match &spot.node.data {
+    let parts = match &cursor.node.data {
         Data::List(_) => {
-            let choices = spot.one_or_list();
+            let choices = cursor.to_list();
             let choices = choices.iter().map(|c| bound(c, None, names, js));
-            Below::Choice(choices.collect::<Result<_, _>>()?)
+            BoundParts::Union(choices.collect::<Result<_, _>>()?)
         }
         Data::Map(_) => {
             let at = |name: &str| {
-                let node = spot.node.get(name)?;
-                Some(spot.below(name, node.clone()))
+                let node = cursor.node.get(name)?;
+                Some(cursor.below(name, node.clone()))
             };
-            let own = inner(spot)?;
+            let own = inner(cursor)?;
             match (&kind, at("items"), at("fields")) {
                 (Type::Array(_), Some(items), _) => {
                     let mut part = bound(&items, None, names, js)?;
@@ -497,7 +501,7 @@
                     if own.is_some() {
                         part.binding = own;
                     }
-                    Below::Items(Box::new(part))
+                    BoundParts::Items(Box::new(part))
                 }
                 (Type::Record(_), _, Some(list)) => {
                     let mut parts = Vec::new();
@@ -509,43 +513,43 @@
                         let part = bound(&kind, inner(&field)?, names, js)?;
                         parts.push((local(&name).to_owned(), part));
                     }
-                    Below::Fields(parts)
+                    BoundParts::Fields(parts)
                 }
-                _ => Below::Nothing,
+                _ => BoundParts::Leaf,
             }
         }
-        _ => plain_below(&kind),
+        _ => unbound_parts(&kind),
     };
-    Ok(Bound {
+    Ok(BoundType {
         kind,
         binding: binding_here,
-        below,
+        parts,
     })
 }
 
 /// The parts of `string[]` and `string[]?`.
-fn plain_below(kind: &Type) -> Below {
-    let part = |kind: &Type| Bound {
+fn unbound_parts(kind: &Type) -> BoundParts {
+    let part = |kind: &Type| BoundType {
         kind: kind.clone(),
         binding: None,
-        below: plain_below(kind),
+        parts: unbound_parts(kind),
     };
     match kind {
-        Type::Array(items) => Below::Items(Box::new(part(items))),
-        Type::Union(types) => Below::Choice(types.iter().map(part).collect()),
+        Type::Array(items) => BoundParts::Items(Box::new(part(items))),
+        Type::Union(types) => BoundParts::Union(types.iter().map(part).collect()),
         Type::Record(fields) => {
-            Below::Fields(fields.iter().map(|(n, k)| (n.clone(), part(k))).collect())
+            BoundParts::Fields(fields.iter().map(|(n, k)| (n.clone(), part(k))).collect())
         }
-        _ => Below::Nothing,
+        _ => BoundParts::Leaf,
     }
 }
 
 /// Reads a binding, and whether it asks for the contents of the file.
-pub fn binding(spot: &Spot, js: bool) -> Result<(Binding, bool), Fault> {
-    let mut fields = spot.fields()?;
+pub fn binding(cursor: &Cursor, js: bool) -> Result<(Binding, bool), Fault> {
+    let mut fields = cursor.fields()?;
     let position = fields.get("position");
     let position = position.map(|p| Template::parse(&p, js)).transpose()?;
-    let text = |spot: Option<Spot>| spot.map(|s| s.text().map(str::to_owned)).transpose();
+    let text = |cursor: Option<Cursor>| cursor.map(|s| s.text().map(str::to_owned)).transpose();
     let prefix = text(fields.get("prefix"))?;
     let separator = text(fields.get("itemSeparator"))?;
     let value_from = fields.get("valueFrom");
@@ -559,15 +563,15 @@
         quote: flag(&mut fields, "shellQuote")?.unwrap_or(true),
     };
     let load = flag(&mut fields, "loadContents")?.unwrap_or(false);
-    fields.end()?;
+    fields.finish()?;
     Ok((binding, load))
 }
 
-fn found(spot: &Spot, js: bool) -> Result<Found, Fault> {
-    let mut fields = spot.fields()?;
+fn output_binding(cursor: &Cursor, js: bool) -> Result<OutputBinding, Fault> {
+    let mut fields = cursor.fields()?;
     let glob = match fields.get("glob") {
-        Some(spot) => {
-            let patterns = spot.one_or_list();
+        Some(cursor) => {
+            let patterns = cursor.to_list();
             let patterns = patterns.iter().map(|p| {
                 p.text()?;
                 Template::parse(p, js)
@@ -579,9 +583,9 @@
     let load_contents = flag(&mut fields, "loadContents")?.unwrap_or(false);
     let eval = fields.get("outputEval");
     let eval = eval.map(|e| Template::parse(&e, js)).transpose()?;
-    passed_over(&mut fields)?;
-    fields.end()?;
-    Ok(Found {
+    skip_unused_fields(&mut fields)?;
+    fields.finish()?;
+    Ok(OutputBinding {
         glob,
         load_contents,
         eval,
@@ -589,24 +593,24 @@
 }
 
 /// Reads where a value comes from; `spot` is its `source`.
-pub fn link(spot: &Spot, fields: &mut Fields) -> Result<Link, Fault> {
-    let sources = spot.texts()?;
+pub fn link(cursor: &Cursor, fields: &mut Fields) -> Result<Link, Fault> {
+    let sources = cursor.texts()?;
     let merge = match fields.get("linkMerge") {
-        Some(spot) => match spot.text()? {
-            "merge_nested" => Some(Merge::Nested),
-            "merge_flattened" => Some(Merge::Flattened),
-            _ => return Err(spot.fault("`merge_nested` or `merge_flattened` is expected")),
+        Some(cursor) => match cursor.text()? {
+            "merge_nested" => Some(LinkMerge::Nested),
+            "merge_flattened" => Some(LinkMerge::Flattened),
+            _ => return Err(cursor.fault("`merge_nested` or `merge_flattened` is expected")),
         },
         None => None,
     };
     let pick = match fields.get("pickValue") {
-        Some(spot) => Some(match spot.text()? {
-            "first_non_null" => Pick::First,
-            "the_only_non_null" => Pick::Only,
-            "all_non_null" => Pick::All,
+        Some(cursor) => Some(match cursor.text()? {
+            "first_non_null" => PickValue::First,
+            "the_only_non_null" => PickValue::Only,
+            "all_non_null" => PickValue::All,
             _ => {
                 let what = "`first_non_null`, `the_only_non_null` or `all_non_null` is expected";
-                return Err(spot.fault(what));
+                return Err(cursor.fault(what));
             }
         }),
         None => None,
--- a/crates/cwl/src/expr.rs
+++ b/crates/cwl/src/expr.rs
@@ -5,7 +5,7 @@
 use rpds::RedBlackTreeMapSync;
 use serde_json::Value;
 
-use crate::{engine::Engine, fault::Fault, spot::Spot, yaml::Data};
+use crate::{cursor::Cursor, engine::Engine, fault::Fault, yaml::Data};
 
 /// Values by name. The members of a scatter share what they have in common.
 pub type Object = RedBlackTreeMapSync<String, Arc<Value>>;
@@ -55,7 +55,7 @@
     pieces: Vec<Piece>,
     /// What is no text.
     value: Option<Value>,
-    spot: Spot,
+    cursor: Cursor,
 }
 
 impl Template {
@@ -64,17 +64,17 @@
     /// # Errors
     /// An expression without its end, or JavaScript that is none, or where none
     /// is asked for (`js` is false).
-    pub fn parse(spot: &Spot, js: bool) -> Result<Self, Fault> {
+    pub fn parse(cursor: &Cursor, js: bool) -> Result<Self, Fault> {
         let mut template = Self {
             pieces: Vec::new(),
             value: None,
-            spot: spot.clone(),
+            cursor: cursor.clone(),
         };
-        match &spot.node.data {
+        match &cursor.node.data {
             Data::Text(text) => {
-                template.pieces = split(text).map_err(|e| spot.fault(e))?;
+                template.pieces = split(text).map_err(|e| cursor.fault(e))?;
             }
-            _ => template.value = Some(spot.node.to_value()),
+            _ => template.value = Some(cursor.node.to_value()),
         }
         for piece in &template.pieces {
             let body = match piece {
@@ -84,10 +84,10 @@
             };
             if !js {
                 let what = "an expression needs InlineJavascriptRequirement";
-                return Err(spot.fault(what));
+                return Err(cursor.fault(what));
             }
             let parses = Engine::default().parses(&body);
-            parses.map_err(|e| spot.fault(format!("no JavaScript: {e}")))?;
+            parses.map_err(|e| cursor.fault(format!("no JavaScript: {e}")))?;
         }
         Ok(template)
     }
@@ -104,8 +104,8 @@
     }
 
     /// The place that it was read from.
-    pub fn spot(&self) -> &Spot {
-        &self.spot
+    pub fn cursor(&self) -> &Cursor {
+        &self.cursor
     }
 
     /// Its value. A text that is one expression is that expression's value;
@@ -129,7 +129,7 @@
                 Piece::Expression(code) => run(&as_body(code), scope, engine),
                 Piece::Body(code) => run(code, scope, engine),
             };
-            let value = value.map_err(|e| self.spot.fault(e))?;
+            let value = value.map_err(|e| self.cursor.fault(e))?;
             if self.pieces.len() == 1 {
                 return Ok(value);
             }
@@ -337,8 +337,8 @@
 
     fn eval(text: &str) -> Result<Value, String> {
         let quoted = serde_json::to_string(text).expect("text");
-        let spot = Spot::top(yaml::parse("f", &quoted).expect("text"));
-        let template = Template::parse(&spot, true).map_err(|f| f.what)?;
+        let cursor = Cursor::top(yaml::parse("f", &quoted).expect("text"));
+        let template = Template::parse(&cursor, true).map_err(|f| f.message)?;
         let inputs =
             json!({"n": 3, "list": [1, {"a b": "x"}], "file": {"class": "File", "size": 7}});
         let inputs = inputs.as_object().cloned().unwrap_or_default();
@@ -350,7 +350,7 @@
         };
         template
             .eval(&scope, &Engine::default())
-            .map_err(|f| f.what)
+            .map_err(|f| f.message)
     }
 
     #[test]
--- a/crates/cwl/src/fault.rs
+++ b/crates/cwl/src/fault.rs
@@ -4,7 +4,7 @@
 
 /// A fault of a document: where it is and what to do about it.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{file}:{line}: {}{what}", self.place())]
+#[error("{file}:{line}: {}{message}", self.place())]
 pub struct Fault {
     /// The file, as the resolver knows it.
     pub file: String,
@@ -13,7 +13,7 @@
     /// The place in the document, `steps.split.in.sheet`; empty: as a whole.
     pub path: String,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
 }
 
 impl Fault {
--- a/crates/cwl/src/lib.rs
+++ b/crates/cwl/src/lib.rs
@@ -5,13 +5,13 @@
 //! by others.
 
 pub mod command;
+pub mod cursor;
 pub mod document;
 pub mod engine;
 pub mod expr;
 mod fault;
 pub mod load;
-pub mod needs;
-pub mod spot;
+pub mod requirements;
 pub mod types;
 pub mod values;
 pub mod yaml;
--- a/crates/cwl/src/load.rs
+++ b/crates/cwl/src/load.rs
@@ -7,14 +7,14 @@
 };
 
 use crate::{
+    cursor::{Cursor, local},
     document::{
-        Binding, Common, ExpressionTool, Link, Merge, Method, Pick, Process, Source, Step,
-        StepInput, Tool, Workflow, binding, link, outputs, parameters,
+        Binding, Common, ExpressionTool, Link, LinkMerge, PickValue, Process, ScatterMethod,
+        Source, Step, StepInput, Tool, Workflow, binding, link, outputs, parameters,
     },
     expr::Template,
     fault::Fault,
-    needs::Needs,
-    spot::{Spot, local},
+    requirements::Requirements,
     types::Type,
     yaml::{self, Data, MAX_DEPTH, Node},
 };
@@ -24,9 +24,9 @@
 /// The most files of one document, each time that one is brought in.
 const MAX_FILES: usize = 256;
 /// The most bytes of all of them.
-const MAX_ALL_BYTES: usize = 16 << 20;
+const MAX_TOTAL_BYTES: usize = 16 << 20;
 /// The deepest nesting of workflows in workflows.
-const MAX_NESTED: usize = 16;
+const MAX_WORKFLOW_DEPTH: usize = 16;
 /// The most values of a document, what is imported counted each time.
 const MAX_VALUES: usize = 500_000;
 
@@ -56,9 +56,9 @@
         Some((file, name)) => (file, Some(name)),
         None => (path, None),
     };
-    let file = join("", file).map_err(|what| nowhere(file, what))?;
+    let file = join("", file).map_err(|what| file_fault(file, what))?;
     let mut running = Vec::new();
-    loader.process(&file, name, &Needs::default(), &mut running)
+    loader.process(&file, name, &Requirements::default(), &mut running)
 }
 
 /// Reads the values that go into a process: a YAML or JSON file.
@@ -69,16 +69,16 @@
     let node = yaml::parse(file, text)?;
     match node.data {
         Data::Map(_) => Ok(node),
-        _ => Err(Spot::top(node).fault("inputs are a map from names to values")),
+        _ => Err(Cursor::top(node).fault("inputs are a map from names to values")),
     }
 }
 
-fn nowhere(file: &str, what: String) -> Fault {
+fn file_fault(file: &str, message: String) -> Fault {
     Fault {
         file: file.to_owned(),
         line: 1,
         path: String::new(),
-        what,
+        message,
     }
 }
 
@@ -113,22 +113,22 @@
 
 impl Loader<'_> {
     /// A file with all that it imports.
-    fn file(&mut self, path: &str, by: Option<&Spot>) -> Result<Node, Fault> {
+    fn file(&mut self, path: &str, by: Option<&Cursor>) -> Result<Node, Fault> {
         if let Some(node) = self.files.get(path) {
             return Ok(node.clone());
         }
         let text = self.text(path, by)?;
         let node = yaml::parse(path, &text)?;
         let mut open = vec![path.to_owned()];
-        let node = self.bring_in(&Spot::top(node), &mut open, 0)?;
+        let node = self.resolve_imports(&Cursor::top(node), &mut open, 0)?;
         self.files.insert(path.to_owned(), node.clone());
         Ok(node)
     }
 
-    fn text(&mut self, path: &str, by: Option<&Spot>) -> Result<String, Fault> {
+    fn text(&mut self, path: &str, by: Option<&Cursor>) -> Result<String, Fault> {
         let fault = |what: String| match by {
-            Some(spot) => spot.fault(what),
-            None => nowhere(path, what),
+            Some(cursor) => cursor.fault(what),
+            None => file_fault(path, what),
         };
         self.reads += 1;
         if self.reads > MAX_FILES {
@@ -136,38 +136,38 @@
         }
         let text = self.resolver.read(path);
         let text = text.map_err(|e| fault(format!("{path}: {e}")))?;
-        if text.len() > yaml::MAX_BYTES {
+        if text.len() > yaml::MAX_FILE_BYTES {
             return Err(fault(format!(
                 "{path}: larger than {} bytes",
-                yaml::MAX_BYTES
+                yaml::MAX_FILE_BYTES
             )));
         }
         self.bytes += text.len();
-        if self.bytes > MAX_ALL_BYTES {
+        if self.bytes > MAX_TOTAL_BYTES {
             return Err(fault(format!(
-                "more than {MAX_ALL_BYTES} bytes in all files"
+                "more than {MAX_TOTAL_BYTES} bytes in all files"
             )));
         }
         Ok(text)
     }
 
     /// Puts the contents of files where `$import` and `$include` name them.
-    fn bring_in(
+    fn resolve_imports(
         &mut self,
-        spot: &Spot,
+        cursor: &Cursor,
         open: &mut Vec<String>,
         depth: usize,
     ) -> Result<Node, Fault> {
         self.values += 1;
         if depth > MAX_DEPTH || self.values > MAX_VALUES {
-            return Err(spot.fault("too deep or too large with what it imports"));
+            return Err(cursor.fault("too deep or too large with what it imports"));
         }
-        let data = match &spot.node.data {
+        let data = match &cursor.node.data {
             Data::List(list) => {
                 let mut all = Vec::with_capacity(list.len());
                 for (i, node) in list.iter().enumerate() {
-                    let spot = spot.below(&i.to_string(), node.clone());
-                    all.push(self.bring_in(&spot, open, depth + 1)?);
+                    let cursor = cursor.below(&i.to_string(), node.clone());
+                    all.push(self.resolve_imports(&cursor, open, depth + 1)?);
                 }
                 Data::List(Arc::new(all))
             }
@@ -175,45 +175,48 @@
                 if let [(name, node)] = map.as_slice()
                     && (&**name == "$import" || &**name == "$include")
                 {
-                    return self.imported(&spot.below(name, node.clone()), open, depth);
+                    return self.imported(&cursor.below(name, node.clone()), open, depth);
                 }
                 let mut all = Vec::with_capacity(map.len());
                 for (name, node) in map.iter() {
-                    let spot = spot.below(name, node.clone());
-                    all.push((name.clone(), self.bring_in(&spot, open, depth + 1)?));
+                    let cursor = cursor.below(name, node.clone());
+                    all.push((
+                        name.clone(),
+                        self.resolve_imports(&cursor, open, depth + 1)?,
+                    ));
                 }
                 Data::Map(Arc::new(all))
             }
             data => data.clone(),
         };
         Ok(Node {
-            at: spot.node.at.clone(),
+            location: cursor.node.location.clone(),
             data,
         })
     }
 
     fn imported(
         &mut self,
-        spot: &Spot,
+        cursor: &Cursor,
         open: &mut Vec<String>,
         depth: usize,
     ) -> Result<Node, Fault> {
-        let name = spot.text()?;
-        let path = join(&spot.node.at.file, name).map_err(|e| spot.fault(e))?;
-        if spot.path.ends_with("$include") {
-            let text = self.text(&path, Some(spot))?;
+        let name = cursor.text()?;
+        let path = join(&cursor.node.location.file, name).map_err(|e| cursor.fault(e))?;
+        if cursor.path.ends_with("$include") {
+            let text = self.text(&path, Some(cursor))?;
             return Ok(Node {
-                at: spot.node.at.clone(),
+                location: cursor.node.location.clone(),
                 data: Data::Text(text.into()),
             });
         }
         if open.contains(&path) {
-            return Err(spot.fault(format!("{path} imports itself")));
+            return Err(cursor.fault(format!("{path} imports itself")));
         }
-        let text = self.text(&path, Some(spot))?;
+        let text = self.text(&path, Some(cursor))?;
         let node = yaml::parse(&path, &text)?;
         open.push(path);
-        let node = self.bring_in(&Spot::top(node), open, depth + 1);
+        let node = self.resolve_imports(&Cursor::top(node), open, depth + 1);
         open.pop();
         node
     }
@@ -223,10 +226,10 @@
         &mut self,
         file: &str,
         name: Option<&str>,
-        outer: &Needs,
+        outer: &Requirements,
         running: &mut Vec<(String, String)>,
     ) -> Result<Process, Fault> {
-        let top = Spot::top(self.file(file, None)?);
+        let top = Cursor::top(self.file(file, None)?);
         check_version(&top)?;
         let Some(graph) = top.node.get("$graph") else {
             let own = top.node.get("id").map(|id| top.below("id", id.clone()));
@@ -248,93 +251,93 @@
             (None, [only]) if name.is_none() => only,
             _ => return Err(graph.fault(format!("there is no process `{wanted}` in this file"))),
         };
-        let spot = found.1.clone();
-        self.inline(&spot, file, local(&found.0), outer, running)
+        let cursor = found.1.clone();
+        self.inline(&cursor, file, local(&found.0), outer, running)
     }
 
     /// A process that stands here.
     fn inline(
         &mut self,
-        spot: &Spot,
+        cursor: &Cursor,
         file: &str,
         id: &str,
-        outer: &Needs,
+        outer: &Requirements,
         running: &mut Vec<(String, String)>,
     ) -> Result<Process, Fault> {
-        let me = (file.to_owned(), format!("{id}:{}", spot.path));
+        let me = (file.to_owned(), format!("{id}:{}", cursor.path));
         if running.contains(&me) {
-            return Err(spot.fault("it is a step of itself"));
+            return Err(cursor.fault("it is a step of itself"));
         }
-        if running.len() >= MAX_NESTED {
-            let what = format!("workflows in workflows, more than {MAX_NESTED} deep");
-            return Err(spot.fault(what));
+        if running.len() >= MAX_WORKFLOW_DEPTH {
+            let what = format!("workflows in workflows, more than {MAX_WORKFLOW_DEPTH} deep");
+            return Err(cursor.fault(what));
         }
         running.push(me);
-        let process = self.read(spot, file, id, outer, running);
+        let process = self.read(cursor, file, id, outer, running);
         running.pop();
         process
     }
 
     fn read(
         &mut self,
-        spot: &Spot,
+        cursor: &Cursor,
         file: &str,
         id: &str,
-        outer: &Needs,
+        outer: &Requirements,
         running: &mut Vec<(String, String)>,
     ) -> Result<Process, Fault> {
-        let mut fields = spot.fields()?;
-        fields.remarks();
+        let mut fields = cursor.fields()?;
+        fields.allow_descriptive_fields();
         fields.get("cwlVersion");
-        let class = fields.need("class")?;
-        let needs = Needs::of(&mut fields, outer)?;
-        let names = needs.names();
-        let js = needs.library().is_some();
+        let class = fields.require("class")?;
+        let requirements = Requirements::read(&mut fields, outer)?;
+        let names = requirements.names();
+        let js = requirements.library().is_some();
         let common = Common {
             id: if id.is_empty() { file } else { id }.to_owned(),
-            spot: spot.clone(),
-            inputs: parameters(Some(fields.need("inputs")?), &names, js)?,
-            outputs: outputs(Some(fields.need("outputs")?), &names, js)?,
-            needs,
+            cursor: cursor.clone(),
+            inputs: parameters(Some(fields.require("inputs")?), &names, js)?,
+            outputs: outputs(Some(fields.require("outputs")?), &names, js)?,
+            requirements,
         };
-        let template = |spot: Option<Spot>| spot.map(|s| Template::parse(&s, js)).transpose();
+        let template = |cursor: Option<Cursor>| cursor.map(|s| Template::parse(&s, js)).transpose();
         let process = match class.text()? {
             "CommandLineTool" => {
                 let command = fields.get("baseCommand");
                 let command = command.map(|c| c.texts()).transpose()?.unwrap_or_default();
                 let mut arguments = Vec::new();
-                for spot in fields
+                for cursor in fields
                     .get("arguments")
-                    .map(|a| a.one_or_list())
+                    .map(|a| a.to_list())
                     .unwrap_or_default()
                 {
-                    arguments.push(argument(&spot, js)?);
+                    arguments.push(argument(&cursor, js)?);
                 }
                 let mut codes = |name| -> Result<Vec<i64>, Fault> {
                     let list = fields.get(name).map(|c| c.ints()).transpose()?;
                     Ok(list.unwrap_or_default())
                 };
-                let success = codes("successCodes")?;
-                let temporary = codes("temporaryFailCodes")?;
-                let permanent = codes("permanentFailCodes")?;
+                let success_codes = codes("successCodes")?;
+                let temporary_fail_codes = codes("temporaryFailCodes")?;
+                let permanent_fail_codes = codes("permanentFailCodes")?;
                 Process::Tool(Arc::new(Tool {
                     command,
                     arguments,
                     stdin: template(fields.get("stdin"))?,
                     stdout: template(fields.get("stdout"))?,
                     stderr: template(fields.get("stderr"))?,
-                    success,
-                    temporary,
-                    permanent,
+                    success_codes,
+                    temporary_fail_codes,
+                    permanent_fail_codes,
                     common,
                 }))
             }
             "ExpressionTool" => {
-                let expression = Template::parse(&fields.need("expression")?, js)?;
+                let expression = Template::parse(&fields.require("expression")?, js)?;
                 Process::Expression(Arc::new(ExpressionTool { common, expression }))
             }
             "Workflow" => {
-                let steps = fields.need("steps")?;
+                let steps = fields.require("steps")?;
                 let workflow = self.workflow(common, &steps, file, running)?;
                 Process::Workflow(Arc::new(workflow))
             }
@@ -343,10 +346,10 @@
             }
             other => return Err(class.fault(format!("the class `{other}` is not known"))),
         };
-        fields.end()?;
+        fields.finish()?;
         match &process {
             Process::Tool(tool) if tool.command.is_empty() && tool.arguments.is_empty() => {
-                Err(spot.fault("neither `baseCommand` nor `arguments`: nothing to run"))
+                Err(cursor.fault("neither `baseCommand` nor `arguments`: nothing to run"))
             }
             _ => Ok(process),
         }
@@ -355,15 +358,15 @@
     fn workflow(
         &mut self,
         mut common: Common,
-        spot: &Spot,
+        cursor: &Cursor,
         file: &str,
         running: &mut Vec<(String, String)>,
     ) -> Result<Workflow, Fault> {
         let mut steps: Vec<Step> = Vec::new();
-        for (name, spot) in spot.named("id", None)? {
-            let step = self.step(local(&name), &spot, &common.needs, file, running)?;
+        for (name, cursor) in cursor.named("id", None)? {
+            let step = self.step(local(&name), &cursor, &common.requirements, file, running)?;
             if steps.iter().any(|s| s.name == step.name) {
-                return Err(spot.fault(format!("`{}` is named twice", step.name)));
+                return Err(cursor.fault(format!("`{}` is named twice", step.name)));
             }
             steps.push(step);
         }
@@ -377,44 +380,44 @@
             .flat_map(|s| {
                 s.outputs
                     .iter()
-                    .map(|o| ((s.name.clone(), o.clone()), made(s, o)))
+                    .map(|o| ((s.name.clone(), o.clone()), output_type(s, o)))
             })
             .collect();
-        let known = Known { inputs, made };
+        let known = WorkflowTypes { inputs, made };
         for step in &mut steps {
             for input in &mut step.inputs {
-                known.settle(&mut input.link, &input.spot)?;
+                known.resolve_sources(&mut input.link, &input.cursor)?;
             }
             known.check_step(step)?;
         }
         for output in &mut common.outputs {
-            let spot = output.spot.clone();
+            let cursor = output.cursor.clone();
             let Some(link) = &mut output.link else {
-                return Err(spot.fault("`outputSource` is missing"));
+                return Err(cursor.fault("`outputSource` is missing"));
             };
-            known.settle(link, &spot)?;
-            let comes = known.comes(link);
-            if !comes.may_be(&output.kind) {
-                return Err(spot.fault(format!("{} is expected, but {comes} comes", output.kind)));
+            known.resolve_sources(link, &cursor)?;
+            let comes = known.link_type(link);
+            if !comes.may_match(&output.kind) {
+                return Err(cursor.fault(format!("{} is expected, but {comes} comes", output.kind)));
             }
         }
-        let steps = in_order(steps)?;
+        let steps = topological_order(steps)?;
         Ok(Workflow { common, steps })
     }
 
     fn step(
         &mut self,
         name: &str,
-        spot: &Spot,
-        outer: &Needs,
+        cursor: &Cursor,
+        outer: &Requirements,
         file: &str,
         running: &mut Vec<(String, String)>,
     ) -> Result<Step, Fault> {
-        let mut fields = spot.fields()?;
-        fields.remarks();
-        let needs = Needs::of(&mut fields, outer)?;
-        let js = needs.library().is_some();
-        let run = fields.need("run")?;
+        let mut fields = cursor.fields()?;
+        fields.allow_descriptive_fields();
+        let requirements = Requirements::read(&mut fields, outer)?;
+        let js = requirements.library().is_some();
+        let run = fields.require("run")?;
         let process = match run.text() {
             Ok(text) => {
                 let (path, name) = match text.split_once('#') {
@@ -426,17 +429,17 @@
                     path => join(file, path).map_err(|e| run.fault(e))?,
                 };
                 self.file(&path, Some(&run))?;
-                self.process(&path, name.map(local), &needs, running)?
+                self.process(&path, name.map(local), &requirements, running)?
             }
-            Err(_) => self.inline(&run, file, name, &needs, running)?,
+            Err(_) => self.inline(&run, file, name, &requirements, running)?,
         };
         let mut inputs = Vec::new();
-        for (name, spot) in fields.need("in")?.named("id", Some("source"))? {
-            let spot = with_source(spot);
-            inputs.push(step_input(local(&name), &spot, js)?);
+        for (name, cursor) in fields.require("in")?.named("id", Some("source"))? {
+            let cursor = with_source(cursor);
+            inputs.push(step_input(local(&name), &cursor, js)?);
         }
         let mut outputs = Vec::new();
-        for out in fields.need("out")?.one_or_list() {
+        for out in fields.require("out")?.to_list() {
             let name = match out.node.get("id") {
                 Some(id) => out.below("id", id.clone()).text()?.to_owned(),
                 None => out.text()?.to_owned(),
@@ -450,21 +453,21 @@
         let scatter = fields.get("scatter").map(|s| s.texts()).transpose()?;
         let scatter: Vec<_> = scatter.unwrap_or_default();
         let scatter: Vec<_> = scatter.iter().map(|s| local(s).to_owned()).collect();
-        let method = match fields.get("scatterMethod") {
-            Some(spot) => match spot.text()? {
-                "dotproduct" => Method::Dot,
-                "nested_crossproduct" => Method::Nested,
-                "flat_crossproduct" => Method::Flat,
-                other => return Err(spot.fault(format!("`{other}` is not known"))),
+        let scatter_method = match fields.get("scatterMethod") {
+            Some(cursor) => match cursor.text()? {
+                "dotproduct" => ScatterMethod::DotProduct,
+                "nested_crossproduct" => ScatterMethod::NestedCrossProduct,
+                "flat_crossproduct" => ScatterMethod::FlatCrossProduct,
+                other => return Err(cursor.fault(format!("`{other}` is not known"))),
             },
             None if scatter.len() > 1 => {
-                return Err(spot.fault("`scatterMethod` is missing: several are scattered over"));
+                return Err(cursor.fault("`scatterMethod` is missing: several are scattered over"));
             }
-            None => Method::Dot,
+            None => ScatterMethod::DotProduct,
         };
         for name in &scatter {
             if !inputs.iter().any(|i| i.name == *name) {
-                return Err(spot.fault(format!("scatter: there is no input `{name}`")));
+                return Err(cursor.fault(format!("scatter: there is no input `{name}`")));
             }
         }
         let when = fields.get("when");
@@ -472,24 +475,24 @@
         if let Some(when) = &when
             && when.is_plain()
         {
-            return Err(when.spot().fault("an expression is expected"));
+            return Err(when.cursor().fault("an expression is expected"));
         }
-        fields.end()?;
+        fields.finish()?;
         Ok(Step {
             name: name.to_owned(),
-            spot: spot.clone(),
+            cursor: cursor.clone(),
             inputs,
             outputs,
             run: process,
             when,
             scatter,
-            method,
-            needs,
+            scatter_method,
+            requirements,
         })
     }
 }
 
-fn check_version(top: &Spot) -> Result<(), Fault> {
+fn check_version(top: &Cursor) -> Result<(), Fault> {
     let Some(version) = top.node.get("cwlVersion") else {
         return Err(top.fault("`cwlVersion` is missing"));
     };
@@ -500,37 +503,37 @@
     }
 }
 
-fn argument(spot: &Spot, js: bool) -> Result<Binding, Fault> {
-    if matches!(spot.node.data, Data::Map(_)) {
-        let (binding, _) = binding(spot, js)?;
+fn argument(cursor: &Cursor, js: bool) -> Result<Binding, Fault> {
+    if matches!(cursor.node.data, Data::Map(_)) {
+        let (binding, _) = binding(cursor, js)?;
         if binding.value_from.is_none() {
-            return Err(spot.fault("`valueFrom` is missing"));
+            return Err(cursor.fault("`valueFrom` is missing"));
         }
         return Ok(binding);
     }
-    spot.text()?;
+    cursor.text()?;
     Ok(Binding {
-        value_from: Some(Template::parse(spot, js)?),
+        value_from: Some(Template::parse(cursor, js)?),
         ..Binding::word(true)
     })
 }
 
 /// An input that is only its source, as a map.
-fn with_source(spot: Spot) -> Spot {
-    if matches!(spot.node.data, Data::Map(_)) {
-        return spot;
+fn with_source(cursor: Cursor) -> Cursor {
+    if matches!(cursor.node.data, Data::Map(_)) {
+        return cursor;
     }
-    let mut node = spot.node.clone();
-    node.data = Data::Map(Arc::new(vec![("source".into(), spot.node.clone())]));
-    Spot {
+    let mut node = cursor.node.clone();
+    node.data = Data::Map(Arc::new(vec![("source".into(), cursor.node.clone())]));
+    Cursor {
         node,
-        path: spot.path,
+        path: cursor.path,
     }
 }
 
-fn step_input(name: &str, spot: &Spot, js: bool) -> Result<StepInput, Fault> {
-    let mut fields = spot.fields()?;
-    fields.remarks();
+fn step_input(name: &str, cursor: &Cursor, js: bool) -> Result<StepInput, Fault> {
+    let mut fields = cursor.fields()?;
+    fields.allow_descriptive_fields();
     let link = match fields.get("source") {
         Some(source) => link(&source, &mut fields)?,
         None => Link {
@@ -539,7 +542,7 @@
             pick: None,
         },
     };
-    let default = fields.raw("default").map(|d| d.node.to_value());
+    let default = fields.get_or_null("default").map(|d| d.node.to_value());
     let value_from = fields.get("valueFrom");
     let value_from = value_from.map(|v| Template::parse(&v, js)).transpose()?;
     let load = fields.get("loadContents").map(|l| l.bool()).transpose()?;
@@ -548,28 +551,28 @@
     {
         return Err(how.fault("only `no_listing` is supported"));
     }
-    fields.end()?;
+    fields.finish()?;
     Ok(StepInput {
         name: name.to_owned(),
         link,
         default: default.filter(|d| !d.is_null()),
         value_from,
         load_contents: load.unwrap_or(false),
-        spot: spot.clone(),
+        cursor: cursor.clone(),
     })
 }
 
 /// The type of what a step makes, all members of a scatter together.
-fn made(step: &Step, output: &str) -> Type {
+fn output_type(step: &Step, output: &str) -> Type {
     let outputs = &step.run.common().outputs;
     let kind = outputs.iter().find(|o| o.name == output);
     let mut kind = kind.map_or(Type::Any, |o| o.kind.clone());
     if step.when.is_some() && !kind.is_optional() {
         kind = Type::Union(vec![Type::Null, kind]);
     }
-    let depth = match (step.scatter.len(), step.method) {
+    let depth = match (step.scatter.len(), step.scatter_method) {
         (0, _) => 0,
-        (n, Method::Nested) => n,
+        (n, ScatterMethod::NestedCrossProduct) => n,
         _ => 1,
     };
     for _ in 0..depth {
@@ -579,14 +582,14 @@
 }
 
 /// What has a value in a workflow.
-struct Known {
+struct WorkflowTypes {
     inputs: BTreeMap<String, Type>,
     made: BTreeMap<(String, String), Type>,
 }
 
-impl Known {
+impl WorkflowTypes {
     /// Finds out what the names of a link mean.
-    fn settle(&self, link: &mut Link, spot: &Spot) -> Result<(), Fault> {
+    fn resolve_sources(&self, link: &mut Link, cursor: &Cursor) -> Result<(), Fault> {
         for source in &mut link.sources {
             let Source::Input(name) = source else {
                 continue;
@@ -600,13 +603,13 @@
             *source = match step {
                 Some(step) if self.made.contains_key(&step) => Source::Step(step.0, step.1),
                 _ if self.inputs.contains_key(local(name)) => Source::Input(local(name).to_owned()),
-                _ => return Err(spot.fault(format!("`{name}` is no input and no step's output"))),
+                _ => return Err(cursor.fault(format!("`{name}` is no input and no step's output"))),
             };
         }
         Ok(())
     }
 
-    fn of(&self, source: &Source) -> Type {
+    fn source_type(&self, source: &Source) -> Type {
         let kind = match source {
             Source::Input(name) => self.inputs.get(name),
             Source::Step(step, out) => self.made.get(&(step.clone(), out.clone())),
@@ -615,12 +618,12 @@
     }
 
     /// The type of what comes over a link.
-    fn comes(&self, link: &Link) -> Type {
-        let mut types: Vec<_> = link.sources.iter().map(|s| self.of(s)).collect();
-        let each = match link.merges() {
+    fn link_type(&self, link: &Link) -> Type {
+        let mut types: Vec<_> = link.sources.iter().map(|s| self.source_type(s)).collect();
+        let each = match link.effective_merge() {
             None if link.pick.is_none() => return types.pop().unwrap_or(Type::Null),
-            Some(Merge::Nested) => types,
-            Some(Merge::Flattened) | None => types.into_iter().map(into_items).collect(),
+            Some(LinkMerge::Nested) => types,
+            Some(LinkMerge::Flattened) | None => types.into_iter().map(into_items).collect(),
         };
         let each = match link.pick {
             Some(_) => each.into_iter().map(without_null).collect(),
@@ -628,8 +631,8 @@
         };
         let one = Type::Union(each);
         match link.pick {
-            Some(Pick::First | Pick::Only) => one,
-            Some(Pick::All) | None => Type::Array(Box::new(one)),
+            Some(PickValue::First | PickValue::Only) => one,
+            Some(PickValue::All) | None => Type::Array(Box::new(one)),
         }
     }
 
@@ -637,12 +640,12 @@
     fn check_step(&self, step: &Step) -> Result<(), Fault> {
         let takes = &step.run.common().inputs;
         for input in &step.inputs {
-            let mut comes = self.comes(&input.link);
+            let mut comes = self.link_type(&input.link);
             let given = !input.link.sources.is_empty();
             if let Some(default) = &input.default {
                 comes = match given {
                     true => without_null(comes),
-                    false => continue_with(default),
+                    false => type_of_default(default),
                 };
             }
             let scattered = step.scatter.contains(&input.name);
@@ -651,7 +654,7 @@
                     Some(items) => items,
                     None => {
                         let what = format!("scatter: an array is expected, but {comes} comes");
-                        return Err(input.spot.fault(what));
+                        return Err(input.cursor.fault(what));
                     }
                 };
             }
@@ -664,24 +667,24 @@
                 continue;
             };
             let takes_null = takes.kind.is_optional() || takes.default.is_some();
-            let fits = comes.may_be(&takes.kind) || (takes_null && comes.is_optional());
+            let fits = comes.may_match(&takes.kind) || (takes_null && comes.is_optional());
             if !fits {
                 let what = format!("{} is expected, but {comes} comes", takes.kind);
-                return Err(input.spot.fault(what));
+                return Err(input.cursor.fault(what));
             }
         }
         for takes in takes {
             let given = step.inputs.iter().any(|i| i.name == takes.name);
             if !given && !takes.kind.is_optional() && takes.default.is_none() {
                 let what = format!("the input `{}` of what it runs is missing", takes.name);
-                return Err(step.spot.fault(what));
+                return Err(step.cursor.fault(what));
             }
         }
         Ok(())
     }
 }
 
-fn continue_with(default: &serde_json::Value) -> Type {
+fn type_of_default(default: &serde_json::Value) -> Type {
     use serde_json::Value;
     match default {
         Value::Bool(_) => Type::Boolean,
@@ -723,7 +726,7 @@
 }
 
 /// Puts steps behind those that they depend on.
-fn in_order(mut steps: Vec<Step>) -> Result<Vec<Step>, Fault> {
+fn topological_order(mut steps: Vec<Step>) -> Result<Vec<Step>, Fault> {
     let mut ordered: Vec<Step> = Vec::new();
     let mut done: BTreeSet<String> = BTreeSet::new();
     while !steps.is_empty() {
@@ -738,7 +741,7 @@
         let Some(ready) = ready else {
             let names: Vec<_> = steps.iter().map(|s| s.name.as_str()).collect();
             let what = format!("steps wait for each other: {}", names.join(", "));
-            return Err(steps[0].spot.fault(what));
+            return Err(steps[0].cursor.fault(what));
         };
         let step = steps.remove(ready);
         done.insert(step.name.clone());
--- a/crates/cwl/src/needs.rs
+++ b/crates/cwl/src/requirements.rs
@@ -5,11 +5,11 @@
 use serde_json::Value;
 
 use crate::{
+    cursor::{Cursor, Fields, local},
     engine::Engine,
     expr::{Scope, Template},
     fault::Fault,
-    spot::{Fields, Spot, local},
-    types::{Names, Type},
+    types::{NamedTypes, Type},
 };
 
 /// The name space of what oliveshift adds, as `$namespaces` has to give it.
@@ -17,11 +17,11 @@
 
 /// One requirement.
 #[derive(Clone, Debug)]
-pub enum Need {
+pub enum Requirement {
     /// JavaScript, with a library.
-    Script(Vec<String>),
+    InlineJavascript(Vec<String>),
     /// Types that have names.
-    Types(Names),
+    SchemaDefs(NamedTypes),
     /// The image.
     Image(String),
     /// Processors and memory.
@@ -37,7 +37,7 @@
     /// What oliveshift adds.
     Placement(Placement),
     /// A feature that is always there, or that changes nothing here.
-    Granted,
+    NoEffect,
 }
 
 /// Processors and memory of a tool.
@@ -53,18 +53,18 @@
 #[derive(Clone, Debug)]
 pub enum WorkDir {
     /// Entries one by one.
-    Entries(Vec<Entry>),
+    Entries(Vec<WorkDirEntry>),
     /// An expression that gives all of them.
     All(Template),
 }
 
 /// Something in the working directory.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct WorkDirEntry {
     /// Its name; none: that of the file.
     pub name: Option<Template>,
     /// Text, a file, a directory, or several.
-    pub what: Template,
+    pub content: Template,
     /// Whether the tool may change it.
     pub writable: bool,
 }
@@ -115,27 +115,27 @@
 }
 
 /// The classes of requirements and what becomes of them, by name.
-type Classes = BTreeMap<&'static str, Need>;
+type RequirementsByClass = BTreeMap<&'static str, Requirement>;
 
 /// All that holds for a process.
 #[derive(Clone, Debug, Default)]
-pub struct Needs {
-    required: Classes,
-    hinted: Classes,
+pub struct Requirements {
+    required: RequirementsByClass,
+    hinted: RequirementsByClass,
 }
 
-impl Needs {
+impl Requirements {
     /// Reads `requirements` and `hints` of a process or a step, within what holds
     /// around it.
     ///
     /// # Errors
     /// A requirement that is not known or not supported, or a hint that is not
     /// well formed.
-    pub fn of(fields: &mut Fields, outer: &Needs) -> Result<Self, Fault> {
-        let mut needs = Self::default();
+    pub fn read(fields: &mut Fields, outer: &Requirements) -> Result<Self, Fault> {
+        let mut requirements = Self::default();
         let mut named = |name| -> Result<_, Fault> {
-            let spot = fields.get(name);
-            Ok(spot
+            let cursor = fields.get(name);
+            Ok(cursor
                 .map(|s| s.named("class", None))
                 .transpose()?
                 .unwrap_or_default())
@@ -147,38 +147,40 @@
         for (list, is_hint) in [(required, false), (hinted, true)] {
             let mut list = list;
             list.sort_by_key(|(name, _)| late(name));
-            for (name, spot) in list {
-                let merged = needs.within(outer);
-                let read = read(&name, &spot, is_hint, &merged)?;
-                let Some((class, need)) = read else { continue };
+            for (name, cursor) in list {
+                let merged = requirements.within(outer);
+                let read = read_requirement(&name, &cursor, is_hint, &merged)?;
+                let Some((class, require)) = read else {
+                    continue;
+                };
                 let classes = if is_hint {
-                    &mut needs.hinted
+                    &mut requirements.hinted
                 } else {
-                    &mut needs.required
+                    &mut requirements.required
                 };
-                if classes.insert(class, need).is_some() {
-                    return Err(spot.fault(format!("`{name}` is given twice")));
+                if classes.insert(class, require).is_some() {
+                    return Err(cursor.fault(format!("`{name}` is given twice")));
                 }
             }
         }
-        Ok(needs.within(outer))
+        Ok(requirements.within(outer))
     }
 
     /// These within a workflow or step that has some itself: the inner ones
     /// count, and requirements before hints.
-    fn within(&self, outer: &Needs) -> Self {
-        let merge = |outer: &Classes, inner: &Classes| {
+    fn within(&self, outer: &Requirements) -> Self {
+        let merge = |outer: &RequirementsByClass, inner: &RequirementsByClass| {
             let mut all = outer.clone();
-            for (class, need) in inner {
-                let need = match (all.get(class), need) {
+            for (class, require) in inner {
+                let require = match (all.get(class), require) {
                     // Whoever says how long a step takes does not mean to take
                     // back which team pays.
-                    (Some(Need::Placement(outer)), Need::Placement(inner)) => {
-                        Need::Placement(inner.within(outer))
+                    (Some(Requirement::Placement(outer)), Requirement::Placement(inner)) => {
+                        Requirement::Placement(inner.within(outer))
                     }
-                    (_, need) => need.clone(),
+                    (_, require) => require.clone(),
                 };
-                all.insert(class, need);
+                all.insert(class, require);
             }
             all
         };
@@ -188,7 +190,7 @@
         }
     }
 
-    fn get(&self, class: &str) -> Option<&Need> {
+    fn get(&self, class: &str) -> Option<&Requirement> {
         let required = self.required.get(class);
         required.or_else(|| self.hinted.get(class))
     }
@@ -196,23 +198,23 @@
     /// The library of expressions; none if JavaScript is not asked for.
     pub fn library(&self) -> Option<&[String]> {
         match self.get("InlineJavascriptRequirement") {
-            Some(Need::Script(library)) => Some(library),
+            Some(Requirement::InlineJavascript(library)) => Some(library),
             _ => None,
         }
     }
 
     /// Types that have names.
-    pub fn names(&self) -> Names {
+    pub fn names(&self) -> NamedTypes {
         match self.get("SchemaDefRequirement") {
-            Some(Need::Types(names)) => names.clone(),
-            _ => Names::new(),
+            Some(Requirement::SchemaDefs(names)) => names.clone(),
+            _ => NamedTypes::new(),
         }
     }
 
     /// The image.
     pub fn image(&self) -> Option<&str> {
         match self.get("DockerRequirement") {
-            Some(Need::Image(image)) => Some(image),
+            Some(Requirement::Image(image)) => Some(image),
             _ => None,
         }
     }
@@ -223,7 +225,7 @@
     /// What is given is no number above zero.
     pub fn resources(&self, scope: &Scope<'_>, engine: &Engine) -> Result<(f64, f64), Fault> {
         let (mut cores, mut ram) = (1.0, 256.0);
-        if let Some(Need::Resources(asked)) = self.get("ResourceRequirement") {
+        if let Some(Requirement::Resources(asked)) = self.get("ResourceRequirement") {
             for (given, into) in [(&asked.cores, &mut cores), (&asked.ram, &mut ram)] {
                 if let Some(given) = given {
                     *into = positive(given, scope, engine)?;
@@ -234,9 +236,9 @@
     }
 
     /// Whether processors and memory are the same whatever goes in.
-    pub fn resources_are_plain(&self) -> bool {
+    pub fn resources_are_constant(&self) -> bool {
         match self.get("ResourceRequirement") {
-            Some(Need::Resources(asked)) => {
+            Some(Requirement::Resources(asked)) => {
                 let given = [&asked.cores, &asked.ram];
                 given.into_iter().flatten().all(Template::is_plain)
             }
@@ -245,9 +247,9 @@
     }
 
     /// How many of them it takes the engine to know.
-    pub fn resources_run_code(&self) -> usize {
+    pub fn resource_expression_count(&self) -> usize {
         match self.get("ResourceRequirement") {
-            Some(Need::Resources(asked)) => {
+            Some(Requirement::Resources(asked)) => {
                 let given = [&asked.cores, &asked.ram].into_iter().flatten();
                 given.filter(|t| t.runs_code()).count()
             }
@@ -258,7 +260,7 @@
     /// Variables of the environment.
     pub fn environment(&self) -> &[(String, Template)] {
         match self.get("EnvVarRequirement") {
-            Some(Need::Environment(list)) => list,
+            Some(Requirement::Environment(list)) => list,
             _ => &[],
         }
     }
@@ -266,7 +268,7 @@
     /// What is in the working directory beforehand.
     pub fn work_dir(&self) -> Option<&WorkDir> {
         match self.get("InitialWorkDirRequirement") {
-            Some(Need::WorkDir(dir)) => Some(dir),
+            Some(Requirement::WorkDir(dir)) => Some(dir),
             _ => None,
         }
     }
@@ -282,13 +284,13 @@
     /// What is given is no number.
     pub fn time_limit(&self, scope: &Scope<'_>, engine: &Engine) -> Result<Option<f64>, Fault> {
         match self.get("ToolTimeLimit") {
-            Some(Need::TimeLimit(limit)) => {
+            Some(Requirement::TimeLimit(limit)) => {
                 let value = limit.eval(scope, engine)?;
                 match value.as_f64() {
                     // Zero means none, by the standard.
                     Some(0.0) => Ok(None),
                     Some(limit) if limit > 0.0 => Ok(Some(limit)),
-                    _ => Err(limit.spot().fault("a number of seconds is expected")),
+                    _ => Err(limit.cursor().fault("a number of seconds is expected")),
                 }
             }
             _ => Ok(None),
@@ -298,7 +300,7 @@
     /// What oliveshift adds.
     pub fn placement(&self) -> Placement {
         match self.get("Placement") {
-            Some(Need::Placement(placement)) => placement.clone(),
+            Some(Requirement::Placement(placement)) => placement.clone(),
             _ => Placement::default(),
         }
     }
@@ -310,31 +312,34 @@
         Some(x) if x > 0.0 && x.is_finite() => Ok(x),
         _ => {
             let what = format!("a number above zero is expected, not {value}");
-            Err(given.spot().fault(what))
+            Err(given.cursor().fault(what))
         }
     }
 }
 
 /// Reads one. None: a hint that is not known, which may be passed over.
-fn read(
+fn read_requirement(
     name: &str,
-    spot: &Spot,
+    cursor: &Cursor,
     is_hint: bool,
-    known: &Needs,
-) -> Result<Option<(&'static str, Need)>, Fault> {
+    known: &Requirements,
+) -> Result<Option<(&'static str, Requirement)>, Fault> {
     let js = known.library().is_some();
-    let mut fields = spot.fields()?;
+    let mut fields = cursor.fields()?;
     fields.get("class");
-    let template = |spot: Option<Spot>| spot.map(|s| Template::parse(&s, js)).transpose();
+    let template = |cursor: Option<Cursor>| cursor.map(|s| Template::parse(&s, js)).transpose();
     let read = match local_class(name) {
         "InlineJavascriptRequirement" => {
             let library = fields.get("expressionLib");
             let library = library.map(|l| l.texts()).transpose()?.unwrap_or_default();
-            ("InlineJavascriptRequirement", Need::Script(library))
+            (
+                "InlineJavascriptRequirement",
+                Requirement::InlineJavascript(library),
+            )
         }
         "SchemaDefRequirement" => {
             let mut names = known.names();
-            for kind in fields.need("types")?.one_or_list() {
+            for kind in fields.require("types")?.to_list() {
                 let Some(name) = kind.node.get("name") else {
                     return Err(kind.fault("`name` is missing"));
                 };
@@ -342,7 +347,7 @@
                 let read = Type::parse(&kind, &names)?;
                 names.insert(local(name.text()?).to_owned(), read);
             }
-            ("SchemaDefRequirement", Need::Types(names))
+            ("SchemaDefRequirement", Requirement::SchemaDefs(names))
         }
         "DockerRequirement" => {
             let pull = fields.get("dockerPull");
@@ -354,14 +359,17 @@
                 "dockerOutputDirectory",
             ];
             for other in other {
-                if let Some(spot) = fields.get(other) {
-                    return Err(spot.fault("not supported: name an image by `dockerPull`"));
+                if let Some(cursor) = fields.get(other) {
+                    return Err(cursor.fault("not supported: name an image by `dockerPull`"));
                 }
             }
             let Some(image) = pull.or(id) else {
-                return Err(spot.fault("`dockerPull` is missing"));
+                return Err(cursor.fault("`dockerPull` is missing"));
             };
-            ("DockerRequirement", Need::Image(image.text()?.to_owned()))
+            (
+                "DockerRequirement",
+                Requirement::Image(image.text()?.to_owned()),
+            )
         }
         "ResourceRequirement" => {
             let (cores, most) = (fields.get("coresMin"), fields.get("coresMax"));
@@ -370,67 +378,71 @@
             let ram = template(ram.or(most))?;
             // Machines have one disk, of which the service has no measure.
             for disk in ["tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax"] {
-                if let Some(spot) = fields.get(disk)
+                if let Some(cursor) = fields.get(disk)
                     && !is_hint
                 {
-                    return Err(spot.fault("disk space is not measured; give it as a hint"));
+                    return Err(cursor.fault("disk space is not measured; give it as a hint"));
                 }
             }
             let resources = Resources { cores, ram };
-            ("ResourceRequirement", Need::Resources(resources))
+            ("ResourceRequirement", Requirement::Resources(resources))
         }
         "EnvVarRequirement" => {
             let mut list = Vec::new();
-            let given = fields.need("envDef")?;
+            let given = fields.require("envDef")?;
             for (name, entry) in given.named("envName", Some("envValue"))? {
                 let mut entry = entry.fields()?;
                 entry.get("envName");
-                let value = Template::parse(&entry.need("envValue")?, js)?;
-                entry.end()?;
+                let value = Template::parse(&entry.require("envValue")?, js)?;
+                entry.finish()?;
                 if name.is_empty() || name.contains(['=', '\0']) {
                     return Err(given.fault(format!("`{name}` is no variable's name")));
                 }
                 list.push((name, value));
             }
-            ("EnvVarRequirement", Need::Environment(list))
+            ("EnvVarRequirement", Requirement::Environment(list))
         }
         "InitialWorkDirRequirement" => {
-            let listing = fields.need("listing")?;
+            let listing = fields.require("listing")?;
             let dir = match listing.text() {
                 Ok(_) => WorkDir::All(Template::parse(&listing, js)?),
                 Err(_) => {
-                    let entries = listing.one_or_list();
+                    let entries = listing.to_list();
                     let entries = entries.iter().map(|e| entry(e, js));
                     WorkDir::Entries(entries.collect::<Result<_, _>>()?)
                 }
             };
-            ("InitialWorkDirRequirement", Need::WorkDir(dir))
+            ("InitialWorkDirRequirement", Requirement::WorkDir(dir))
         }
-        "ShellCommandRequirement" => ("ShellCommandRequirement", Need::Shell),
+        "ShellCommandRequirement" => ("ShellCommandRequirement", Requirement::Shell),
         "ToolTimeLimit" => {
-            let limit = Template::parse(&fields.need("timelimit")?, js)?;
-            ("ToolTimeLimit", Need::TimeLimit(limit))
+            let limit = Template::parse(&fields.require("timelimit")?, js)?;
+            ("ToolTimeLimit", Requirement::TimeLimit(limit))
         }
         "Placement" if name != "Placement" => {
             let placement = placement(&mut fields)?;
-            ("Placement", Need::Placement(placement))
+            ("Placement", Requirement::Placement(placement))
+        }
+        "ScatterFeatureRequirement" => ("ScatterFeatureRequirement", Requirement::NoEffect),
+        "SubworkflowFeatureRequirement" => ("SubworkflowFeatureRequirement", Requirement::NoEffect),
+        "MultipleInputFeatureRequirement" => {
+            ("MultipleInputFeatureRequirement", Requirement::NoEffect)
+        }
+        "StepInputExpressionRequirement" => {
+            ("StepInputExpressionRequirement", Requirement::NoEffect)
         }
-        "ScatterFeatureRequirement" => ("ScatterFeatureRequirement", Need::Granted),
-        "SubworkflowFeatureRequirement" => ("SubworkflowFeatureRequirement", Need::Granted),
-        "MultipleInputFeatureRequirement" => ("MultipleInputFeatureRequirement", Need::Granted),
-        "StepInputExpressionRequirement" => ("StepInputExpressionRequirement", Need::Granted),
         "WorkReuse" => {
             // Nothing is reused, which is what `false` asks and `true` allows.
             fields.get("enableReuse");
-            ("WorkReuse", Need::Granted)
+            ("WorkReuse", Requirement::NoEffect)
         }
         "NetworkAccess" => {
-            let access = fields.need("networkAccess")?;
+            let access = fields.require("networkAccess")?;
             if !is_hint && !access.bool()? {
                 let what = "tasks have their machine's network; it can't be taken away";
                 return Err(access.fault(what));
             }
-            ("NetworkAccess", Need::Granted)
+            ("NetworkAccess", Requirement::NoEffect)
         }
         "LoadListingRequirement" => {
             if let Some(how) = fields.get("loadListing")
@@ -438,15 +450,15 @@
             {
                 return Err(how.fault("only `no_listing` is supported"));
             }
-            ("LoadListingRequirement", Need::Granted)
+            ("LoadListingRequirement", Requirement::NoEffect)
         }
         _ if is_hint => return Ok(None),
         "SoftwareRequirement" | "InplaceUpdateRequirement" => {
-            return Err(spot.fault(format!("`{name}` is not supported")));
+            return Err(cursor.fault(format!("`{name}` is not supported")));
         }
-        _ => return Err(spot.fault(format!("the requirement `{name}` is not known"))),
+        _ => return Err(cursor.fault(format!("the requirement `{name}` is not known"))),
     };
-    fields.end()?;
+    fields.finish()?;
     Ok(Some(read))
 }
 
@@ -461,50 +473,50 @@
     }
 }
 
-fn entry(spot: &Spot, js: bool) -> Result<Entry, Fault> {
-    if spot.text().is_ok() || spot.node.get("entry").is_none() {
-        return Ok(Entry {
+fn entry(cursor: &Cursor, js: bool) -> Result<WorkDirEntry, Fault> {
+    if cursor.text().is_ok() || cursor.node.get("entry").is_none() {
+        return Ok(WorkDirEntry {
             name: None,
-            what: Template::parse(spot, js)?,
+            content: Template::parse(cursor, js)?,
             writable: false,
         });
     }
-    let mut fields = spot.fields()?;
+    let mut fields = cursor.fields()?;
     let name = fields.get("entryname");
-    let entry = Entry {
+    let entry = WorkDirEntry {
         name: name.map(|n| Template::parse(&n, js)).transpose()?,
-        what: Template::parse(&fields.need("entry")?, js)?,
+        content: Template::parse(&fields.require("entry")?, js)?,
         writable: match fields.get("writable") {
             Some(writable) => writable.bool()?,
             None => false,
         },
     };
-    fields.end()?;
+    fields.finish()?;
     Ok(entry)
 }
 
 fn placement(fields: &mut Fields) -> Result<Placement, Fault> {
-    let mut text = |name| -> Result<Option<(String, Spot)>, Fault> {
-        let spot = fields.get(name);
-        spot.map(|s| Ok((s.text()?.to_owned(), s))).transpose()
+    let mut text = |name| -> Result<Option<(String, Cursor)>, Fault> {
+        let cursor = fields.get(name);
+        cursor.map(|s| Ok((s.text()?.to_owned(), s))).transpose()
     };
     let team = text("team")?;
     let class = text("class_of_work")?;
     let urgency = text("urgency")?;
     let zone = text("zone")?;
-    if let Some((urgency, spot)) = &urgency
+    if let Some((urgency, cursor)) = &urgency
         && !["low", "normal", "high"].contains(&urgency.as_str())
     {
         // Production is for services, which a workflow's steps are not.
-        return Err(spot.fault("`low`, `normal` or `high` is expected"));
+        return Err(cursor.fault("`low`, `normal` or `high` is expected"));
     }
     let mut number = |name| -> Result<Option<f64>, Fault> {
-        let Some(spot) = fields.get(name) else {
+        let Some(cursor) = fields.get(name) else {
             return Ok(None);
         };
-        match spot.number()? {
+        match cursor.number()? {
             x if x >= 0.0 && x.is_finite() => Ok(Some(x)),
-            _ => Err(spot.fault("a number of at least zero is expected")),
+            _ => Err(cursor.fault("a number of at least zero is expected")),
         }
     };
     let deadline_s = number("deadline_s")?;
@@ -513,7 +525,7 @@
     let gpus = number("gpus")?;
     let types = fields.get("types").map(|t| t.texts()).transpose()?;
     let spot = fields.get("spot").map(|s| s.bool()).transpose()?;
-    let plain = |text: Option<(String, Spot)>| text.map(|(text, _)| text);
+    let plain = |text: Option<(String, Cursor)>| text.map(|(text, _)| text);
     Ok(Placement {
         team: plain(team),
         class: plain(class),
--- a/crates/cwl/src/types.rs
+++ b/crates/cwl/src/types.rs
@@ -5,8 +5,8 @@
 use serde_json::{Map, Value};
 
 use crate::{
+    cursor::{Cursor, local},
     fault::Fault,
-    spot::{Spot, local},
     yaml::Data,
 };
 
@@ -51,37 +51,37 @@
 const MAX_TEXT: usize = 128;
 
 /// Types that a document names itself.
-pub type Names = BTreeMap<String, Type>;
+pub type NamedTypes = BTreeMap<String, Type>;
 
 impl Type {
     /// Reads a type.
     ///
     /// # Errors
     /// It is none, or none that is known.
-    pub fn parse(spot: &Spot, names: &Names) -> Result<Self, Fault> {
-        match &spot.node.data {
+    pub fn parse(cursor: &Cursor, names: &NamedTypes) -> Result<Self, Fault> {
+        match &cursor.node.data {
             Data::Text(text) if text.len() > MAX_TEXT => {
-                Err(spot.fault(format!("a type of more than {MAX_TEXT} characters")))
+                Err(cursor.fault(format!("a type of more than {MAX_TEXT} characters")))
             }
-            Data::Text(text) => Self::named(text, spot, names),
+            Data::Text(text) => Self::named(text, cursor, names),
             Data::List(_) => {
-                let types = spot.one_or_list();
+                let types = cursor.to_list();
                 let types: Result<Vec<_>, _> =
                     types.iter().map(|t| Self::parse(t, names)).collect();
                 Ok(Self::Union(types?))
             }
-            Data::Map(_) => Self::schema(spot, names),
-            _ => Err(spot.fault(format!("a type is expected, not {}", spot.node.kind()))),
+            Data::Map(_) => Self::schema(cursor, names),
+            _ => Err(cursor.fault(format!("a type is expected, not {}", cursor.node.kind()))),
         }
     }
 
-    fn named(text: &str, spot: &Spot, names: &Names) -> Result<Self, Fault> {
+    fn named(text: &str, cursor: &Cursor, names: &NamedTypes) -> Result<Self, Fault> {
         if let Some(inner) = text.strip_suffix('?') {
-            let inner = Self::named(inner, spot, names)?;
+            let inner = Self::named(inner, cursor, names)?;
             return Ok(Self::Union(vec![Self::Null, inner]));
         }
         if let Some(inner) = text.strip_suffix("[]") {
-            let inner = Self::named(inner, spot, names)?;
+            let inner = Self::named(inner, cursor, names)?;
             return Ok(Self::Array(Box::new(inner)));
         }
         Ok(match text {
@@ -99,31 +99,31 @@
             "stderr" => Self::Stderr,
             "stdin" => {
                 return Err(
-                    spot.fault("`type: stdin` is not supported; write `stdin: $(inputs.…)`")
+                    cursor.fault("`type: stdin` is not supported; write `stdin: $(inputs.…)`")
                 );
             }
             name => match names.get(local(name)) {
                 Some(known) => known.clone(),
-                None => return Err(spot.fault(format!("the type `{name}` is not known"))),
+                None => return Err(cursor.fault(format!("the type `{name}` is not known"))),
             },
         })
     }
 
     /// A type that is spelled out. What `inputBinding` it has is read apart.
-    fn schema(spot: &Spot, names: &Names) -> Result<Self, Fault> {
-        let mut fields = spot.fields()?;
-        fields.remarks();
-        let kind = fields.need("type")?;
+    fn schema(cursor: &Cursor, names: &NamedTypes) -> Result<Self, Fault> {
+        let mut fields = cursor.fields()?;
+        fields.allow_descriptive_fields();
+        let kind = fields.require("type")?;
         fields.get("name");
         fields.get("inputBinding");
         let read = match kind.text() {
             Ok("array") => {
-                let items = fields.need("items")?;
+                let items = fields.require("items")?;
                 Self::Array(Box::new(Self::parse(&items, names)?))
             }
             Ok("enum") => Self::Enum(
                 fields
-                    .need("symbols")?
+                    .require("symbols")?
                     .texts()?
                     .iter()
                     .map(|s| local(s).to_owned())
@@ -134,16 +134,18 @@
                 if let Some(list) = fields.get("fields") {
                     for (name, field) in list.named("name", Some("type"))? {
                         let mut field = field.fields()?;
-                        field.remarks();
+                        field.allow_descriptive_fields();
                         field.get("name");
                         field.get("inputBinding");
                         for what in ["outputBinding", "secondaryFiles", "streamable", "format"] {
-                            if let Some(spot) = field.get(what) {
-                                return Err(spot.fault("not supported for the fields of a record"));
+                            if let Some(cursor) = field.get(what) {
+                                return Err(
+                                    cursor.fault("not supported for the fields of a record")
+                                );
                             }
                         }
-                        let kind = Self::parse(&field.need("type")?, names)?;
-                        field.end()?;
+                        let kind = Self::parse(&field.require("type")?, names)?;
+                        field.finish()?;
                         parts.push((local(&name).to_owned(), kind));
                     }
                 }
@@ -151,7 +153,7 @@
             }
             _ => return Self::parse(&kind, names),
         };
-        fields.end()?;
+        fields.finish()?;
         Ok(read)
     }
 
@@ -211,13 +213,13 @@
 
     /// Whether some value of this type is one of the other: a link between the
     /// two may work out.
-    pub fn may_be(&self, other: &Self) -> bool {
+    pub fn may_match(&self, other: &Self) -> bool {
         match (self, other) {
-            (Self::Union(types), other) => types.iter().any(|t| t.may_be(other)),
-            (this, Self::Union(types)) => types.iter().any(|t| this.may_be(t)),
+            (Self::Union(types), other) => types.iter().any(|t| t.may_match(other)),
+            (this, Self::Union(types)) => types.iter().any(|t| this.may_match(t)),
             (Self::Any, other) => *other != Self::Null,
             (this, Self::Any) => *this != Self::Null,
-            (Self::Array(a), Self::Array(b)) => a.may_be(b),
+            (Self::Array(a), Self::Array(b)) => a.may_match(b),
             (Self::Stdout | Self::Stderr | Self::File, other) => {
                 matches!(other, Self::File | Self::Stdout | Self::Stderr)
             }
@@ -228,7 +230,7 @@
             (Self::Enum(a), Self::Enum(b)) => a.iter().any(|s| b.contains(s)),
             (Self::Record(a), Self::Record(b)) => a.iter().all(|(name, kind)| {
                 let there = b.iter().find(|(n, _)| n == name);
-                there.is_some_and(|(_, k)| kind.may_be(k))
+                there.is_some_and(|(_, k)| kind.may_match(k))
             }),
             (this, other) => this == other,
         }
--- a/crates/cwl/src/values.rs
+++ b/crates/cwl/src/values.rs
@@ -5,11 +5,14 @@
 use serde_json::Value;
 
 use crate::{
-    document::{Common, Link, Merge, Method, Parameter, Pick, Process, Secondary, Source, Step},
+    cursor::Cursor,
+    document::{
+        Common, Link, LinkMerge, Parameter, PickValue, Process, ScatterMethod, SecondaryFile,
+        Source, Step,
+    },
     engine::Engine,
     expr::{Object, Scope, Template},
     fault::Fault,
-    spot::Spot,
     types::class_of,
 };
 
@@ -51,7 +54,7 @@
     let Some(mut values) = values else {
         return Ok(None);
     };
-    let list = match link.merges() {
+    let list = match link.effective_merge() {
         None => {
             let only = values.pop().unwrap_or_default();
             let Some(pick) = link.pick else {
@@ -63,8 +66,8 @@
             };
             return picked(list, Some(pick)).map(Some);
         }
-        Some(Merge::Nested) => values.iter().map(|v| (**v).clone()).collect(),
-        Some(Merge::Flattened) => {
+        Some(LinkMerge::Nested) => values.iter().map(|v| (**v).clone()).collect(),
+        Some(LinkMerge::Flattened) => {
             let mut flat = Vec::new();
             for value in &values {
                 match &**value {
@@ -78,18 +81,18 @@
     picked(list, link.pick).map(Some)
 }
 
-fn picked(list: Vec<Value>, pick: Option<Pick>) -> Result<Arc<Value>, String> {
+fn picked(list: Vec<Value>, pick: Option<PickValue>) -> Result<Arc<Value>, String> {
     let Some(pick) = pick else {
         return Ok(Arc::new(list.into()));
     };
     let mut there = list.into_iter().filter(|v| !v.is_null());
     match pick {
-        Pick::All => Ok(Arc::new(there.collect())),
-        Pick::First => there
+        PickValue::All => Ok(Arc::new(there.collect())),
+        PickValue::First => there
             .next()
             .map(Arc::new)
             .ok_or_else(|| "pickValue: all of them are null".to_owned()),
-        Pick::Only => match (there.next(), there.next()) {
+        PickValue::Only => match (there.next(), there.next()) {
             (Some(only), None) => Ok(Arc::new(only)),
             (None, _) => Err("pickValue: all of them are null".into()),
             (Some(_), Some(_)) => Err("pickValue: more than one is not null".into()),
@@ -110,7 +113,7 @@
 ) -> Result<Option<Members>, Fault> {
     let mut base = Object::default();
     for input in &step.inputs {
-        let value = linked(&input.link, of).map_err(|e| input.spot.fault(e))?;
+        let value = linked(&input.link, of).map_err(|e| input.cursor.fault(e))?;
         let Some(mut value) = value else {
             return Ok(None);
         };
@@ -120,14 +123,14 @@
             value = Arc::new(default.clone());
         }
         if input.load_contents {
-            value = with_contents(&value, contents).map_err(|e| input.spot.fault(e))?;
+            value = with_contents(&value, contents).map_err(|e| input.cursor.fault(e))?;
         }
         base.insert_mut(input.name.clone(), value);
     }
     let (shape, objects) = scattered(step, &base)?;
     if objects.len().saturating_mul(evaluations(step)) > MAX_EVALUATIONS {
         let what = format!("scatter: more than {MAX_EVALUATIONS} evaluations of JavaScript");
-        return Err(step.spot.fault(what));
+        return Err(step.cursor.fault(what));
     }
     let mut all = Vec::with_capacity(objects.len());
     for object in objects {
@@ -146,9 +149,13 @@
     let inputs = step.inputs.iter().map(|i| code(i.value_from.as_ref()));
     let own = match &step.run {
         Process::Tool(tool) => {
-            let found = tool.common.outputs.iter().filter_map(|o| o.found.as_ref());
+            let found = tool
+                .common
+                .outputs
+                .iter()
+                .filter_map(|o| o.output_binding.as_ref());
             let evals: usize = found.map(|f| code(f.eval.as_ref())).sum();
-            evals + tool.common.needs.resources_run_code()
+            evals + tool.common.requirements.resource_expression_count()
         }
         Process::Expression(tool) => code(Some(&tool.expression)),
         Process::Workflow(_) => 0,
@@ -166,29 +173,29 @@
         let value = base.get(name).cloned().unwrap_or_default();
         let Value::Array(list) = &*value else {
             let what = format!("scatter: `{name}` is no array");
-            return Err(step.spot.fault(what));
+            return Err(step.cursor.fault(what));
         };
         let list = list.iter().cloned().map(Arc::new).collect();
         lists.push((name, list));
     }
     let lengths: Vec<usize> = lists.iter().map(|(_, list)| list.len()).collect();
-    let (shape, count) = match step.method {
-        Method::Dot => {
+    let (shape, count) = match step.scatter_method {
+        ScatterMethod::DotProduct => {
             let first = lengths.first().copied().unwrap_or(0);
             if lengths.iter().any(|n| *n != first) {
                 let what = format!("scatter: arrays of different lengths, {lengths:?}");
-                return Err(step.spot.fault(what));
+                return Err(step.cursor.fault(what));
             }
             (vec![first], Some(first))
         }
-        Method::Nested | Method::Flat => {
+        ScatterMethod::NestedCrossProduct | ScatterMethod::FlatCrossProduct => {
             let count = lengths.iter().try_fold(1usize, |a, b| a.checked_mul(*b));
             (lengths.clone(), count)
         }
     };
     let count = count.filter(|n| *n <= MAX_MEMBERS).ok_or_else(|| {
         let what = format!("scatter: more than {MAX_MEMBERS} members");
-        step.spot.fault(what)
+        step.cursor.fault(what)
     })?;
     let mut objects = Vec::with_capacity(count);
     for i in 0..count {
@@ -196,9 +203,9 @@
         // The last list goes fastest.
         let mut rest = i;
         for (name, list) in lists.iter().rev() {
-            let at = match step.method {
-                Method::Dot => i,
-                Method::Nested | Method::Flat => {
+            let at = match step.scatter_method {
+                ScatterMethod::DotProduct => i,
+                ScatterMethod::NestedCrossProduct | ScatterMethod::FlatCrossProduct => {
                     let at = rest % list.len();
                     rest /= list.len();
                     at
@@ -208,9 +215,9 @@
         }
         objects.push(object);
     }
-    let shape = match step.method {
-        Method::Flat => vec![count],
-        Method::Dot | Method::Nested => shape,
+    let shape = match step.scatter_method {
+        ScatterMethod::FlatCrossProduct => vec![count],
+        ScatterMethod::DotProduct | ScatterMethod::NestedCrossProduct => shape,
     };
     Ok((shape, objects))
 }
@@ -226,7 +233,7 @@
         inputs,
         own,
         runtime: Value::Null,
-        library: step.needs.library(),
+        library: step.requirements.library(),
     };
     for input in &step.inputs {
         if let Some(template) = &input.value_from {
@@ -248,11 +255,11 @@
             }
             other => {
                 let what = format!("when: true or false is expected, not {other}");
-                return Err(step.spot.fault(what));
+                return Err(step.cursor.fault(what));
             }
         }
     }
-    let inputs = taken(step.run.common(), &made, contents, &step.spot)?;
+    let inputs = taken(step.run.common(), &made, contents, &step.cursor)?;
     Ok(Member { inputs, runs: true })
 }
 
@@ -265,7 +272,7 @@
     common: &Common,
     given: &Object,
     contents: &dyn Fn(&str) -> Option<String>,
-    spot: &Spot,
+    cursor: &Cursor,
 ) -> Result<Object, Fault> {
     let mut taken = Object::default();
     for parameter in &common.inputs {
@@ -277,10 +284,10 @@
             value = Arc::new(default.clone());
         }
         let fits = fits(parameter, &value);
-        fits.map_err(|e| spot.fault(format!("{name}: {e}")))?;
+        fits.map_err(|e| cursor.fault(format!("{name}: {e}")))?;
         if parameter.load_contents {
             let loaded = with_contents(&value, contents);
-            value = loaded.map_err(|e| spot.fault(format!("{name}: {e}")))?;
+            value = loaded.map_err(|e| cursor.fault(format!("{name}: {e}")))?;
         }
         taken.insert_mut(name.clone(), value);
     }
@@ -290,9 +297,9 @@
 fn fits(parameter: &Parameter, value: &Value) -> Result<(), String> {
     parameter.kind.check(value)?;
     for file in files(value) {
-        for wanted in &parameter.secondary {
+        for wanted in &parameter.secondary_files {
             if wanted.required && !has_secondary(file, wanted) {
-                let name = wanted.of(basename(file));
+                let name = wanted.name_for(basename(file));
                 return Err(format!("the secondary file `{name}` is missing"));
             }
         }
@@ -300,8 +307,8 @@
     Ok(())
 }
 
-fn has_secondary(file: &Value, wanted: &Secondary) -> bool {
-    let name = wanted.of(basename(file));
+fn has_secondary(file: &Value, wanted: &SecondaryFile) -> bool {
+    let name = wanted.name_for(basename(file));
     let there = file.get("secondaryFiles").and_then(Value::as_array);
     there.is_some_and(|list| list.iter().any(|f| basename(f) == name))
 }
@@ -381,10 +388,10 @@
 }
 
 /// What comes out of all members of a step under one name.
-pub fn gathered(shape: &[usize], method: Method, each: Vec<Value>) -> Value {
+pub fn gathered(shape: &[usize], method: ScatterMethod, each: Vec<Value>) -> Value {
     match (shape, method) {
         ([], _) => each.into_iter().next().unwrap_or_default(),
-        (shape, Method::Nested) => nested(shape, &mut each.into_iter()),
+        (shape, ScatterMethod::NestedCrossProduct) => nested(shape, &mut each.into_iter()),
         _ => each.into(),
     }
 }
@@ -403,18 +410,20 @@
 pub fn checked(common: &Common, given: Value) -> Result<Object, Fault> {
     let Value::Object(mut map) = given else {
         let what = format!("a map of outputs is expected, not {given}");
-        return Err(common.spot.fault(what));
+        return Err(common.cursor.fault(what));
     };
     let mut object = Object::default();
     for output in &common.outputs {
         let value = map.remove(&output.name).unwrap_or_default();
         if let Err(e) = output.kind.check(&value) {
-            return Err(output.spot.fault(e));
+            return Err(output.cursor.fault(e));
         }
         object.insert_mut(output.name.clone(), Arc::new(value));
     }
     match map.keys().next() {
-        Some(unknown) => Err(common.spot.fault(format!("there is no output `{unknown}`"))),
+        Some(unknown) => Err(common
+            .cursor
+            .fault(format!("there is no output `{unknown}`"))),
         None => Ok(object),
     }
 }
@@ -433,7 +442,7 @@
         inputs: inputs.clone(),
         own: Value::Null,
         runtime: Value::Null,
-        library: common.needs.library(),
+        library: common.requirements.library(),
     };
     checked(common, template.eval(&scope, engine)?)
 }
--- a/crates/cwl/src/yaml.rs
+++ b/crates/cwl/src/yaml.rs
@@ -13,7 +13,7 @@
 use crate::fault::Fault;
 
 /// The largest file, in bytes.
-pub const MAX_BYTES: usize = 4 << 20;
+pub const MAX_FILE_BYTES: usize = 4 << 20;
 /// The deepest nesting.
 pub const MAX_DEPTH: usize = 64;
 /// The most values of a file, with what aliases stand for counted each time.
@@ -21,7 +21,7 @@
 
 /// Where something stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct At {
+pub struct Location {
     /// The file.
     pub file: Arc<str>,
     /// The line, from 1.
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     /// Where.
-    pub at: At,
+    pub location: Location,
     /// The value.
     pub data: Data,
 }
@@ -97,7 +97,7 @@
 
 /// A list or map that is not complete yet.
 struct Open {
-    at: At,
+    location: Location,
     anchor: usize,
     items: Vec<Node>,
     /// The names of a map's values; none: it is a list.
@@ -129,8 +129,8 @@
         anchors: HashMap::new(),
         done: None,
     };
-    if text.len() > MAX_BYTES {
-        return Err(builder.fault(1, format!("larger than {MAX_BYTES} bytes")));
+    if text.len() > MAX_FILE_BYTES {
+        return Err(builder.fault(1, format!("larger than {MAX_FILE_BYTES} bytes")));
     }
     for event in Parser::new_from_str(text) {
         match event {
@@ -146,17 +146,17 @@
 }
 
 impl Builder {
-    fn fault(&self, line: usize, what: String) -> Fault {
+    fn fault(&self, line: usize, message: String) -> Fault {
         Fault {
             file: self.file.to_string(),
             line: line.max(1),
             path: String::new(),
-            what,
+            message,
         }
     }
 
     fn event(&mut self, event: Event<'_>, line: usize) -> Result<(), Fault> {
-        let at = At {
+        let location = Location {
             file: self.file.clone(),
             line: line.max(1),
         };
@@ -172,19 +172,19 @@
                     }
                     Some(tag) => return Err(self.tagged(line, &tag.suffix)),
                 };
-                self.put(Node { at, data }, anchor, 1)
+                self.put(Node { location, data }, anchor, 1)
             }
             Event::SequenceStart(anchor, tag) => {
                 if let Some(tag) = tag {
                     return Err(self.tagged(line, &tag.suffix));
                 }
-                self.begin(at, anchor, None)
+                self.begin(location, anchor, None)
             }
             Event::MappingStart(anchor, tag) => {
                 if let Some(tag) = tag {
                     return Err(self.tagged(line, &tag.suffix));
                 }
-                self.begin(at, anchor, Some(Vec::new()))
+                self.begin(location, anchor, Some(Vec::new()))
             }
             Event::SequenceEnd | Event::MappingEnd => {
                 let Some(open) = self.open.pop() else {
@@ -194,7 +194,14 @@
                     None => Data::List(open.items.into()),
                     Some(names) => Data::Map(Arc::new(names.into_iter().zip(open.items).collect())),
                 };
-                self.put(Node { at: open.at, data }, open.anchor, open.size)
+                self.put(
+                    Node {
+                        location: open.location,
+                        data,
+                    },
+                    open.anchor,
+                    open.size,
+                )
             }
             Event::Alias(anchor) => match self.anchors.get(&anchor).cloned() {
                 Some((node, size)) => self.put(node, 0, size),
@@ -211,12 +218,17 @@
         self.fault(line, format!("the tag `{tag}` is not used in CWL"))
     }
 
-    fn begin(&mut self, at: At, anchor: usize, names: Option<Vec<Arc<str>>>) -> Result<(), Fault> {
+    fn begin(
+        &mut self,
+        location: Location,
+        anchor: usize,
+        names: Option<Vec<Arc<str>>>,
+    ) -> Result<(), Fault> {
         if self.open.len() >= MAX_DEPTH {
-            return Err(self.fault(at.line, format!("nested deeper than {MAX_DEPTH}")));
+            return Err(self.fault(location.line, format!("nested deeper than {MAX_DEPTH}")));
         }
         self.open.push(Open {
-            at,
+            location,
             anchor,
             items: Vec::new(),
             names,
@@ -229,7 +241,7 @@
 
     /// A value is complete and goes where it belongs.
     fn put(&mut self, node: Node, anchor: usize, size: usize) -> Result<(), Fault> {
-        let line = node.at.line;
+        let line = node.location.line;
         let before: usize = self.open.iter().map(|o| o.size).sum();
         if before + size > MAX_NODES {
             return Err(self.fault(line, format!("more than {MAX_NODES} values")));
--- a/crates/cwl/tests/documents.rs
+++ b/crates/cwl/tests/documents.rs
@@ -245,7 +245,7 @@
     assert_eq!(tool.command, ["echo", "hello"]);
     assert_eq!(tool.common.inputs[0].kind.to_string(), "one of low, high");
     assert_eq!(
-        tool.common.needs.library(),
+        tool.common.requirements.library(),
         Some(&["function f() {}".to_owned()][..])
     );
 
@@ -334,7 +334,7 @@
         match load::load(&files, "w.cwl") {
             Ok(_) => read += 1,
             Err(fault) => {
-                assert!(fault.line >= 1 && !fault.what.is_empty(), "{fault:?}");
+                assert!(fault.line >= 1 && !fault.message.is_empty(), "{fault:?}");
                 refused += 1;
             }
         }
--- a/crates/cwl/tests/meaning.rs
+++ b/crates/cwl/tests/meaning.rs
@@ -5,10 +5,10 @@
 use oliveshift_cwl::{
     Engine,
     command::{self, Failure, Left, OutDir, Put},
-    document::{Method, Process, Source, Tool},
+    cursor::Cursor,
+    document::{Process, ScatterMethod, Source, Tool},
     expr::Object,
     load::{self, Resolver},
-    spot::Spot,
     values::{self, Members},
     yaml,
 };
@@ -43,8 +43,8 @@
 }
 
 fn taken(tool: &Tool, given: Value) -> Result<Object, String> {
-    let taken = values::taken(&tool.common, &object(given), &|_| None, &tool.common.spot);
-    taken.map_err(|f| f.what)
+    let taken = values::taken(&tool.common, &object(given), &|_| None, &tool.common.cursor);
+    taken.map_err(|f| f.message)
 }
 
 fn argv(text: &str, given: Value) -> Vec<String> {
@@ -437,7 +437,7 @@
     let members = values::members(&flow.steps[0], &of, &|_| None, &Engine::default());
     members
         .map(|m| m.expect("all is known"))
-        .map_err(|f| f.what)
+        .map_err(|f| f.message)
 }
 
 /// Scatter compared with nested loops.
@@ -474,8 +474,16 @@
             nested.push(Value::from(rows));
         }
         for (method, kind, expected) in [
-            ("nested_crossproduct", Method::Nested, Value::from(nested)),
-            ("flat_crossproduct", Method::Flat, Value::from(flat)),
+            (
+                "nested_crossproduct",
+                ScatterMethod::NestedCrossProduct,
+                Value::from(nested),
+            ),
+            (
+                "flat_crossproduct",
+                ScatterMethod::FlatCrossProduct,
+                Value::from(flat),
+            ),
         ] {
             let got = run(&step(method), &given).expect("good");
             let each = got.members.iter().map(|m| {
@@ -620,7 +628,7 @@
 
 #[test]
 fn values_are_checked_against_types() {
-    let spot = |text: &str| Spot::top(yaml::parse("t", text).expect("a type"));
+    let cursor = |text: &str| Cursor::top(yaml::parse("t", text).expect("a type"));
     let cases = [
         ("int", json!(1), ""),
         ("int", json!(3_000_000_000_i64), "int is expected"),
@@ -668,7 +676,7 @@
         ),
     ];
     for (text, value, why) in cases {
-        let kind = oliveshift_cwl::types::Type::parse(&spot(text), &Default::default());
+        let kind = oliveshift_cwl::types::Type::parse(&cursor(text), &Default::default());
         let checked = kind.expect("a type").check(&value);
         match why {
             "" => assert_eq!(checked, Ok(()), "{text} {value}"),
--- a/crates/workflow/src/flow.rs
+++ b/crates/workflow/src/flow.rs
@@ -10,9 +10,9 @@
 
 use oliveshift_cwl::{
     Engine, Fault, command,
-    document::{Method, Process, Source, Step, Workflow},
+    cursor::Cursor,
+    document::{Process, ScatterMethod, Source, Step, Workflow},
     expr::Object,
-    spot::Spot,
     values::{self, Member},
 };
 use serde_json::{Map, Value};
@@ -112,7 +112,7 @@
         let map = given.as_object().cloned().unwrap_or_default();
         let given: Object = map.into_iter().map(|(n, v)| (n, Arc::new(v))).collect();
         let common = &workflow.common;
-        let inputs = values::taken(common, &given, &|_| None, &common.spot)?;
+        let inputs = values::taken(common, &given, &|_| None, &common.cursor)?;
         let mut run = Self {
             engine,
             flows: Vec::new(),
@@ -450,7 +450,7 @@
             let [source] = link.sources.as_slice() else {
                 return None;
             };
-            if link.merges().is_some() || link.pick.is_some() || input.default.is_some() {
+            if link.effective_merge().is_some() || link.pick.is_some() || input.default.is_some() {
                 return None;
             }
             lengths.push(match self.value(f, source) {
@@ -458,14 +458,14 @@
                 None => self.length_of(f, source)?,
             });
         }
-        match step.method {
-            Method::Dot => {
+        match step.scatter_method {
+            ScatterMethod::DotProduct => {
                 let first = *lengths.first()?;
                 let same = lengths.iter().all(|n| *n == first);
                 same.then(|| vec![first])
             }
-            Method::Nested => Some(lengths),
-            Method::Flat => {
+            ScatterMethod::NestedCrossProduct => Some(lengths),
+            ScatterMethod::FlatCrossProduct => {
                 let count = lengths.iter().try_fold(1usize, |a, b| a.checked_mul(*b));
                 Some(vec![count?])
             }
@@ -530,7 +530,7 @@
                     outputs.insert(output.name.clone(), value);
                 }
                 Err(e) => {
-                    let fault = output.spot.fault(e).to_string();
+                    let fault = output.cursor.fault(e).to_string();
                     let path = flow.path.clone();
                     self.fails(&path, fault);
                     return false;
@@ -645,7 +645,7 @@
             Part::Over(object) => object.get(name).map(|v| (**v).clone()).unwrap_or_default(),
             _ => Value::Null,
         });
-        let value = values::gathered(shape, step.method, each.collect());
+        let value = values::gathered(shape, step.scatter_method, each.collect());
         (name.clone(), Arc::new(value))
     });
     outputs.collect()
@@ -660,18 +660,18 @@
         merge: None,
         pick: None,
     };
-    let spot: Spot = common.spot.clone();
+    let cursor: Cursor = common.cursor.clone();
     let inputs = common.inputs.iter().map(|p| StepInput {
         name: p.name.clone(),
         link: link(Source::Input(p.name.clone())),
         default: None,
         value_from: None,
         load_contents: false,
-        spot: spot.clone(),
+        cursor: cursor.clone(),
     });
     let name = "run".to_owned();
     let outputs = common.outputs.iter().map(|o| Output {
-        found: None,
+        output_binding: None,
         link: Some(link(Source::Step(name.clone(), o.name.clone()))),
         ..o.clone()
     });
@@ -681,18 +681,18 @@
         run: process.clone(),
         when: None,
         scatter: Vec::new(),
-        method: Method::Dot,
-        needs: common.needs.clone(),
-        spot: spot.clone(),
+        scatter_method: ScatterMethod::DotProduct,
+        requirements: common.requirements.clone(),
+        cursor: cursor.clone(),
         name: name.clone(),
     };
     Arc::new(Workflow {
         common: Common {
             id: common.id.clone(),
-            spot,
+            cursor,
             inputs: common.inputs.clone(),
             outputs: outputs.collect(),
-            needs: common.needs.clone(),
+            requirements: common.requirements.clone(),
         },
         steps: vec![step],
     })
--- a/crates/workflow/src/job.rs
+++ b/crates/workflow/src/job.rs
@@ -7,7 +7,7 @@
     command::{Left, OutDir},
     document::{Step, Tool},
     expr::{Object, Scope},
-    needs::Placement,
+    requirements::Placement,
 };
 use oliveshift_wire::{
     JobId,
@@ -62,22 +62,22 @@
     inputs: Option<&Object>,
     engine: &Engine,
 ) -> Result<Option<TaskRequirements>, Fault> {
-    let needs = &tool.common.needs;
-    if inputs.is_none() && !needs.resources_are_plain() {
+    let requirements = &tool.common.requirements;
+    if inputs.is_none() && !requirements.resources_are_constant() {
         return Ok(None);
     }
     let scope = Scope {
         inputs: inputs.cloned().unwrap_or_default(),
         own: Value::Null,
         runtime: Value::Null,
-        library: needs.library(),
+        library: requirements.library(),
     };
-    let (cores, ram_mib) = needs.resources(&scope, engine)?;
+    let (cores, ram_mib) = requirements.resources(&scope, engine)?;
     Ok(Some(TaskRequirements {
         cores,
         ram_mib,
-        image: needs.image().unwrap_or("none").to_owned(),
-        placement: needs.placement(),
+        image: requirements.image().unwrap_or("none").to_owned(),
+        placement: requirements.placement(),
     }))
 }
 
