--- a/crates/workflow/src/active.rs
+++ b/crates/workflow/src/active.rs
@@ -1,9 +1,8 @@
-//! A run that is under way: its jobs, and what is to be done for it next.
+//! A run in progress: its jobs, and the next actions for it.
 //!
-//! What matters is written before it is done: ids before they are used, the
-//! reason of a failure before what runs is ended, the end before it is told.
-//! Everything else is worked out again from what is written, the answers of the
-//! users' API and what tasks have left behind.
+//! State is recorded before it takes effect: job ids before they are used, the reason of a failure
+//! before the jobs are ended, the final state before it is reported. Everything else is derived
+//! again from the records, the answers of the user API and the results of tasks.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,108 +20,108 @@
     flow::{JobKey, JobRequest, Run},
     job::{Defaults, TaskResult, job_spec},
     records::{
-        JobRecord, RunId, RunRecord, RunState, StoredRun, piece_key, pieces, put, put_text, run_key,
+        JobRecord, RunId, RunRecord, RunState, StoredRun, piece_key, put_record, put_text, run_key,
+        split_text,
     },
 };
 
-/// How often a job is asked after.
+/// Interval between status requests for a job.
 pub const JOB_POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// How long to wait before something that did not work is tried again.
-const RETRY: Duration = Duration::from_secs(1);
-/// The digits of a job's id. So many that nobody else draws the same.
-const DIGITS: usize = 36;
+/// Minimum delay before a failed request is retried.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of random digits in a job id, large enough that no other submitter draws the same id.
+const JOB_ID_DIGITS: usize = 36;
 
-/// What the users' API says.
+/// Reply of the user API to a request about a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobReply {
-    /// The job was taken just now.
+    /// The submission was accepted and created the job.
     Created,
-    /// The job is known; this is its phase.
+    /// The job exists and is in this phase.
     Known(JobPhase),
-    /// There is no such job.
+    /// The user API does not know the job.
     Unknown,
-    /// It can't be taken, ever.
+    /// The request is invalid, for this reason; a retry cannot succeed.
     Refused(String),
-    /// Not now, or no answer came: come back after this time.
+    /// Temporary refusal or no answer: retry after this time, or after the default delay.
     RetryAfter(Option<Duration>),
 }
 
-/// Ways to break the code on purpose, so that tests can show that they would
-/// notice.
+/// Faults that tests inject to show that they would detect them.
 #[cfg(feature = "sabotage")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
-    /// Writes go without the conditions that fence them.
+    /// Writes are sent without the fencing conditions.
     NoFence,
-    /// Ids are used without being written.
+    /// Job ids are used before they are recorded.
     UnrecordedIds,
-    /// A run ends without its jobs being ended.
+    /// A run ends while its jobs are still running.
     JobsLeftRunning,
-    /// A job that is somebody else's is taken for ours.
+    /// A job of another submitter with the same id is treated as the run's own.
     ForeignJobAdopted,
 }
 
-/// What is to be done for a run.
+/// Next action for a run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// Write this, if the run is still ours and as we know it. The last change
-    /// is the run's own record, which makes the others count.
+pub enum Action {
+    /// Write these changes, on the condition that this instance still holds the run and its
+    /// record is unchanged. The last change is the run's own record, which commits the others.
     Write(Vec<Change>),
-    /// Submit a job.
+    /// Submit a job to the user API.
     Submit(JobKey, Box<JobSpec>),
-    /// Ask how it is.
+    /// Request the status of a job.
     Poll(JobKey, JobId),
-    /// Cancel it.
+    /// Cancel a job.
     Abort(JobKey, JobId),
-    /// Get what its tasks, so many, have left behind.
+    /// Fetch the results of a job with this number of tasks.
     Results(JobKey, JobId, u32),
-    /// Get the beginning of a file.
+    /// Fetch the beginning of a file.
     Text(String),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobState {
-    /// Its id is not written yet.
+    /// Its id is not recorded yet.
     New,
-    /// To be submitted.
-    Written,
-    /// The users' API has it.
+    /// Its id is recorded; it is to be submitted.
+    Recorded,
+    /// The user API has accepted it.
     Accepted,
-    /// All its tasks are done, what they left is to be fetched.
+    /// All of its tasks have ended; their results are to be fetched.
     Done,
-    /// Nothing more is to be done for it.
-    Over,
+    /// No further action is needed.
+    Finished,
 }
 
 #[derive(Debug)]
 struct Job {
-    /// What it awaits; none: it is known from before a crash, and the flow has
-    /// not come as far again. What it left would mean nothing yet.
+    /// Jobs that it awaits. `None` for a job loaded from its record that the flow has not
+    /// reached again; its results cannot be interpreted until then.
     awaits: Option<Vec<JobKey>>,
     spec: JobSpec,
     state: JobState,
-    /// No request for it has ever been sent: if it is known all the same, its
-    /// id is somebody else's.
-    unsent: bool,
-    /// A request for it is under way.
-    busy: bool,
-    next: Duration,
+    /// No request for it has been answered or timed out yet, and it was not loaded from a record.
+    /// If the user API knows the id all the same, the id belongs to another submitter's job.
+    never_sent: bool,
+    /// A write or request for it is in flight.
+    in_flight: bool,
+    next_request_at: Duration,
 }
 
-/// A run that is under way.
+/// A run in progress.
 #[derive(Debug)]
 pub struct ActiveRun {
     id: RunId,
-    /// As it is written.
+    /// The run's record as last written.
     record: RunRecord,
-    /// As it is being written.
+    /// The record of the write in flight, if any.
     writing: Option<RunRecord>,
     defaults: Defaults,
     flow: Run,
     jobs: BTreeMap<JobKey, Job>,
-    /// How many pieces its jobs take, those being written included.
+    /// Number of records that hold its jobs, including those being written.
     job_pieces: usize,
-    /// Files that were asked for.
+    /// Locations of files that were requested.
     texts: BTreeSet<String>,
     cancel: bool,
     piece_bytes: usize,
@@ -132,10 +131,11 @@
 }
 
 impl ActiveRun {
-    /// A run of a process as its records have it.
+    /// Restores a run of a process from its records. Outputs and job records are split at
+    /// `piece_bytes`.
     ///
     /// # Errors
-    /// The inputs don't fit, in words.
+    /// A description of the mismatch if the inputs do not fit the process.
     pub fn new(
         id: RunId,
         process: &Process,
@@ -156,11 +156,11 @@
             let job = Job {
                 awaits: None,
                 spec: record.spec.clone(),
-                state: JobState::Written,
-                // It may have been, by whoever wrote it.
-                unsent: false,
-                busy: false,
-                next: Duration::ZERO,
+                state: JobState::Recorded,
+                // The instance that wrote the record may have submitted the job.
+                never_sent: false,
+                in_flight: false,
+                next_request_at: Duration::ZERO,
             };
             (record.key(), job)
         });
@@ -181,27 +181,27 @@
         })
     }
 
-    /// Breaks it on purpose.
+    /// Injects a fault for tests.
     #[cfg(feature = "sabotage")]
-    pub fn break_by(&mut self, sabotage: Option<Sabotage>) {
+    pub fn set_sabotage(&mut self, sabotage: Option<Sabotage>) {
         self.sabotage = sabotage;
     }
 
     #[cfg(feature = "sabotage")]
-    fn is_broken_by(&self, sabotage: Sabotage) -> bool {
+    fn has_sabotage(&self, sabotage: Sabotage) -> bool {
         self.sabotage == Some(sabotage)
     }
 
-    /// As it is written.
+    /// The run's record as last written.
     pub fn record(&self) -> &RunRecord {
         &self.record
     }
 
-    /// Where it stands, for people.
+    /// Current state in readable form, for diagnostics.
     pub fn describe(&self) -> String {
         let jobs = self.jobs.iter().map(|(key, job)| {
-            let busy = if job.busy { ", busy" } else { "" };
-            format!("{}#{} {:?}{busy}", key.step, key.group, job.state)
+            let request = if job.in_flight { ", in flight" } else { "" };
+            format!("{}#{} {:?}{request}", key.step, key.group, job.state)
         });
         let jobs: Vec<_> = jobs.collect();
         let writing = if self.writing.is_some() {
@@ -212,39 +212,39 @@
         format!("{:?}{writing}: {}", self.record.state, jobs.join("; "))
     }
 
-    /// Somebody wants it cancelled.
+    /// Requests that the run is cancelled.
     pub fn cancel(&mut self) {
         self.cancel = true;
     }
 
-    /// What is to be done now: at most so many requests, and a write only if it
-    /// may be. `unix_s` is the time of day in seconds since 1970.
+    /// Actions to take now: at most `max_requests` requests, and a write only if `may_write`.
+    /// `unix_s` is the wall-clock time in seconds since the Unix epoch.
     pub fn next_actions(
         &mut self,
         now: Duration,
         unix_s: u64,
-        most: usize,
+        max_requests: usize,
         may_write: bool,
-    ) -> Vec<Act> {
+    ) -> Vec<Action> {
         if self.record.state.is_final() {
             return Vec::new();
         }
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         if self.record.state == RunState::Running {
             self.advance(unix_s);
         }
         if may_write && self.writing.is_none() {
-            acts.extend(self.write(unix_s));
+            actions.extend(self.next_write(unix_s));
         }
         if self.record.state == RunState::Running {
-            self.go_on(now, most, &mut acts);
+            self.advance_jobs(now, max_requests, &mut actions);
         } else {
-            self.wind_up(now, most, &mut acts);
+            self.end_jobs(now, max_requests, &mut actions);
         }
-        acts
+        actions
     }
 
-    /// Lets the flow go on and takes up the work that comes of it.
+    /// Advances the flow and adds the jobs that became ready.
     fn advance(&mut self, unix_s: u64) {
         for JobRequest {
             key,
@@ -254,29 +254,29 @@
         } in self.flow.advance()
         {
             if let Some(job) = self.jobs.get_mut(&key) {
-                // Written before a crash.
+                // The job was recorded before this run was loaded.
                 job.awaits = Some(awaits);
                 continue;
             }
             let Some(id) = self.draw_id() else { continue };
             let ids = awaits.iter().filter_map(|k| self.jobs.get(k));
             let ids = ids.map(|job| job.spec.id.clone()).collect();
-            let gone = unix_s.saturating_sub(self.record.begun_s) as f64;
-            let spec = job_spec(id, &requirements, tasks, ids, &self.defaults, gone);
+            let elapsed_s = unix_s.saturating_sub(self.record.begun_s) as f64;
+            let spec = job_spec(id, &requirements, tasks, ids, &self.defaults, elapsed_s);
             let job = Job {
                 awaits: Some(awaits),
                 spec,
                 state: JobState::New,
-                unsent: true,
-                busy: false,
-                next: Duration::ZERO,
+                never_sent: true,
+                in_flight: false,
+                next_request_at: Duration::ZERO,
             };
             self.jobs.insert(key, job);
         }
     }
 
-    /// What has to be written before anything else is done.
-    fn write(&mut self, unix_s: u64) -> Option<Act> {
+    /// Next write: a new state of the run, otherwise the records of new jobs.
+    fn next_write(&mut self, unix_s: u64) -> Option<Action> {
         let mut record = self.record.clone();
         let mut changes = Vec::new();
         match record.state {
@@ -286,7 +286,7 @@
                     record.failure = Some((failure.step.clone(), failure.reason.clone()));
                 } else if let Some(outputs) = self.flow.outputs() {
                     let text = outputs.to_string();
-                    let pieces = pieces(&text, self.piece_bytes);
+                    let pieces = split_text(&text, self.piece_bytes);
                     let first = record.pieces as usize;
                     record.outputs = pieces.len() as u32;
                     for (i, piece) in pieces.into_iter().enumerate() {
@@ -298,8 +298,8 @@
                     record.state = RunState::Canceling;
                 }
             }
-            RunState::Failing if self.is_wound_up() => record.state = RunState::ExecutorError,
-            RunState::Canceling if self.is_wound_up() => record.state = RunState::Canceled,
+            RunState::Failing if self.all_jobs_finished() => record.state = RunState::ExecutorError,
+            RunState::Canceling if self.all_jobs_finished() => record.state = RunState::Canceled,
             _ => {}
         }
         if record.state.is_final() {
@@ -310,82 +310,84 @@
             }
         }
         if record == self.record {
-            changes = self.new_jobs();
+            changes = self.new_job_records();
             if changes.is_empty() {
                 return None;
             }
         }
-        // Written in any case: its version tells whoever has lost the run.
-        changes.push(put(run_key('r', self.id), &record));
+        // The run's record is part of every write. Its new version makes later writes of an
+        // instance that has lost the run fail.
+        changes.push(put_record(run_key('r', self.id), &record));
         self.writing = Some(record);
-        Some(Act::Write(changes))
+        Some(Action::Write(changes))
     }
 
-    /// The records of new jobs.
-    fn new_jobs(&mut self) -> Vec<Change> {
+    /// Changes that record new jobs. Jobs share a record as long as it takes at most `piece_bytes`.
+    fn new_job_records(&mut self) -> Vec<Change> {
         #[cfg(feature = "sabotage")]
-        if self.is_broken_by(Sabotage::UnrecordedIds) {
+        if self.has_sabotage(Sabotage::UnrecordedIds) {
             for job in self.jobs.values_mut().filter(|j| j.state == JobState::New) {
-                job.state = JobState::Written;
+                job.state = JobState::Recorded;
             }
             return Vec::new();
         }
         let mut records: Vec<Vec<JobRecord>> = Vec::new();
         let mut size = 0;
         for (key, job) in &mut self.jobs {
-            if job.state != JobState::New || job.busy {
+            if job.state != JobState::New || job.in_flight {
                 continue;
             }
-            job.busy = true;
+            job.in_flight = true;
             let record = JobRecord {
                 step: key.step.clone(),
                 group: key.group,
                 spec: job.spec.clone(),
             };
-            // Records are texts, in which quotes are escaped.
-            let takes = 2 * json_len(&record) + 1;
+            // Records are stored as JSON texts, in which quotes are escaped; the factor of 2 is
+            // an upper bound.
+            let bytes = 2 * json_len(&record) + 1;
             match records.last_mut() {
-                Some(last) if size + takes <= self.piece_bytes => last.push(record),
+                Some(last) if size + bytes <= self.piece_bytes => last.push(record),
                 _ => {
                     records.push(vec![record]);
                     size = 4;
                 }
             }
-            size += takes;
+            size += bytes;
         }
         let first = self.job_pieces;
         self.job_pieces += records.len();
         let records = records.into_iter().enumerate();
-        let put = records.map(|(i, list)| put(piece_key('j', self.id, first + i), &list));
+        let put = records.map(|(i, list)| put_record(piece_key('j', self.id, first + i), &list));
         put.collect()
     }
 
-    /// What was to be written is.
-    pub fn written(&mut self) {
+    /// Applies the write in flight after it was committed.
+    pub fn write_committed(&mut self) {
         if let Some(record) = self.writing.take() {
             self.record = record;
         }
         for job in self.jobs.values_mut() {
-            if job.state == JobState::New && job.busy {
-                job.state = JobState::Written;
-                job.busy = false;
+            if job.state == JobState::New && job.in_flight {
+                job.state = JobState::Recorded;
+                job.in_flight = false;
             }
         }
     }
 
-    /// Submits, polls and fetches.
-    fn go_on(&mut self, now: Duration, most: usize, acts: &mut Vec<Act>) {
+    /// Fetches requested files, and submits, polls and fetches the results of jobs.
+    fn advance_jobs(&mut self, now: Duration, max_requests: usize, actions: &mut Vec<Action>) {
         let wanted: Vec<_> = self.flow.files_to_read().cloned().collect();
         for location in wanted {
-            if acts.len() < most && self.texts.insert(location.clone()) {
-                acts.push(Act::Text(location));
+            if actions.len() < max_requests && self.texts.insert(location.clone()) {
+                actions.push(Action::Text(location));
             }
         }
         let state = |jobs: &BTreeMap<JobKey, Job>, key: &JobKey| jobs.get(key).map(|j| j.state);
         let ready: Vec<JobKey> = self
             .jobs
             .iter()
-            .filter(|(_, job)| !job.busy && now >= job.next)
+            .filter(|(_, job)| !job.in_flight && now >= job.next_request_at)
             .filter(|(_, job)| {
                 let Some(awaits) = &job.awaits else {
                     return false;
@@ -395,152 +397,170 @@
                     awaits.all(|k| state(&self.jobs, k).is_some_and(wanted))
                 };
                 match job.state {
-                    JobState::New | JobState::Over => false,
-                    // What it awaits must be known there.
-                    JobState::Written => all(&|s| !matches!(s, JobState::New | JobState::Written)),
-                    // It can't be done before them, and what it leaves means
-                    // nothing without what they left.
-                    JobState::Accepted | JobState::Done => all(&|s| s == JobState::Over),
+                    JobState::New | JobState::Finished => false,
+                    // The user API must know the jobs that it awaits.
+                    JobState::Recorded => {
+                        all(&|s| !matches!(s, JobState::New | JobState::Recorded))
+                    }
+                    // The job cannot finish before the jobs that it awaits, and its results can
+                    // be interpreted only after theirs.
+                    JobState::Accepted | JobState::Done => all(&|s| s == JobState::Finished),
                 }
             })
             .map(|(key, _)| key.clone())
-            .take(most.saturating_sub(acts.len()))
+            .take(max_requests.saturating_sub(actions.len()))
             .collect();
         for key in ready {
             let Some(job) = self.jobs.get_mut(&key) else {
                 continue;
             };
-            job.busy = true;
+            job.in_flight = true;
             let (id, tasks) = (job.spec.id.clone(), job.spec.tasks);
-            acts.push(match job.state {
-                JobState::Written => Act::Submit(key, Box::new(job.spec.clone())),
-                JobState::Accepted => Act::Poll(key, id),
-                _ => Act::Results(key, id, tasks),
+            actions.push(match job.state {
+                JobState::Recorded => Action::Submit(key, Box::new(job.spec.clone())),
+                JobState::Accepted => Action::Poll(key, id),
+                _ => Action::Results(key, id, tasks),
             });
         }
     }
 
-    /// Ends what runs.
-    fn wind_up(&mut self, now: Duration, most: usize, acts: &mut Vec<Act>) {
+    /// Ends all jobs of a run that failed or was cancelled.
+    fn end_jobs(&mut self, now: Duration, max_requests: usize, actions: &mut Vec<Action>) {
         let unknown: BTreeSet<JobId> = self
             .jobs
             .values()
-            .filter(|job| job.state == JobState::Written && !job.unsent)
+            .filter(|job| job.state == JobState::Recorded && !job.never_sent)
             .map(|job| job.spec.id.clone())
             .collect();
         for (key, job) in &mut self.jobs {
-            if acts.len() >= most {
+            if actions.len() >= max_requests {
                 return;
             }
             match job.state {
-                JobState::New => job.state = JobState::Over,
-                JobState::Written if job.unsent && !job.busy => job.state = JobState::Over,
-                // Nothing of it runs.
-                JobState::Done if !job.busy => job.state = JobState::Over,
+                JobState::New => job.state = JobState::Finished,
+                JobState::Recorded if job.never_sent && !job.in_flight => {
+                    job.state = JobState::Finished
+                }
+                // All of its tasks have ended.
+                JobState::Done if !job.in_flight => job.state = JobState::Finished,
                 _ => {}
             }
-            if job.busy || now < job.next || job.state == JobState::Over {
+            if job.in_flight || now < job.next_request_at || job.state == JobState::Finished {
                 continue;
             }
-            // What it awaits must be known there; once that is cancelled, it
-            // is cancelled with it and never starts.
+            // The user API must know the jobs that it awaits. When one of those is cancelled,
+            // this job is cancelled with it and never starts.
             if job.spec.awaits.iter().any(|id| unknown.contains(id)) {
                 continue;
             }
-            job.busy = true;
-            acts.push(match job.state {
-                // A submission that was lost may arrive any time later. Only
-                // one that has been answered can be cancelled for good.
-                JobState::Written => Act::Submit(key.clone(), Box::new(job.spec.clone())),
-                _ => Act::Abort(key.clone(), job.spec.id.clone()),
+            job.in_flight = true;
+            actions.push(match job.state {
+                // A submission whose answer was lost may still arrive at any later time. A job can
+                // be cancelled reliably only after a submission of it has been answered.
+                JobState::Recorded => Action::Submit(key.clone(), Box::new(job.spec.clone())),
+                _ => Action::Abort(key.clone(), job.spec.id.clone()),
             });
         }
     }
 
-    fn is_wound_up(&self) -> bool {
+    fn all_jobs_finished(&self) -> bool {
         #[cfg(feature = "sabotage")]
-        if self.is_broken_by(Sabotage::JobsLeftRunning) {
+        if self.has_sabotage(Sabotage::JobsLeftRunning) {
             return true;
         }
-        self.jobs.values().all(|j| j.state == JobState::Over)
+        self.jobs.values().all(|j| j.state == JobState::Finished)
     }
 
-    /// What the users' API says to a submission, question or cancellation.
-    pub fn job_replied(&mut self, now: Duration, key: &JobKey, what: JobReply, aborted: bool) {
+    /// Applies the reply of the user API to a submission, status request or cancellation.
+    /// `cancel_sent` is set if it answers a cancellation.
+    pub fn job_answered(
+        &mut self,
+        now: Duration,
+        key: &JobKey,
+        reply: JobReply,
+        cancel_sent: bool,
+    ) {
         let running = self.record.state == RunState::Running;
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        job.busy = false;
-        let unsent = std::mem::replace(&mut job.unsent, false);
-        match (job.state, what) {
+        job.in_flight = false;
+        let never_sent = std::mem::replace(&mut job.never_sent, false);
+        match (job.state, reply) {
             (_, JobReply::RetryAfter(after)) => {
-                job.next = now + after.unwrap_or(RETRY).max(RETRY);
+                job.next_request_at = now + after.unwrap_or(RETRY_INTERVAL).max(RETRY_INTERVAL);
             }
-            (JobState::Written, JobReply::Known(_)) if unsent => {
-                // Somebody else's.
+            (JobState::Recorded, JobReply::Known(_)) if never_sent => {
+                // The id belongs to a job of another submitter.
                 #[cfg(feature = "sabotage")]
                 if self.sabotage == Some(Sabotage::ForeignJobAdopted) {
                     job.state = JobState::Accepted;
                     return;
                 }
-                self.rename(key);
+                self.replace_id(key);
             }
-            (JobState::Written, JobReply::Created) => {
+            (JobState::Recorded, JobReply::Created) => {
                 job.state = JobState::Accepted;
-                job.next = now
+                job.next_request_at = now
                     + if running {
                         JOB_POLL_INTERVAL
                     } else {
                         Duration::ZERO
                     };
             }
-            (JobState::Written, JobReply::Refused(reason)) => {
-                job.state = JobState::Over;
-                let reason = format!("its job was refused: {reason}");
+            (JobState::Recorded, JobReply::Refused(reason)) => {
+                job.state = JobState::Finished;
+                let reason = format!("the step's job was refused: {reason}");
                 self.flow.job_failed(key, reason);
             }
-            (JobState::Written, JobReply::Unknown) => job.next = now + RETRY,
-            (JobState::Written | JobState::Accepted, JobReply::Known(phase)) => {
+            (JobState::Recorded, JobReply::Unknown) => job.next_request_at = now + RETRY_INTERVAL,
+            (JobState::Recorded | JobState::Accepted, JobReply::Known(phase)) => {
                 job.state = JobState::Accepted;
-                job.next = now + JOB_POLL_INTERVAL;
+                job.next_request_at = now + JOB_POLL_INTERVAL;
                 match phase {
-                    // In the end it does not matter how it ended.
-                    JobPhase::Done | JobPhase::Cancelled if aborted => job.state = JobState::Over,
+                    // After a cancellation, either final phase ends the job.
+                    JobPhase::Done | JobPhase::Cancelled if cancel_sent => {
+                        job.state = JobState::Finished
+                    }
                     JobPhase::Done => job.state = JobState::Done,
                     JobPhase::Cancelled => {
-                        job.state = JobState::Over;
+                        job.state = JobState::Finished;
                         self.flow
-                            .job_failed(key, "its job was cancelled".to_owned());
+                            .job_failed(key, "the step's job was cancelled".to_owned());
                     }
                     JobPhase::Pending | JobPhase::Running => {}
                 }
                 if matches!(job.state, JobState::Done) || !running {
-                    job.next = now;
+                    job.next_request_at = now;
                 }
             }
-            (JobState::Accepted, JobReply::Unknown) if aborted => job.next = now + RETRY,
+            (JobState::Accepted, JobReply::Unknown) if cancel_sent => {
+                job.next_request_at = now + RETRY_INTERVAL
+            }
             (JobState::Accepted, JobReply::Unknown | JobReply::Refused(_)) => {
-                job.next = now + JOB_POLL_INTERVAL;
+                job.next_request_at = now + JOB_POLL_INTERVAL;
             }
             _ => {}
         }
     }
 
-    /// A job gets another id, which is written before it is used. So does
-    /// whatever awaits it: it can't have been submitted yet.
-    fn rename(&mut self, key: &JobKey) {
+    /// Gives a job a new id, which is recorded before it is used. Jobs that await it are recorded
+    /// again with the new id; they cannot have been submitted yet.
+    fn replace_id(&mut self, key: &JobKey) {
         let Some(id) = self.draw_id() else { return };
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        let before = std::mem::replace(&mut job.spec.id, id.clone());
-        log::warn!("{}: the id {before} was taken", self.id);
+        let old_id = std::mem::replace(&mut job.spec.id, id.clone());
+        log::warn!(
+            "{}: job id {old_id} is already used by another job; drawing a new id",
+            self.id
+        );
         job.state = JobState::New;
-        job.unsent = true;
+        job.never_sent = true;
         for job in self.jobs.values_mut() {
             for awaited in &mut job.spec.awaits {
-                if *awaited == before {
+                if *awaited == old_id {
                     *awaited = id.clone();
                     job.state = JobState::New;
                 }
@@ -549,27 +569,32 @@
     }
 
     fn draw_id(&mut self) -> Option<JobId> {
-        let digits: String = (0..DIGITS).map(|_| self.rng.digit(10)).collect();
+        let digits: String = (0..JOB_ID_DIGITS).map(|_| self.rng.digit(10)).collect();
         JobId::from_digits(&digits).ok()
     }
 
-    /// What the tasks of a job have left behind; none: it can't be had now.
-    pub fn results(&mut self, now: Duration, key: &JobKey, results: Option<Vec<TaskResult>>) {
+    /// Applies the results of a job's tasks; `None` if they are not available now.
+    pub fn results_fetched(
+        &mut self,
+        now: Duration,
+        key: &JobKey,
+        results: Option<Vec<TaskResult>>,
+    ) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        job.busy = false;
+        job.in_flight = false;
         match results {
             Some(results) => {
-                job.state = JobState::Over;
+                job.state = JobState::Finished;
                 self.flow.job_done(key, &results);
             }
-            None => job.next = now + RETRY,
+            None => job.next_request_at = now + RETRY_INTERVAL,
         }
     }
 
-    /// The beginning of a file; none: there is no such file.
-    pub fn text(&mut self, location: &str, text: Option<String>) {
+    /// Passes the beginning of a file to the flow; `None` if there is no such file.
+    pub fn text_fetched(&mut self, location: &str, text: Option<String>) {
         self.flow.file_read(location, text);
     }
 }
--- a/crates/workflow/src/api.rs
+++ b/crates/workflow/src/api.rs
@@ -1,5 +1,5 @@
-//! Requests to the state service and the users' API as they go over HTTP, and
-//! what answers mean.
+//! Encodes requests to the state service as HTTP requests, and decodes replies of the state
+//! service and the user API.
 
 use std::time::Duration;
 
@@ -14,29 +14,29 @@
     service::{StoreCall, StoreReply},
 };
 
-/// A request: method, path and body.
+/// An HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The method.
+    /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub path: String,
-    /// The body; empty: none.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// An answer, or none.
+/// Result of an HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Status, body, and when to come back.
+    /// Status, body, and the retry delay that the server asked for.
     Answer(u16, Vec<u8>, Option<Duration>),
-    /// It surely never left.
+    /// The request was certainly not sent.
     NotSent,
-    /// None came in time.
+    /// No answer came in time; the request may have been executed.
     Lost,
 }
 
-/// What the state service is to be sent.
+/// Builds the HTTP request for a call to the state service.
 pub fn store_request(call: &StoreCall) -> Request {
     let (method, path, body) = match call {
         StoreCall::Page { prefix, after } => {
@@ -58,7 +58,7 @@
     Request { method, path, body }
 }
 
-/// What the state service's answer means.
+/// Interprets the reply of the state service to a call.
 pub fn store_reply(call: &StoreCall, reply: Reply) -> StoreReply {
     let (status, body) = match reply {
         Reply::Answer(status, body, _) => (status, body),
@@ -75,7 +75,7 @@
             Ok(answer) => StoreReply::Committed(answer.revision),
             Err(_) => StoreReply::Lost,
         },
-        // A lease that has ended under the transaction, too.
+        // Also covers a transaction whose lease has expired.
         (StoreCall::Txn(_), 400 | 409) => StoreReply::ConditionFailed,
         (StoreCall::LeaseGrant(_), 200) => match decode::<LeaseGrant>(&body) {
             Ok(grant) => StoreReply::LeaseGranted(grant.lease),
@@ -87,7 +87,7 @@
     }
 }
 
-/// What the users' API's answer means.
+/// Interprets the reply of the user API to a request about a job.
 pub fn job_reply(reply: Reply) -> JobReply {
     let (status, body, after) = match reply {
         Reply::Answer(status, body, after) => (status, body, after),
@@ -108,7 +108,7 @@
     }
 }
 
-/// Whether a phase stays.
+/// Whether a job in this phase never changes phase again.
 pub fn is_final_phase(phase: JobPhase) -> bool {
     matches!(phase, JobPhase::Done | JobPhase::Cancelled)
 }
--- a/crates/workflow/src/budget.rs
+++ b/crates/workflow/src/budget.rs
@@ -1,46 +1,47 @@
-//! So many requests a second, and no more.
+//! Limits the rate of outbound requests.
 
 use std::time::Duration;
 
-/// A bucket that fills by `rate` a second, up to a second's worth.
+/// Token bucket that refills at `rate` tokens per second and holds at most one second's worth,
+/// but at least one token.
 #[derive(Debug)]
 pub struct Budget {
     rate: f64,
     tokens: f64,
-    at: Duration,
-    /// Nothing may go before this.
-    not_before: Duration,
+    refilled_at: Duration,
+    /// No request may be sent before this time.
+    blocked_until: Duration,
 }
 
 impl Budget {
-    /// A full one.
+    /// A full bucket.
     pub fn new(rate: f64) -> Self {
         Self {
             rate,
             tokens: rate.max(1.0),
-            at: Duration::ZERO,
-            not_before: Duration::ZERO,
+            refilled_at: Duration::ZERO,
+            blocked_until: Duration::ZERO,
         }
     }
 
-    /// How many may go now.
-    pub fn left(&mut self, now: Duration) -> usize {
-        let gone = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.tokens = (self.tokens + gone * self.rate).min(self.rate.max(1.0));
-        match now < self.not_before {
+    /// Number of requests that may be sent now.
+    pub fn available(&mut self, now: Duration) -> usize {
+        let elapsed_s = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.rate.max(1.0));
+        match now < self.blocked_until {
             true => 0,
             false => self.tokens as usize,
         }
     }
 
-    /// So many go.
-    pub fn take(&mut self, count: usize) {
+    /// Takes `count` tokens. The balance may become negative.
+    pub fn charge(&mut self, count: usize) {
         self.tokens -= count as f64;
     }
 
-    /// The other side has had too much: nothing goes for some time.
-    pub fn hold(&mut self, until: Duration) {
-        self.not_before = self.not_before.max(until);
+    /// Blocks all requests until the given time, because the server cannot take more now.
+    pub fn block_until(&mut self, until: Duration) {
+        self.blocked_until = self.blocked_until.max(until);
     }
 }
--- a/crates/workflow/src/ranges.rs
+++ b/crates/workflow/src/ranges.rs
@@ -1,114 +1,112 @@
-//! Which ranges of runs are ours.
+//! Decides which ranges of runs this instance holds.
 //!
-//! A lease of the state service tells that an instance is up. Ranges of one that
-//! is not are taken by whoever comes first: the claim is a write under the
-//! condition that nobody else has written since. From then on all writes for
-//! the range's runs carry the claim's version as a condition, so that the
-//! instance before, should it still be at work, can write nothing any more. The
-//! lease only keeps two from working on the same; that no harm is done if they do
-//! is due to the conditions.
+//! A lease in the state service marks an instance as live. The first live instance that writes a
+//! claim takes over a range whose holder is not live; the write is conditional on the version
+//! that was read. All later writes for the range's runs carry the claim's version as a condition.
+//! The version acts as a fencing token: the previous holder can no longer write, even if it is
+//! still running. The lease only avoids duplicate work; safety depends on the conditions alone.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use oliveshift_wire::state::{Change, Cond, Item, Txn};
 use rmpv::Value;
 
-use crate::records::{RangeRecord, get, member_key, put, range_key};
+use crate::records::{RangeRecord, member_key, parse_record, put_record, range_key};
 
-/// How often instances and ranges are looked through.
-const SCAN_EVERY: Duration = Duration::from_secs(2);
+/// How often the records of instances and ranges are read.
+const SCAN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What is to be done.
+/// Next request to the state service.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// Get a lease.
-    NewLease,
-    /// Renew it.
-    Touch(u64),
-    /// Write that we are up.
-    Join(Txn),
-    /// Read what is below this prefix, after a key.
-    Look(&'static str, Option<String>),
-    /// Claim a range, or give it back.
-    Claim(u32, Txn, bool),
+pub enum Action {
+    /// Request a lease.
+    GrantLease,
+    /// Renew the lease.
+    RenewLease(u64),
+    /// Write this instance's membership record.
+    RegisterMember(Txn),
+    /// Read a page of the keys below a prefix, after a key.
+    ReadPage(&'static str, Option<String>),
+    /// Write the claim of a range: acquire it if the flag is set, otherwise release it.
+    WriteClaim(u32, Txn, bool),
 }
 
-/// All ranges, and those that are ours.
+/// All ranges, and the ones that this instance holds.
 #[derive(Debug)]
 pub struct Ranges {
     name: String,
     start: u64,
-    count: u32,
-    life: Duration,
+    range_count: u32,
+    lease_duration: Duration,
     lease: Option<u64>,
-    joined: bool,
-    touched: Duration,
-    looked: Option<Duration>,
-    /// Instances that are up, with their starts.
+    registered: bool,
+    renewed_at: Duration,
+    scanned_at: Option<Duration>,
+    /// Live instances with their start numbers.
     members: BTreeMap<String, u64>,
-    seen: BTreeMap<u32, (RangeRecord, u64)>,
-    /// Ours, with the versions of our claims.
+    seen_ranges: BTreeMap<u32, (RangeRecord, u64)>,
+    /// Ranges held by this instance, with the versions of its claims.
     held: BTreeMap<u32, u64>,
-    busy: bool,
-    /// What is still to be looked at in this scan.
-    to_look: Vec<&'static str>,
-    /// What was found so far.
-    found: Vec<Item>,
-    to_claim: Vec<(u32, u64, bool)>,
+    in_flight: bool,
+    /// Prefixes still to be read in this scan; the last one is read first.
+    prefixes_to_read: Vec<&'static str>,
+    /// Items read so far below the current prefix.
+    items_read: Vec<Item>,
+    claims_to_write: Vec<(u32, u64, bool)>,
 }
 
 impl Ranges {
-    /// Nothing is ours yet. `start` differs between starts.
-    pub fn new(name: &str, start: u64, count: u32, life: Duration) -> Self {
+    /// An instance that holds no ranges yet. `start` differs between starts of the instance.
+    pub fn new(name: &str, start: u64, range_count: u32, lease_duration: Duration) -> Self {
         Self {
             name: name.to_owned(),
             start,
-            count,
-            life,
+            range_count,
+            lease_duration,
             lease: None,
-            joined: false,
-            touched: Duration::ZERO,
-            looked: None,
+            registered: false,
+            renewed_at: Duration::ZERO,
+            scanned_at: None,
             members: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            seen_ranges: BTreeMap::new(),
             held: BTreeMap::new(),
-            busy: false,
-            to_look: Vec::new(),
-            found: Vec::new(),
-            to_claim: Vec::new(),
+            in_flight: false,
+            prefixes_to_read: Vec::new(),
+            items_read: Vec::new(),
+            claims_to_write: Vec::new(),
         }
     }
 
-    /// The version of our claim to a range, if it is ours.
+    /// Version of this instance's claim to a range, if it holds the range.
     pub fn version(&self, range: u32) -> Option<u64> {
         self.held.get(&range).copied()
     }
 
-    /// Our ranges.
+    /// Ranges that this instance holds.
     pub fn held(&self) -> impl Iterator<Item = u32> {
         self.held.keys().copied()
     }
 
-    /// What is to be done next; one thing at a time.
-    pub fn next(&mut self, now: Duration) -> Option<Act> {
-        if self.busy {
+    /// Next request to send. At most one is in flight.
+    pub fn next_action(&mut self, now: Duration) -> Option<Action> {
+        if self.in_flight {
             return None;
         }
-        let act = self.choose(now);
-        self.busy = act.is_some();
-        act
+        let action = self.choose_action(now);
+        self.in_flight = action.is_some();
+        action
     }
 
-    fn choose(&mut self, now: Duration) -> Option<Act> {
+    fn choose_action(&mut self, now: Duration) -> Option<Action> {
         let Some(lease) = self.lease else {
-            return Some(Act::NewLease);
+            return Some(Action::GrantLease);
         };
-        if now >= self.touched + self.life / 3 {
-            self.touched = now;
-            return Some(Act::Touch(lease));
+        if now >= self.renewed_at + self.lease_duration / 3 {
+            self.renewed_at = now;
+            return Some(Action::RenewLease(lease));
         }
-        if !self.joined {
-            return Some(Act::Join(Txn {
+        if !self.registered {
+            return Some(Action::RegisterMember(Txn {
                 conds: Vec::new(),
                 changes: vec![Change::Put {
                     key: member_key(&self.name),
@@ -117,9 +115,9 @@
                 }],
             }));
         }
-        if let Some((range, version, take)) = self.to_claim.pop() {
+        if let Some((range, version, acquire)) = self.claims_to_write.pop() {
             let record = RangeRecord {
-                holder: if take {
+                holder: if acquire {
                     self.name.clone()
                 } else {
                     String::new()
@@ -132,79 +130,83 @@
                     key: key.clone(),
                     version,
                 }],
-                changes: vec![put(key, &record)],
+                changes: vec![put_record(key, &record)],
             };
-            return Some(Act::Claim(range, txn, take));
+            return Some(Action::WriteClaim(range, txn, acquire));
         }
-        if let Some(prefix) = self.to_look.last() {
-            let after = self.found.last().map(|i| i.key.clone());
-            return Some(Act::Look(prefix, after));
+        if let Some(prefix) = self.prefixes_to_read.last() {
+            let after = self.items_read.last().map(|i| i.key.clone());
+            return Some(Action::ReadPage(prefix, after));
         }
-        if self.looked.is_none_or(|at| now >= at + SCAN_EVERY) {
-            self.looked = Some(now);
-            // Members last: whoever claims has been seen to be up.
-            self.to_look = vec!["wf/m/", "wf/g/"];
-            self.found.clear();
-            return self.to_look.last().map(|prefix| Act::Look(prefix, None));
+        if self.scanned_at.is_none_or(|at| now >= at + SCAN_INTERVAL) {
+            self.scanned_at = Some(now);
+            // Ranges are read before members, so that the holder of every claim that was read
+            // has registered by the time members are read.
+            self.prefixes_to_read = vec!["wf/m/", "wf/g/"];
+            self.items_read.clear();
+            return self
+                .prefixes_to_read
+                .last()
+                .map(|prefix| Action::ReadPage(prefix, None));
         }
         None
     }
 
-    /// A lease, or none.
-    pub fn leased(&mut self, now: Duration, lease: Option<u64>) {
-        self.busy = false;
+    /// Records the answer to a lease request; `None` if no lease was granted.
+    pub fn lease_granted(&mut self, now: Duration, lease: Option<u64>) {
+        self.in_flight = false;
         self.lease = lease;
-        self.joined = false;
-        self.touched = now;
+        self.registered = false;
+        self.renewed_at = now;
     }
 
-    /// Whether the lease was renewed; if not, others may have our ranges.
-    pub fn touched(&mut self, good: bool) {
-        self.busy = false;
-        if !good {
+    /// Records whether the lease was renewed. If not, other instances may have taken the ranges.
+    pub fn lease_renewed(&mut self, success: bool) {
+        self.in_flight = false;
+        if !success {
             self.lease = None;
-            self.joined = false;
+            self.registered = false;
             self.held.clear();
         }
     }
 
-    /// Whether it is written that we are up.
-    pub fn joined(&mut self, good: bool) {
-        self.busy = false;
-        self.joined = good;
-        if !good {
+    /// Records whether the membership record was written.
+    pub fn member_registered(&mut self, success: bool) {
+        self.in_flight = false;
+        self.registered = success;
+        if !success {
             self.lease = None;
         }
     }
 
-    /// Something did not work; it is tried again.
-    pub fn failed(&mut self) {
-        self.busy = false;
-        // Half a look is worse than none.
-        self.to_look.clear();
+    /// Records a failed request. The next scan starts from the beginning.
+    pub fn request_failed(&mut self) {
+        self.in_flight = false;
+        // An incomplete list would make live holders or their claims look absent.
+        self.prefixes_to_read.clear();
     }
 
-    /// A page of what is below a prefix.
-    pub fn looked(&mut self, prefix: &str, items: Vec<Item>, more: bool) {
-        self.busy = false;
-        self.found.extend(items);
+    /// Adds a page of the items below a prefix.
+    pub fn page_read(&mut self, prefix: &str, items: Vec<Item>, more: bool) {
+        self.in_flight = false;
+        self.items_read.extend(items);
         if more {
             return;
         }
-        self.to_look.pop();
-        let items = std::mem::take(&mut self.found);
-        let last = |key: &str| key.rsplit('/').next().unwrap_or_default().to_owned();
+        self.prefixes_to_read.pop();
+        let items = std::mem::take(&mut self.items_read);
+        let last_segment = |key: &str| key.rsplit('/').next().unwrap_or_default().to_owned();
         if prefix == "wf/m/" {
             let members = items.iter();
-            let members = members.filter_map(|i| Some((last(&i.key), i.value.as_u64()?)));
+            let members = members.filter_map(|i| Some((last_segment(&i.key), i.value.as_u64()?)));
             self.members = members.collect();
-            self.decide();
+            self.plan_claims();
         } else {
             let ranges = items.iter().filter_map(|item| {
-                let range = last(&item.key).parse().ok()?;
-                Some((range, (get(item)?, item.version)))
+                let range = last_segment(&item.key).parse().ok()?;
+                Some((range, (parse_record(item)?, item.version)))
             });
-            self.seen = ranges.collect();
+            self.seen_ranges = ranges.collect();
         }
     }
 
@@ -212,49 +214,52 @@
         record.holder == self.name && record.start == self.start
     }
 
-    fn decide(&mut self) {
-        let seen = std::mem::take(&mut self.seen);
-        self.held = seen
+    /// Decides from a complete scan which ranges to acquire or release.
+    fn plan_claims(&mut self) {
+        let seen_ranges = std::mem::take(&mut self.seen_ranges);
+        self.held = seen_ranges
             .iter()
             .filter(|(_, (record, _))| self.is_ours(record))
             .map(|(range, (_, version))| (*range, *version))
             .collect();
-        let up = self.members.len().max(1) as u32;
-        let fair = self.count.div_ceil(up) as usize;
-        self.to_claim.clear();
-        for range in 0..self.count {
-            let (free, version) = match seen.get(&range) {
+        let live_instances = self.members.len().max(1) as u32;
+        let fair_share = self.range_count.div_ceil(live_instances) as usize;
+        self.claims_to_write.clear();
+        for range in 0..self.range_count {
+            let (free, version) = match seen_ranges.get(&range) {
                 None => (true, 0),
                 Some((record, version)) => {
-                    // Whoever came back under the same name is another one.
-                    let up = self.members.get(&record.holder) == Some(&record.start);
-                    (!up && !self.is_ours(record), *version)
+                    // A restarted instance with the same name has another start number and does
+                    // not hold the earlier claims.
+                    let live = self.members.get(&record.holder) == Some(&record.start);
+                    (!live && !self.is_ours(record), *version)
                 }
             };
-            if free && self.held.len() + self.to_claim.len() < fair {
-                self.to_claim.push((range, version, true));
+            if free && self.held.len() + self.claims_to_write.len() < fair_share {
+                self.claims_to_write.push((range, version, true));
             }
         }
-        // Somebody who came later gets a fair part, one after the other.
-        if self.to_claim.is_empty()
-            && self.held.len() > fair
+        // At most one range is released per scan while this instance holds more than its fair
+        // share, so that instances that joined later get theirs.
+        if self.claims_to_write.is_empty()
+            && self.held.len() > fair_share
             && let Some((range, version)) = self.held.pop_last()
         {
-            self.to_claim.push((range, version, false));
+            self.claims_to_write.push((range, version, false));
         }
     }
 
-    /// Whether a claim was written, and in which revision.
-    pub fn claimed(&mut self, range: u32, take: bool, revision: Option<u64>) {
-        self.busy = false;
-        if let (true, Some(version)) = (take, revision) {
+    /// Records the answer to a claim: the revision in which it was written, if it was.
+    pub fn claim_answered(&mut self, range: u32, acquire: bool, revision: Option<u64>) {
+        self.in_flight = false;
+        if let (true, Some(version)) = (acquire, revision) {
             self.held.insert(range, version);
         }
     }
 
-    /// Somebody else has written to this range.
-    pub fn lost(&mut self, range: u32) {
+    /// Gives up a range after a conditional write failed, and scans again at once.
+    pub fn range_lost(&mut self, range: u32) {
         self.held.remove(&range);
-        self.looked = None;
+        self.scanned_at = None;
     }
 }
--- a/crates/workflow/src/records.rs
+++ b/crates/workflow/src/records.rs
@@ -1,13 +1,13 @@
-//! What the state service keeps of runs, below a prefix of its own.
+//! Records of runs in the state service, under the key prefix `wf/`.
 //!
-//! | key | what |
+//! | key | content |
 //! | --- | --- |
-//! | `wf/m/NAME` | an instance that is up; goes with its lease |
-//! | `wf/g/RANGE` | who holds a range of runs |
-//! | `wf/r/RANGE/ID` | a run: its state, when it was begun, its end |
-//! | `wf/t/RANGE/ID/N` | pieces of its document and inputs, later of its outputs |
-//! | `wf/j/RANGE/ID/N` | the jobs of its steps |
-//! | `wf/c/RANGE/ID` | somebody wants it cancelled |
+//! | `wf/m/NAME` | an instance that is up; removed when its lease ends |
+//! | `wf/g/RANGE` | the instance that holds a range of runs |
+//! | `wf/r/RANGE/ID` | a run: its state, start and end times, failure |
+//! | `wf/t/RANGE/ID/N` | pieces of its document and inputs, followed by those of its outputs |
+//! | `wf/j/RANGE/ID/N` | records of the jobs of its steps |
+//! | `wf/c/RANGE/ID` | a request to cancel it |
 
 use std::{collections::BTreeMap, fmt, str::FromStr};
 
@@ -24,18 +24,18 @@
     job::Defaults,
 };
 
-/// Names a run: the range that it is in, and its number there.
+/// Identifies a run by its range and its number within the range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId {
-    /// The range.
+    /// Range that the run belongs to.
     pub range: u32,
-    /// The number.
+    /// Number of the run within its range, drawn at random.
     pub number: u64,
 }
 
-/// The text names no run.
+/// The text is not a valid run id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("not a run's id")]
+#[error("not a run id: expected run-RANGE-NUMBER with the number as 16 hexadecimal digits")]
 pub struct InvalidRunId;
 
 impl fmt::Display for RunId {
@@ -54,7 +54,7 @@
             range: range.parse().map_err(|_| InvalidRunId)?,
             number: u64::from_str_radix(number, 16).map_err(|_| InvalidRunId)?,
         };
-        // One name for each run.
+        // Each run has exactly one textual id, so other spellings are rejected.
         match id.to_string() == text {
             true => Ok(id),
             false => Err(InvalidRunId),
@@ -62,92 +62,93 @@
     }
 }
 
-/// The state of a run, by the names of the Workflow Execution Service.
+/// State of a run. The serialized names follow the GA4GH Workflow Execution Service, apart
+/// from `FAILING`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum RunState {
-    /// Its steps run.
+    /// Steps are running or can be submitted.
     Running,
-    /// It was cancelled and what runs is being ended.
+    /// The run was cancelled and its jobs are being ended.
     Canceling,
-    /// A step failed and what runs is being ended. Shown as running.
+    /// A step failed and the run's jobs are being ended. Clients see it as running.
     Failing,
-    /// All outputs are there.
+    /// All steps succeeded and the outputs are recorded.
     Complete,
-    /// A step failed.
+    /// A step failed and all jobs have ended.
     ExecutorError,
-    /// The service can't run it.
+    /// The service cannot run it: its stored document or records are invalid.
     SystemError,
-    /// It was cancelled.
+    /// The run was cancelled and all jobs have ended.
     Canceled,
 }
 
 impl RunState {
-    /// Whether it stays.
+    /// Whether the state never changes again.
     pub fn is_final(self) -> bool {
         !matches!(self, Self::Running | Self::Canceling | Self::Failing)
     }
 }
 
-/// What is known of a run as a whole.
+/// State of a run as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Its state.
+    /// Current state.
     pub state: RunState,
-    /// When it was begun, in seconds since 1970.
+    /// Start time, in seconds since the Unix epoch.
     pub begun_s: u64,
-    /// When it ended.
+    /// End time, in seconds since the Unix epoch; set with the final state.
     pub ended_s: Option<u64>,
-    /// How many pieces its document and inputs have.
+    /// Number of records that hold the document and inputs.
     pub pieces: u32,
-    /// How many pieces its outputs have, which come after those.
+    /// Number of records that hold the outputs; they are numbered after the document's.
     pub outputs: u32,
-    /// The step that failed, and why.
+    /// Step that failed, and the reason.
     pub failure: Option<(String, String)>,
 }
 
 impl RunRecord {
-    /// Why it failed.
+    /// Step and reason of the failure, if the run failed.
     pub fn step_failure(&self) -> Option<Failure> {
         let (step, reason) = self.failure.clone()?;
         Some(Failure { step, reason })
     }
 }
 
-/// A document with its inputs.
+/// A workflow document with its inputs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Bundle {
-    /// The file, or `file#process`, that is run.
+    /// File, or `file#process`, that is run.
     pub main: String,
-    /// All files by path.
+    /// Contents of all files, by path.
     pub files: BTreeMap<String, String>,
-    /// What goes in.
+    /// Input values.
     pub inputs: serde_json::Value,
-    /// What it says of itself.
+    /// Values for jobs whose tools do not state them.
     pub defaults: Defaults,
 }
 
 impl oliveshift_cwl::load::Resolver for Bundle {
     fn read(&self, path: &str) -> Result<String, String> {
         let text = self.files.get(path).cloned();
-        text.ok_or_else(|| "the file was not handed in".to_owned())
+        text.ok_or_else(|| "the file was not submitted with the document".to_owned())
     }
 }
 
-/// A job of a run, with all that is needed to hand it in again. Written before
-/// it is submitted.
+/// A job of a run, with everything needed to submit it again. Written before the first
+/// submission.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The step.
+    /// Name of the step.
     pub step: String,
-    /// Which group of its members.
+    /// Index of the group of the step's members that the job runs.
     pub group: u32,
-    /// The job.
+    /// Specification that is submitted to the user API.
     pub spec: JobSpec,
 }
 
 impl JobRecord {
-    /// Its name in the run.
+    /// Key of the job within its run.
     pub fn key(&self) -> JobKey {
         JobKey {
             step: self.step.clone(),
@@ -156,25 +157,25 @@
     }
 }
 
-/// A run as it is written.
+/// A run as read from all of its records.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredRun {
-    /// Its state.
+    /// The run's own record.
     pub record: RunRecord,
-    /// The version of that.
+    /// Version of that record in the state service.
     pub version: u64,
-    /// What is run.
+    /// Document and inputs.
     pub bundle: Bundle,
-    /// What came out; null until it is complete.
+    /// Outputs; null until the run is complete.
     pub outputs: serde_json::Value,
-    /// The jobs of its steps.
+    /// Jobs of the run's steps.
     pub jobs: Vec<JobRecord>,
-    /// How many records these are in.
+    /// Number of records that hold the jobs.
     pub job_pieces: usize,
 }
 
 impl StoredRun {
-    /// A run that has no jobs yet.
+    /// A run without jobs and outputs.
     pub fn new(record: RunRecord, bundle: Bundle) -> Self {
         Self {
             record,
@@ -187,36 +188,36 @@
     }
 }
 
-/// Who holds a range.
+/// Claim of an instance to a range.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeRecord {
-    /// The instance; empty: nobody.
+    /// Name of the instance; empty if the range was released.
     pub holder: String,
-    /// Its start; another one for each.
+    /// Start number of the instance; it differs between starts.
     pub start: u64,
 }
 
-/// The key of an instance.
+/// Key of an instance's membership record.
 pub fn member_key(name: &str) -> String {
     format!("wf/m/{name}")
 }
 
-/// The key of a range.
+/// Key of a range's claim.
 pub fn range_key(range: u32) -> String {
     format!("wf/g/{range}")
 }
 
-/// The key of a run; `kind` is `r`, `t`, `j` or `c`.
+/// Key of a run's record, or the prefix of its pieces; `kind` is `r`, `t`, `j` or `c`.
 pub fn run_key(kind: char, id: RunId) -> String {
     format!("wf/{kind}/{}/{:016x}", id.range, id.number)
 }
 
-/// The key of one of a run's pieces. They sort by their numbers.
+/// Key of one piece of a run. The numbers are zero-padded so that keys sort by number.
 pub fn piece_key(kind: char, id: RunId, number: usize) -> String {
     format!("{}/{number:06}", run_key(kind, id))
 }
 
-/// The run that a key is of.
+/// Parses the id of the run that a key belongs to.
 pub fn run_id_of_key(key: &str) -> Option<RunId> {
     let mut parts = key.split('/').skip(2);
     Some(RunId {
@@ -225,13 +226,13 @@
     })
 }
 
-/// A record as the state service keeps it.
-pub fn put<T: Serialize>(key: String, record: &T) -> Change {
+/// Change that stores a record as JSON text.
+pub fn put_record<T: Serialize>(key: String, record: &T) -> Change {
     let text = serde_json::to_string(record).unwrap_or_default();
     put_text(key, text)
 }
 
-/// A text as the state service keeps it.
+/// Change that stores a text without a lease.
 pub fn put_text(key: String, text: String) -> Change {
     Change::Put {
         key,
@@ -240,27 +241,27 @@
     }
 }
 
-/// Reads a record; none: it is not one that this program knows.
-pub fn get<T: DeserializeOwned>(item: &Item) -> Option<T> {
+/// Parses a record. Returns `None` if this version of the program cannot read it.
+pub fn parse_record<T: DeserializeOwned>(item: &Item) -> Option<T> {
     serde_json::from_str(item.value.as_str()?).ok()
 }
 
-/// Cuts a text into pieces whose JSON form takes at most so many bytes.
-pub fn pieces(text: &str, most: usize) -> Vec<String> {
+/// Splits a text into pieces whose JSON form takes at most `max_bytes` each.
+pub fn split_text(text: &str, max_bytes: usize) -> Vec<String> {
     let mut pieces = vec![String::new()];
     let mut size = 2;
     for c in text.chars() {
-        // The longest that an escape can be.
-        let takes = match c {
+        // Upper bound of the character's JSON form, with the longest escape.
+        let char_bytes = match c {
             '"' | '\\' => 2,
             c if c < ' ' => 6,
             c => c.len_utf8(),
         };
-        if size + takes > most {
+        if size + char_bytes > max_bytes {
             pieces.push(String::new());
             size = 2;
         }
-        size += takes;
+        size += char_bytes;
         if let Some(last) = pieces.last_mut() {
             last.push(c);
         }
@@ -274,22 +275,25 @@
     use oliveshift_wire::state::json_len;
 
     #[test]
-    fn pieces_fit_and_come_together_again() {
+    fn split_texts_fit_the_limit_and_join_to_the_original() {
         let mut rng = fastrand::Rng::with_seed(3);
         for _ in 0..200 {
-            let all = ['a', '"', '\\', '\n', '\u{1}', 'é', '木', '🌿'];
+            let alphabet = ['a', '"', '\\', '\n', '\u{1}', 'é', '木', '🌿'];
             let text: String = (0..rng.usize(0..400))
-                .map(|_| all[rng.usize(0..8)])
+                .map(|_| alphabet[rng.usize(0..8)])
                 .collect();
-            let most = rng.usize(12..60);
-            let pieces = pieces(&text, most);
+            let max_bytes = rng.usize(12..60);
+            let pieces = split_text(&text, max_bytes);
             assert_eq!(pieces.concat(), text);
-            assert!(pieces.iter().all(|p| json_len(p) <= most), "{pieces:?}");
+            assert!(
+                pieces.iter().all(|p| json_len(p) <= max_bytes),
+                "{pieces:?}"
+            );
         }
     }
 
     #[test]
-    fn runs_have_one_name_each() {
+    fn each_run_has_exactly_one_textual_id() {
         let id = RunId {
             range: 3,
             number: 0xab,
--- a/crates/workflow/src/service.rs
+++ b/crates/workflow/src/service.rs
@@ -1,4 +1,4 @@
-//! An instance of the service: drives the runs of its ranges.
+//! An instance of the workflow service: advances the runs of the ranges that it holds.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -21,168 +21,169 @@
     job::TaskResult,
     ranges::{self, Ranges},
     records::{
-        Bundle, JobRecord, RunId, RunRecord, RunState, StoredRun, get, piece_key, pieces, put,
-        put_text, range_key, run_id_of_key, run_key,
+        Bundle, JobRecord, RunId, RunRecord, RunState, StoredRun, parse_record, piece_key,
+        put_record, put_text, range_key, run_id_of_key, run_key, split_text,
     },
-    sweep::{Step, Sweeps},
+    sweep::{SweepStep, Sweeps},
 };
 
-/// Names a request of ours; the reply carries it.
+/// Identifies a request that the instance sent; the reply carries the same id.
 pub type CallId = u64;
-/// Names a request of somebody's; the answer carries it.
+/// Identifies a request of a user; the answer carries the same id.
 pub type UserRequestId = u64;
 
-/// How often requests to cancel are looked for.
-const CANCELS_EVERY: Duration = Duration::from_secs(2);
-/// How often a range's runs are looked through for those that we don't have.
-const RUNS_EVERY: Duration = Duration::from_secs(10);
-/// When whoever is turned away should come back.
-const COME_BACK: Duration = Duration::from_secs(5);
-/// The most that an inline document and its inputs may be, in bytes.
+/// Interval between scans for cancellation requests.
+const CANCEL_SCAN_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval between scans of a range for runs that this instance has not loaded.
+const RUN_SCAN_INTERVAL: Duration = Duration::from_secs(10);
+/// Retry delay given to users whose request cannot be handled now.
+const RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Maximum size of a submitted document with its inputs, in bytes.
 pub const MAX_BUNDLE_BYTES: usize = 4 << 20;
 
-/// What an instance is set to.
+/// Settings of an instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name; no two instances share one.
+    /// Name of the instance; unique among instances.
     pub name: String,
-    /// In how many ranges runs are. The same for all instances, for good.
+    /// Number of ranges that runs are divided into. Must be the same for all instances and never
+    /// change.
     pub ranges: u32,
-    /// After which time without contact others take over.
+    /// Lease duration: time without contact after which other instances take over.
     pub lease: Duration,
-    /// Requests a second to the users' API, at most.
+    /// Maximum requests per second to the user API.
     pub calls_per_s: f64,
-    /// Requests a second to the state service, at most.
+    /// Maximum requests per second to the state service.
     pub store_per_s: f64,
-    /// Changes a second that are written there, at most.
+    /// Maximum changes per second written to the state service.
     pub writes_per_s: f64,
-    /// The most runs at a time.
+    /// Maximum number of open runs.
     pub max_runs: usize,
-    /// The largest value, in bytes of its JSON form.
+    /// Maximum size of a stored value, in bytes of its JSON form.
     pub value_bytes: usize,
-    /// The most changes of a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// For how long ended runs are kept.
+    /// Time for which ended runs are kept.
     pub retention: Duration,
 }
 
-/// What the state service is asked.
+/// A request to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreCall {
-    /// Keys below a prefix, after a key.
+    /// Read a page of the keys below a prefix, after a key.
     Page {
-        /// The prefix.
+        /// Prefix of the keys.
         prefix: String,
-        /// The last key of the page before.
+        /// Last key of the previous page.
         after: Option<String>,
     },
-    /// A transaction.
+    /// Execute a transaction.
     Txn(Txn),
-    /// A lease of this length.
+    /// Grant a lease of this duration.
     LeaseGrant(Duration),
-    /// Renews one.
+    /// Renew a lease.
     LeaseRenewal(u64),
 }
 
-/// What the state service says.
+/// Reply of the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
-    /// Keys, and whether there are more.
+    /// Items, and whether more follow.
     Page(Vec<Item>, bool),
-    /// The transaction was done, in this revision.
+    /// The transaction was committed in this revision.
     Committed(u64),
-    /// Its conditions did not hold.
+    /// The transaction was not executed: a condition did not hold or its lease has expired.
     ConditionFailed,
-    /// A lease.
+    /// The lease with this id was granted.
     LeaseGranted(u64),
-    /// The lease is renewed, or gone.
+    /// The lease was renewed, or no longer exists.
     LeaseRenewed(bool),
-    /// Not executed: too much, or an outage.
+    /// Not executed, for example because of a rate limit or an outage.
     Refused,
-    /// No answer: it may have been executed, or may be yet.
+    /// No answer: the request may have been executed, or may still be.
     Lost,
 }
 
-/// What somebody wants.
+/// A request of a user.
 #[derive(Clone, Debug)]
 pub enum UserRequest {
-    /// Run this.
+    /// Start a run.
     Submit(Box<Bundle>),
-    /// Tell how a run is.
+    /// Return the status of a run.
     Status(RunId),
     /// Cancel a run.
     Cancel(RunId),
-    /// Tell all about a run.
+    /// Return everything that is stored about a run.
     Log(RunId),
-    /// Tell which runs there are, after the key that the page before ended with.
+    /// List runs, after the key that the previous page ended with.
     List(Option<String>),
 }
 
-/// What is answered.
+/// Answer to a request of a user.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// It runs, under this name.
+    /// The run was recorded under this id and will be executed.
     Started(RunId),
-    /// The document or its inputs are wrong.
+    /// The document or its inputs are invalid, for this reason.
     Invalid(String),
-    /// How a run is.
+    /// Status of a run.
     Status(Box<RunRecord>),
-    /// All about a run, as it is written.
+    /// Everything that is stored about a run.
     Log(Box<StoredRun>),
-    /// Runs and their records, and where to go on; none: these are all.
+    /// Runs with their records, and the key after which the list continues, if it does.
     Runs(Vec<(RunId, RunRecord)>, Option<String>),
-    /// The wish to cancel it is written down.
+    /// The cancellation request was recorded.
     Cancelling,
-    /// There is no such run.
+    /// The run does not exist.
     Unknown,
-    /// Not now.
+    /// The request cannot be handled now; retry after this time.
     RetryAfter(Duration),
 }
 
-/// What an instance is told.
+/// Input of an instance.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// The state service answers.
+    /// Reply of the state service.
     Store(CallId, StoreReply),
-    /// The users' API answers.
+    /// Reply of the user API.
     Job(CallId, JobReply),
-    /// What a job's tasks have left behind; none: it can't be had now.
+    /// Results of a job's tasks; `None` if they are not available now.
     Results(CallId, Option<Vec<TaskResult>>),
-    /// The beginning of a file; none: there is none.
+    /// Beginning of a file; `None` if there is no such file.
     Text(CallId, Option<String>),
-    /// Somebody asks.
+    /// Request of a user.
     UserRequest(UserRequestId, UserRequest),
 }
 
-/// What an instance wants done.
+/// Output of an instance: a request to send or an answer to return.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Ask the state service.
+    /// Send a request to the state service.
     Store(CallId, StoreCall),
-    /// Submit a job.
+    /// Submit a job to the user API.
     Submit(CallId, Box<JobSpec>),
-    /// Ask how a job is.
+    /// Request the status of a job.
     Poll(CallId, JobId),
     /// Cancel a job.
     Abort(CallId, JobId),
-    /// Get what its tasks, so many, have left behind.
+    /// Fetch the results of a job with this number of tasks.
     Results(CallId, JobId, u32),
-    /// Get the beginning of a file.
+    /// Fetch the beginning of a file.
     Text(CallId, String),
-    /// Answer.
+    /// Answer a request of a user.
     Answer(UserRequestId, Answer),
 }
 
-/// A request under way.
+/// Purpose of a request in flight.
 #[derive(Debug)]
 enum Pending {
-    Ranges(ranges::Act),
-    Cancels,
-    Runs(u32),
-    Load(RunId, Stage),
-    /// With what is to be written after it.
+    Ranges(ranges::Action),
+    CancelScan,
+    RunScan(u32),
+    Load(RunId, LoadStage),
+    /// Write for a run, with the transactions that follow it.
     Write(RunId, Vec<Txn>),
     Job(RunId, JobKey, bool),
     Results(RunId, JobKey),
@@ -191,13 +192,13 @@
     Status(UserRequestId, RunId),
     Cancel(UserRequestId),
     List(UserRequestId),
-    Log(UserRequestId, RunId, Stage),
-    SweepLook(RunId),
-    Sweep(RunId, usize),
+    Log(UserRequestId, RunId, LoadStage),
+    SweepList(RunId),
+    SweepRemove(RunId, usize),
 }
 
 impl Pending {
-    /// The run under way that the answer is for.
+    /// Run that the reply is applied to, if it depends on the run's state in memory.
     fn run(&self) -> Option<RunId> {
         match self {
             Self::Write(id, _) | Self::Job(id, ..) | Self::Results(id, _) | Self::Text(id, _) => {
@@ -208,33 +209,33 @@
     }
 }
 
-/// How far a run has been read.
+/// How much of a stored run has been read.
 #[derive(Debug)]
-enum Stage {
+enum LoadStage {
     Record,
     Texts(RunRecord, u64, Vec<Item>),
     Jobs(Box<StoredRun>, Vec<Item>),
 }
 
-/// What came of reading on.
-enum Read {
-    /// There is more.
-    More(Stage, StoreCall),
-    /// It did not work; from the beginning, later.
-    Again,
-    /// There is no such run.
-    Nothing,
-    /// What is there can't be understood.
-    Broken(RunRecord, u64, String),
-    /// All of it.
-    All(Box<StoredRun>),
+/// Result of reading one more page of a stored run.
+enum LoadProgress {
+    /// This request comes next.
+    More(LoadStage, StoreCall),
+    /// The read failed; it has to start again later.
+    Retry,
+    /// The run does not exist.
+    Missing,
+    /// The stored document or jobs cannot be parsed, for this reason.
+    Invalid(RunRecord, u64, String),
+    /// The whole run was read.
+    Complete(Box<StoredRun>),
 }
 
-impl Stage {
-    /// Takes a page in.
-    fn next(self, id: RunId, reply: StoreReply) -> Read {
+impl LoadStage {
+    /// Adds a page and returns how to continue.
+    fn next(self, id: RunId, reply: StoreReply) -> LoadProgress {
         let StoreReply::Page(items, more) = reply else {
-            return Read::Again;
+            return LoadProgress::Retry;
         };
         let page = |kind: char, after: Option<String>| StoreCall::Page {
             prefix: format!("{}/", run_key(kind, id)),
@@ -245,17 +246,21 @@
             Self::Record => {
                 let key = run_key('r', id);
                 let item = items.iter().find(|i| i.key == key);
-                match item.and_then(|i| Some((get::<RunRecord>(i)?, i.version))) {
-                    Some((record, version)) => {
-                        Read::More(Self::Texts(record, version, Vec::new()), page('t', None))
-                    }
-                    None => Read::Nothing,
+                match item.and_then(|i| Some((parse_record::<RunRecord>(i)?, i.version))) {
+                    Some((record, version)) => LoadProgress::More(
+                        Self::Texts(record, version, Vec::new()),
+                        page('t', None),
+                    ),
+                    None => LoadProgress::Missing,
                 }
             }
             Self::Texts(record, version, mut texts) => {
                 texts.extend(items);
                 if more {
-                    return Read::More(Self::Texts(record, version, texts), page('t', last));
+                    return LoadProgress::More(
+                        Self::Texts(record, version, texts),
+                        page('t', last),
+                    );
                 }
                 let join = |texts: &[Item]| -> String {
                     texts.iter().filter_map(|i| i.value.as_str()).collect()
@@ -263,248 +268,279 @@
                 let (first, rest) = texts.split_at(texts.len().min(record.pieces as usize));
                 let bundle = match serde_json::from_str(&join(first)) {
                     Ok(bundle) => bundle,
-                    Err(e) => return Read::Broken(record, version, format!("its record: {e}")),
+                    Err(e) => {
+                        return LoadProgress::Invalid(
+                            record,
+                            version,
+                            format!("the stored document cannot be parsed: {e}"),
+                        );
+                    }
                 };
                 let outputs = match record.outputs {
                     0 => None,
                     n => serde_json::from_str(&join(&rest[..rest.len().min(n as usize)])).ok(),
                 };
-                let whole = StoredRun {
+                let stored_run = StoredRun {
                     version,
                     outputs: outputs.unwrap_or_default(),
                     ..StoredRun::new(record, bundle)
                 };
-                Read::More(Self::Jobs(Box::new(whole), Vec::new()), page('j', None))
+                LoadProgress::More(
+                    Self::Jobs(Box::new(stored_run), Vec::new()),
+                    page('j', None),
+                )
             }
-            Self::Jobs(mut whole, mut all) => {
+            Self::Jobs(mut stored_run, mut all) => {
                 all.extend(items);
                 if more {
-                    return Read::More(Self::Jobs(whole, all), page('j', last));
+                    return LoadProgress::More(Self::Jobs(stored_run, all), page('j', last));
                 }
-                let jobs: Option<Vec<Vec<JobRecord>>> = all.iter().map(get).collect();
+                let jobs: Option<Vec<Vec<JobRecord>>> = all.iter().map(parse_record).collect();
                 let Some(jobs) = jobs else {
-                    let why = "its jobs' record can't be read".to_owned();
-                    return Read::Broken(whole.record, whole.version, why);
+                    let reason = "the stored job records cannot be parsed".to_owned();
+                    return LoadProgress::Invalid(stored_run.record, stored_run.version, reason);
                 };
-                whole.job_pieces = all.len();
-                whole.jobs = jobs.into_iter().flatten().collect();
-                Read::All(whole)
+                stored_run.job_pieces = all.len();
+                stored_run.jobs = jobs.into_iter().flatten().collect();
+                LoadProgress::Complete(stored_run)
             }
         }
     }
 }
 
-/// A run of ours.
+/// An unfinished run of a range that this instance holds.
 #[derive(Debug)]
-enum Held {
-    /// It is being read.
+enum HeldRun {
+    /// It is being loaded.
     Loading,
-    /// It is to be read, not before this.
+    /// It is to be loaded, not before this time.
     ToLoad(Duration),
-    /// It can't be run; its end is being written.
-    Broken(RunRecord, u64, bool),
-    /// It is under way; the version of its record.
+    /// It cannot be executed. Holds its final record, the version of the stored record, and
+    /// whether the write of the end is in flight.
+    Invalid(RunRecord, u64, bool),
+    /// It is in progress; holds the version of its stored record.
     Active(Box<ActiveRun>, u64),
 }
 
-/// A run that is being created.
+/// A run whose first records are being written.
 #[derive(Debug)]
-struct Creating {
-    asker: UserRequestId,
-    /// The first to go last.
+struct RunCreation {
+    request_id: UserRequestId,
+    /// Transactions still to be written, in reverse order.
     txns: Vec<Txn>,
-    busy: bool,
+    in_flight: bool,
 }
 
-/// An instance.
+/// An instance of the workflow service, as a state machine without I/O.
 #[derive(Debug)]
 pub struct Service {
     settings: Settings,
     rng: fastrand::Rng,
     next_call: CallId,
-    calls: HashMap<CallId, Pending>,
+    pending_calls: HashMap<CallId, Pending>,
     ranges: Ranges,
     documents: DocumentCache,
     sweeps: Sweeps,
-    runs: BTreeMap<RunId, Held>,
-    creating: BTreeMap<RunId, Creating>,
-    store: Budget,
-    writes: Budget,
-    jobs: Budget,
-    /// Where to go on, so that each run gets its turn.
-    turn: Option<RunId>,
-    cancels_at: Duration,
-    runs_at: BTreeMap<u32, Duration>,
-    /// What is broken on purpose.
+    runs: BTreeMap<RunId, HeldRun>,
+    creating: BTreeMap<RunId, RunCreation>,
+    store_budget: Budget,
+    write_budget: Budget,
+    job_budget: Budget,
+    /// Run that was advanced last, for round-robin scheduling.
+    last_advanced: Option<RunId>,
+    next_cancel_scan: Duration,
+    next_run_scans: BTreeMap<u32, Duration>,
+    /// Fault that a test injects.
     #[cfg(feature = "sabotage")]
     pub sabotage: Option<Sabotage>,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
 }
 
 impl Service {
-    /// An instance that knows nothing yet. `seed` differs between starts.
+    /// An instance that has not read anything yet. `seed` must differ between starts.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let start = rng.u64(1..1 << 53);
         Self {
             ranges: Ranges::new(&settings.name, start, settings.ranges, settings.lease),
-            store: Budget::new(settings.store_per_s),
-            writes: Budget::new(settings.writes_per_s),
-            jobs: Budget::new(settings.calls_per_s),
+            store_budget: Budget::new(settings.store_per_s),
+            write_budget: Budget::new(settings.writes_per_s),
+            job_budget: Budget::new(settings.calls_per_s),
             documents: DocumentCache::default(),
             sweeps: Sweeps::new(settings.retention),
             settings,
             rng,
             next_call: 0,
-            calls: HashMap::new(),
+            pending_calls: HashMap::new(),
             runs: BTreeMap::new(),
             creating: BTreeMap::new(),
-            turn: None,
-            cancels_at: Duration::ZERO,
-            runs_at: BTreeMap::new(),
+            last_advanced: None,
+            next_cancel_scan: Duration::ZERO,
+            next_run_scans: BTreeMap::new(),
             #[cfg(feature = "sabotage")]
             sabotage: None,
-            out: Vec::new(),
+            outputs: Vec::new(),
         }
     }
 
-    /// Takes one input and returns what is to be done. `unix_s` is the time of
-    /// day in seconds since 1970.
+    /// Handles one input and returns the requests and answers to send. `now` is monotonic,
+    /// `unix_s` the wall-clock time in seconds since the Unix epoch.
     pub fn handle(&mut self, now: Duration, unix_s: u64, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => {}
-            Input::Store(call, reply) => self.stored(now, unix_s, call, reply),
+            Input::Store(call, reply) => self.store_answered(now, unix_s, call, reply),
             Input::Job(call, reply) => {
-                if let Some(Pending::Job(id, key, aborted)) = self.calls.remove(&call) {
+                if let Some(Pending::Job(id, key, aborted)) = self.pending_calls.remove(&call) {
                     if let JobReply::RetryAfter(Some(after)) = reply {
-                        self.jobs.hold(now + after);
+                        self.job_budget.block_until(now + after);
                     }
-                    if let Some(Held::Active(run, _)) = self.runs.get_mut(&id) {
-                        run.job_replied(now, &key, reply, aborted);
+                    if let Some(HeldRun::Active(run, _)) = self.runs.get_mut(&id) {
+                        run.job_answered(now, &key, reply, aborted);
                     }
                 }
             }
             Input::Results(call, results) => {
-                if let Some(Pending::Results(id, key)) = self.calls.remove(&call)
-                    && let Some(Held::Active(run, _)) = self.runs.get_mut(&id)
+                if let Some(Pending::Results(id, key)) = self.pending_calls.remove(&call)
+                    && let Some(HeldRun::Active(run, _)) = self.runs.get_mut(&id)
                 {
-                    run.results(now, &key, results);
+                    run.results_fetched(now, &key, results);
                 }
             }
             Input::Text(call, text) => {
-                if let Some(Pending::Text(id, location)) = self.calls.remove(&call)
-                    && let Some(Held::Active(run, _)) = self.runs.get_mut(&id)
+                if let Some(Pending::Text(id, location)) = self.pending_calls.remove(&call)
+                    && let Some(HeldRun::Active(run, _)) = self.runs.get_mut(&id)
                 {
-                    run.text(&location, text);
+                    run.text_fetched(&location, text);
                 }
             }
-            Input::UserRequest(asker, ask) => self.ask(now, unix_s, asker, ask),
+            Input::UserRequest(request_id, request) => {
+                self.handle_request(now, unix_s, request_id, request)
+            }
         }
-        self.go_on(now, unix_s);
-        std::mem::take(&mut self.out)
+        self.advance(now, unix_s);
+        std::mem::take(&mut self.outputs)
     }
 
-    /// How many runs are under way here.
+    /// Number of unfinished runs that this instance holds.
     pub fn open_runs(&self) -> usize {
         self.runs.len()
     }
 
-    /// What this instance knows of a run, for people.
+    /// Describes in readable form what this instance knows of a run, for diagnostics.
     pub fn describe(&self, id: RunId) -> String {
         match self.runs.get(&id) {
-            None if self.ranges.version(id.range).is_some() => "not found in its range".to_owned(),
+            None if self.ranges.version(id.range).is_some() => {
+                "not found when its range was scanned".to_owned()
+            }
             None => format!(
-                "not ours, which are {:?}",
+                "in a range that this instance does not hold; it holds {:?}",
                 self.ranges.held().collect::<Vec<_>>()
             ),
-            Some(Held::Loading | Held::ToLoad(_)) => "being read".to_owned(),
-            Some(Held::Broken(record, ..)) => format!("broken: {:?}", record.failure),
-            Some(Held::Active(run, _)) => run.describe(),
+            Some(HeldRun::Loading | HeldRun::ToLoad(_)) => "being loaded".to_owned(),
+            Some(HeldRun::Invalid(record, ..)) => {
+                format!("cannot be executed: {:?}", record.failure)
+            }
+            Some(HeldRun::Active(run, _)) => run.describe(),
         }
     }
 
-    fn call(&mut self, pending: Pending) -> CallId {
+    fn register_call(&mut self, pending: Pending) -> CallId {
         self.next_call += 1;
-        self.calls.insert(self.next_call, pending);
+        self.pending_calls.insert(self.next_call, pending);
         self.next_call
     }
 
-    fn store(&mut self, pending: Pending, call: StoreCall) {
-        self.store.take(1);
+    fn call_store(&mut self, pending: Pending, call: StoreCall) {
+        self.store_budget.charge(1);
         if let StoreCall::Txn(txn) = &call {
-            self.writes.take(txn.changes.len());
+            self.write_budget.charge(txn.changes.len());
         }
-        let id = self.call(pending);
-        self.out.push(Output::Store(id, call));
+        let id = self.register_call(pending);
+        self.outputs.push(Output::Store(id, call));
     }
 
-    fn ask(&mut self, now: Duration, unix_s: u64, asker: UserRequestId, ask: UserRequest) {
-        let later = Answer::RetryAfter(COME_BACK);
-        match ask {
+    fn handle_request(
+        &mut self,
+        now: Duration,
+        unix_s: u64,
+        request_id: UserRequestId,
+        request: UserRequest,
+    ) {
+        let retry = Answer::RetryAfter(RETRY_AFTER);
+        match request {
             UserRequest::Submit(bundle) => {
-                let mine: Vec<u32> = self.ranges.held().collect();
+                let held_ranges: Vec<u32> = self.ranges.held().collect();
                 let full = self.runs.len() + self.creating.len() >= self.settings.max_runs;
-                let Some(range) = self.rng.choice(mine).filter(|_| !full) else {
-                    return self.out.push(Output::Answer(asker, later));
+                let Some(range) = self.rng.choice(held_ranges).filter(|_| !full) else {
+                    return self.outputs.push(Output::Answer(request_id, retry));
                 };
                 let id = RunId {
                     range,
                     number: self.rng.u64(..),
                 };
-                self.create(unix_s, asker, id, *bundle);
+                self.begin_creation(unix_s, request_id, id, *bundle);
             }
             UserRequest::Status(id) => {
-                // Only what is written is told: what is not may be forgotten.
-                if let Some(Held::Active(run, _)) = self.runs.get(&id)
+                // Only recorded state is reported: unrecorded state is lost in a crash.
+                if let Some(HeldRun::Active(run, _)) = self.runs.get(&id)
                     && self.ranges.version(id.range).is_some()
                 {
                     let record = Box::new(run.record().clone());
-                    return self.out.push(Output::Answer(asker, Answer::Status(record)));
+                    return self
+                        .outputs
+                        .push(Output::Answer(request_id, Answer::Status(record)));
                 }
-                if self.store.left(now) == 0 {
-                    return self.out.push(Output::Answer(asker, later));
+                if self.store_budget.available(now) == 0 {
+                    return self.outputs.push(Output::Answer(request_id, retry));
                 }
                 let prefix = run_key('r', id);
                 let call = StoreCall::Page {
                     prefix,
                     after: None,
                 };
-                self.store(Pending::Status(asker, id), call);
+                self.call_store(Pending::Status(request_id, id), call);
             }
-            UserRequest::Log(_) | UserRequest::List(_) if self.store.left(now) == 0 => {
-                self.out.push(Output::Answer(asker, later));
+            UserRequest::Log(_) | UserRequest::List(_) if self.store_budget.available(now) == 0 => {
+                self.outputs.push(Output::Answer(request_id, retry));
             }
             UserRequest::Log(id) => {
                 let call = StoreCall::Page {
                     prefix: run_key('r', id),
                     after: None,
                 };
-                self.store(Pending::Log(asker, id, Stage::Record), call);
+                self.call_store(Pending::Log(request_id, id, LoadStage::Record), call);
             }
             UserRequest::List(after) => {
                 let call = StoreCall::Page {
                     prefix: "wf/r/".to_owned(),
                     after,
                 };
-                self.store(Pending::List(asker), call);
+                self.call_store(Pending::List(request_id), call);
             }
             UserRequest::Cancel(id) => {
-                if self.store.left(now) == 0 || self.writes.left(now) == 0 {
-                    return self.out.push(Output::Answer(asker, later));
+                if self.store_budget.available(now) == 0 || self.write_budget.available(now) == 0 {
+                    return self.outputs.push(Output::Answer(request_id, retry));
                 }
                 let txn = Txn {
                     conds: Vec::new(),
                     changes: vec![put_text(run_key('c', id), String::new())],
                 };
-                self.store(Pending::Cancel(asker), StoreCall::Txn(txn));
+                self.call_store(Pending::Cancel(request_id), StoreCall::Txn(txn));
             }
         }
     }
 
-    /// Writes a new run down: first its document and inputs, then the run.
-    fn create(&mut self, unix_s: u64, asker: UserRequestId, id: RunId, bundle: Bundle) {
+    /// Checks a submitted document and prepares the writes for its run: first the document and
+    /// inputs, then the run's record.
+    fn begin_creation(
+        &mut self,
+        unix_s: u64,
+        request_id: UserRequestId,
+        id: RunId,
+        bundle: Bundle,
+    ) {
         let text = serde_json::to_string(&bundle).unwrap_or_default();
-        let piece = self.settings.value_bytes;
+        let piece_bytes = self.settings.value_bytes;
         let mut record = RunRecord {
             state: RunState::Running,
             begun_s: unix_s,
@@ -513,27 +549,31 @@
             outputs: 0,
             failure: None,
         };
-        let bad = if text.len() > MAX_BUNDLE_BYTES {
-            Some(format!("larger than {MAX_BUNDLE_BYTES} bytes"))
+        let invalid_reason = if text.len() > MAX_BUNDLE_BYTES {
+            Some(format!(
+                "the document and its inputs are larger than {MAX_BUNDLE_BYTES} bytes"
+            ))
         } else {
             let process = self.documents.read(&bundle);
-            let whole = StoredRun::new(record.clone(), bundle);
-            let made = process.and_then(|p| ActiveRun::new(id, &p, whole, piece, 0));
-            made.err()
+            let stored_run = StoredRun::new(record.clone(), bundle);
+            let run = process.and_then(|p| ActiveRun::new(id, &p, stored_run, piece_bytes, 0));
+            run.err()
         };
-        if let Some(bad) = bad {
-            return self.out.push(Output::Answer(asker, Answer::Invalid(bad)));
+        if let Some(invalid_reason) = invalid_reason {
+            return self
+                .outputs
+                .push(Output::Answer(request_id, Answer::Invalid(invalid_reason)));
         }
-        let pieces = pieces(&text, piece);
+        let pieces = split_text(&text, piece_bytes);
         record.pieces = pieces.len() as u32;
         let changes: Vec<_> = pieces
             .into_iter()
             .enumerate()
             .map(|(i, text)| put_text(piece_key('t', id, i), text))
             .collect();
-        let at_once = self.at_once();
+        let max_txn_changes = self.max_txn_changes();
         let mut txns: Vec<Txn> = changes
-            .chunks(at_once)
+            .chunks(max_txn_changes)
             .map(|changes| Txn {
                 conds: Vec::new(),
                 changes: changes.to_vec(),
@@ -544,27 +584,27 @@
                 key: run_key('r', id),
                 version: 0,
             }],
-            changes: vec![put(run_key('r', id), &record)],
+            changes: vec![put_record(run_key('r', id), &record)],
         });
-        // The last one goes first out of the list.
+        // Transactions are taken from the end of the list.
         txns.reverse();
-        let creating = Creating {
-            asker,
+        let creating = RunCreation {
+            request_id,
             txns,
-            busy: false,
+            in_flight: false,
         };
         self.creating.insert(id, creating);
     }
 
-    /// So many changes go in one transaction. It takes 64 KiB at most, whatever
-    /// a value may take.
-    fn at_once(&self) -> usize {
+    /// Maximum number of changes per transaction. A transaction may take at most 64 KiB,
+    /// independent of the size limit of values.
+    fn max_txn_changes(&self) -> usize {
         let by_size = (48 * 1024 / self.settings.value_bytes.max(1)).max(1);
         self.settings.txn_ops.clamp(1, by_size)
     }
 
-    /// The condition that a range is still ours.
-    fn fence(&self, range: u32, conds: &mut Vec<Cond>) -> bool {
+    /// Adds the condition that this instance still holds a range. Returns false if it does not.
+    fn add_fence(&self, range: u32, conds: &mut Vec<Cond>) -> bool {
         let Some(version) = self.ranges.version(range) else {
             return false;
         };
@@ -580,50 +620,52 @@
         true
     }
 
-    /// The conditions that a run is as we know it, and still ours.
-    fn unchanged(&self, id: RunId, version: u64) -> Option<Vec<Cond>> {
+    /// Conditions that a run's record is unchanged and this instance still holds its range.
+    /// `None` if it no longer holds the range.
+    fn run_conditions(&self, id: RunId, version: u64) -> Option<Vec<Cond>> {
         let key = run_key('r', id);
         let mut conds = vec![Cond { key, version }];
-        self.fence(id.range, &mut conds).then_some(conds)
+        self.add_fence(id.range, &mut conds).then_some(conds)
     }
 
-    fn stored(&mut self, now: Duration, unix_s: u64, call: CallId, reply: StoreReply) {
-        let Some(pending) = self.calls.remove(&call) else {
+    fn store_answered(&mut self, now: Duration, unix_s: u64, call: CallId, reply: StoreReply) {
+        let Some(pending) = self.pending_calls.remove(&call) else {
             return;
         };
         if reply == StoreReply::Refused {
-            self.store.hold(now + Duration::from_millis(300));
+            self.store_budget
+                .block_until(now + Duration::from_millis(300));
         }
         match pending {
-            Pending::Ranges(act) => self.ranges_replied(now, act, reply),
-            Pending::Cancels => {
+            Pending::Ranges(action) => self.ranges_answered(now, action, reply),
+            Pending::CancelScan => {
                 if let StoreReply::Page(items, more) = reply {
                     if more {
                         let call = StoreCall::Page {
                             prefix: "wf/c/".to_owned(),
                             after: items.last().map(|i| i.key.clone()),
                         };
-                        self.store(Pending::Cancels, call);
+                        self.call_store(Pending::CancelScan, call);
                     }
                     for id in items.iter().filter_map(|i| run_id_of_key(&i.key)) {
-                        if let Some(Held::Active(run, _)) = self.runs.get_mut(&id) {
+                        if let Some(HeldRun::Active(run, _)) = self.runs.get_mut(&id) {
                             run.cancel();
                         }
                     }
                 }
             }
-            Pending::Runs(range) => match reply {
+            Pending::RunScan(range) => match reply {
                 StoreReply::Page(items, more) => {
                     let last = items.last().map(|i| i.key.clone());
                     for item in &items {
-                        let record: Option<RunRecord> = get(item);
+                        let record: Option<RunRecord> = parse_record(item);
                         let (Some(id), Some(record)) = (run_id_of_key(&item.key), record) else {
                             continue;
                         };
                         if record.state.is_final() {
-                            self.sweeps.seen(id, &record, unix_s);
+                            self.sweeps.consider(id, &record, unix_s);
                         } else if !self.creating.contains_key(&id) {
-                            self.runs.entry(id).or_insert(Held::ToLoad(now));
+                            self.runs.entry(id).or_insert(HeldRun::ToLoad(now));
                         }
                     }
                     if more {
@@ -632,259 +674,281 @@
                             prefix,
                             after: last,
                         };
-                        self.store(Pending::Runs(range), call);
+                        self.call_store(Pending::RunScan(range), call);
                     }
                 }
                 _ => {
-                    self.runs_at.remove(&range);
+                    self.next_run_scans.remove(&range);
                 }
             },
-            Pending::Load(id, stage) => self.loaded(now, id, stage, reply),
-            Pending::Write(id, rest) => self.run_written(now, id, rest, reply),
-            Pending::Create(id) => self.created(now, id, reply),
-            Pending::Status(asker, id) => {
+            Pending::Load(id, stage) => self.load_answered(now, id, stage, reply),
+            Pending::Write(id, rest) => self.run_write_answered(now, id, rest, reply),
+            Pending::Create(id) => self.creation_answered(now, id, reply),
+            Pending::Status(request_id, id) => {
                 let answer = match reply {
                     StoreReply::Page(items, _) => {
                         let key = run_key('r', id);
                         let item = items.iter().find(|i| i.key == key);
-                        let record = item.and_then(get);
+                        let record = item.and_then(parse_record);
                         record.map_or(Answer::Unknown, |r| Answer::Status(Box::new(r)))
                     }
-                    _ => Answer::RetryAfter(COME_BACK),
+                    _ => Answer::RetryAfter(RETRY_AFTER),
                 };
-                self.out.push(Output::Answer(asker, answer));
+                self.outputs.push(Output::Answer(request_id, answer));
             }
-            Pending::List(asker) => {
+            Pending::List(request_id) => {
                 let answer = match reply {
                     StoreReply::Page(items, more) => {
                         let next = items.last().map(|i| i.key.clone()).filter(|_| more);
                         let runs = items
                             .iter()
-                            .filter_map(|i| Some((run_id_of_key(&i.key)?, get(i)?)));
+                            .filter_map(|i| Some((run_id_of_key(&i.key)?, parse_record(i)?)));
                         Answer::Runs(runs.collect(), next)
                     }
-                    _ => Answer::RetryAfter(COME_BACK),
+                    _ => Answer::RetryAfter(RETRY_AFTER),
                 };
-                self.out.push(Output::Answer(asker, answer));
+                self.outputs.push(Output::Answer(request_id, answer));
             }
-            Pending::Log(asker, id, stage) => self.logged(asker, id, stage, reply),
-            Pending::SweepLook(id) => match &reply {
-                StoreReply::Page(items, more) => self.sweeps.looked(id, Some((items, *more))),
-                _ => self.sweeps.looked(id, None),
+            Pending::Log(request_id, id, stage) => self.log_answered(request_id, id, stage, reply),
+            Pending::SweepList(id) => match &reply {
+                StoreReply::Page(items, more) => self.sweeps.jobs_listed(id, Some((items, *more))),
+                _ => self.sweeps.jobs_listed(id, None),
             },
-            Pending::Sweep(id, count) => {
+            Pending::SweepRemove(id, count) => {
                 let done = matches!(reply, StoreReply::Committed(_));
-                self.sweeps.removed(id, done.then_some(count));
+                self.sweeps.removal_answered(id, done.then_some(count));
             }
-            Pending::Cancel(asker) => {
+            Pending::Cancel(request_id) => {
                 let answer = match reply {
                     StoreReply::Committed(_) => Answer::Cancelling,
-                    _ => Answer::RetryAfter(COME_BACK),
+                    _ => Answer::RetryAfter(RETRY_AFTER),
                 };
-                self.out.push(Output::Answer(asker, answer));
+                self.outputs.push(Output::Answer(request_id, answer));
             }
             Pending::Job(..) | Pending::Results(..) | Pending::Text(..) => {}
         }
     }
 
-    fn ranges_replied(&mut self, now: Duration, act: ranges::Act, reply: StoreReply) {
-        use ranges::Act;
-        match (act, reply) {
-            (Act::NewLease, StoreReply::LeaseGranted(lease)) => {
-                self.ranges.leased(now, Some(lease))
+    fn ranges_answered(&mut self, now: Duration, action: ranges::Action, reply: StoreReply) {
+        use ranges::Action;
+        match (action, reply) {
+            (Action::GrantLease, StoreReply::LeaseGranted(lease)) => {
+                self.ranges.lease_granted(now, Some(lease))
             }
-            (Act::Touch(_), StoreReply::LeaseRenewed(good)) => self.ranges.touched(good),
-            (Act::Join(_), reply) => {
+            (Action::RenewLease(_), StoreReply::LeaseRenewed(success)) => {
+                self.ranges.lease_renewed(success)
+            }
+            (Action::RegisterMember(_), reply) => {
                 self.ranges
-                    .joined(matches!(reply, StoreReply::Committed(_)));
+                    .member_registered(matches!(reply, StoreReply::Committed(_)));
+            }
+            (Action::ReadPage(prefix, _), StoreReply::Page(items, more)) => {
+                self.ranges.page_read(prefix, items, more);
             }
-            (Act::Look(prefix, _), StoreReply::Page(items, more)) => {
-                self.ranges.looked(prefix, items, more);
+            (Action::WriteClaim(range, _, take), StoreReply::Committed(revision)) => {
+                self.ranges.claim_answered(range, take, Some(revision));
+                self.next_run_scans.remove(&range);
             }
-            (Act::Claim(range, _, take), StoreReply::Committed(revision)) => {
-                self.ranges.claimed(range, take, Some(revision));
-                self.runs_at.remove(&range);
+            (Action::WriteClaim(range, _, take), _) => {
+                self.ranges.claim_answered(range, take, None)
             }
-            (Act::Claim(range, _, take), _) => self.ranges.claimed(range, take, None),
-            _ => self.ranges.failed(),
+            _ => self.ranges.request_failed(),
         }
     }
 
-    fn loaded(&mut self, now: Duration, id: RunId, stage: Stage, reply: StoreReply) {
+    fn load_answered(&mut self, now: Duration, id: RunId, stage: LoadStage, reply: StoreReply) {
         match stage.next(id, reply) {
-            Read::More(stage, call) => self.store(Pending::Load(id, stage), call),
-            Read::Again => {
+            LoadProgress::More(stage, call) => self.call_store(Pending::Load(id, stage), call),
+            LoadProgress::Retry => {
                 let again = now + Duration::from_secs(1);
-                self.runs.insert(id, Held::ToLoad(again));
+                self.runs.insert(id, HeldRun::ToLoad(again));
             }
-            Read::Nothing => {
+            LoadProgress::Missing => {
                 self.runs.remove(&id);
             }
-            Read::Broken(record, version, why) if !record.state.is_final() => {
-                self.broken(id, record, version, why);
+            LoadProgress::Invalid(record, version, reason) if !record.state.is_final() => {
+                self.end_invalid_run(id, record, version, reason);
             }
-            Read::Broken(..) => {
+            LoadProgress::Invalid(..) => {
                 self.runs.remove(&id);
             }
-            Read::All(all) if all.record.state.is_final() => {
+            LoadProgress::Complete(stored_run) if stored_run.record.state.is_final() => {
                 self.runs.remove(&id);
             }
-            Read::All(all) => {
-                let (record, version) = (all.record.clone(), all.version);
+            LoadProgress::Complete(stored_run) => {
+                let (record, version) = (stored_run.record.clone(), stored_run.version);
                 let seed = self.rng.u64(..);
-                let piece = self.settings.value_bytes;
-                let process = self.documents.read(&all.bundle);
-                let run = process.and_then(|p| ActiveRun::new(id, &p, *all, piece, seed));
+                let piece_bytes = self.settings.value_bytes;
+                let process = self.documents.read(&stored_run.bundle);
+                let run =
+                    process.and_then(|p| ActiveRun::new(id, &p, *stored_run, piece_bytes, seed));
                 match run {
                     #[cfg_attr(not(feature = "sabotage"), expect(unused_mut))]
                     Ok(mut run) => {
                         #[cfg(feature = "sabotage")]
-                        run.break_by(self.sabotage);
-                        // What was asked before it was read again is about a
-                        // run that had come further.
-                        self.calls.retain(|_, pending| pending.run() != Some(id));
-                        self.runs.insert(id, Held::Active(Box::new(run), version));
+                        run.set_sabotage(self.sabotage);
+                        // Replies to requests from before the reload refer to a later state of
+                        // the run, so they are dropped.
+                        self.pending_calls
+                            .retain(|_, pending| pending.run() != Some(id));
+                        self.runs
+                            .insert(id, HeldRun::Active(Box::new(run), version));
                     }
-                    Err(why) => self.broken(id, record, version, why),
+                    Err(reason) => self.end_invalid_run(id, record, version, reason),
                 }
             }
         }
     }
 
-    /// The same for somebody who wants to know all about a run.
-    fn logged(&mut self, asker: UserRequestId, id: RunId, stage: Stage, reply: StoreReply) {
+    /// Applies a page of a run that is read to answer a user's request for its log.
+    fn log_answered(
+        &mut self,
+        request_id: UserRequestId,
+        id: RunId,
+        stage: LoadStage,
+        reply: StoreReply,
+    ) {
         let answer = match stage.next(id, reply) {
-            Read::More(stage, call) => {
-                return self.store(Pending::Log(asker, id, stage), call);
+            LoadProgress::More(stage, call) => {
+                return self.call_store(Pending::Log(request_id, id, stage), call);
             }
-            Read::Again | Read::Broken(..) => Answer::RetryAfter(COME_BACK),
-            Read::Nothing => Answer::Unknown,
-            Read::All(all) => Answer::Log(all),
+            LoadProgress::Retry | LoadProgress::Invalid(..) => Answer::RetryAfter(RETRY_AFTER),
+            LoadProgress::Missing => Answer::Unknown,
+            LoadProgress::Complete(stored_run) => Answer::Log(stored_run),
         };
-        self.out.push(Output::Answer(asker, answer));
+        self.outputs.push(Output::Answer(request_id, answer));
     }
 
-    /// A run that can't be taken up ends as the service's error.
-    fn broken(&mut self, id: RunId, mut record: RunRecord, version: u64, why: String) {
-        log::error!("{id}: {why}");
+    /// Ends a run that cannot be executed, as a system error.
+    fn end_invalid_run(&mut self, id: RunId, mut record: RunRecord, version: u64, reason: String) {
+        log::error!("{id}: run cannot be executed and ends as SYSTEM_ERROR: {reason}");
         record.state = RunState::SystemError;
-        record.failure = Some((String::new(), why));
-        self.runs.insert(id, Held::Broken(record, version, false));
+        record.failure = Some((String::new(), reason));
+        self.runs
+            .insert(id, HeldRun::Invalid(record, version, false));
     }
 
-    fn run_written(&mut self, now: Duration, id: RunId, mut rest: Vec<Txn>, reply: StoreReply) {
+    fn run_write_answered(
+        &mut self,
+        now: Duration,
+        id: RunId,
+        mut rest: Vec<Txn>,
+        reply: StoreReply,
+    ) {
         match (self.runs.get_mut(&id), reply) {
-            (Some(Held::Active(..)), StoreReply::Committed(_)) if !rest.is_empty() => {
+            (Some(HeldRun::Active(..)), StoreReply::Committed(_)) if !rest.is_empty() => {
                 let txn = rest.remove(0);
-                self.store(Pending::Write(id, rest), StoreCall::Txn(txn));
+                self.call_store(Pending::Write(id, rest), StoreCall::Txn(txn));
             }
-            (Some(Held::Active(run, version)), StoreReply::Committed(revision)) => {
+            (Some(HeldRun::Active(run, version)), StoreReply::Committed(revision)) => {
                 *version = revision;
-                run.written();
+                run.write_committed();
                 if run.record().state.is_final() {
                     self.runs.remove(&id);
                 }
             }
-            (Some(Held::Broken(..)), StoreReply::Committed(_)) => {
+            (Some(HeldRun::Invalid(..)), StoreReply::Committed(_)) => {
                 self.runs.remove(&id);
             }
             (Some(_), StoreReply::ConditionFailed) => {
-                // Somebody else has written, or a write of ours whose answer
-                // was lost: what is stored counts.
-                self.runs.insert(id, Held::ToLoad(now));
-                self.ranges.lost(id.range);
+                // Another instance has written, or an earlier write of this one whose answer was
+                // lost. The stored state is authoritative and is loaded again.
+                self.runs.insert(id, HeldRun::ToLoad(now));
+                self.ranges.range_lost(id.range);
             }
             (Some(_), _) => {
                 self.runs
-                    .insert(id, Held::ToLoad(now + Duration::from_millis(500)));
+                    .insert(id, HeldRun::ToLoad(now + Duration::from_millis(500)));
             }
             (None, _) => {}
         }
     }
 
-    fn created(&mut self, now: Duration, id: RunId, reply: StoreReply) {
+    fn creation_answered(&mut self, now: Duration, id: RunId, reply: StoreReply) {
         let Some(creating) = self.creating.get_mut(&id) else {
             return;
         };
-        let asker = creating.asker;
-        creating.busy = false;
+        let request_id = creating.request_id;
+        creating.in_flight = false;
         match reply {
             StoreReply::Committed(_) => {
                 creating.txns.pop();
                 if creating.txns.is_empty() {
                     self.creating.remove(&id);
-                    // Read as it was written, as after a crash.
-                    self.runs.insert(id, Held::ToLoad(now));
-                    self.out.push(Output::Answer(asker, Answer::Started(id)));
+                    // The run is loaded from its records, as after a crash.
+                    self.runs.insert(id, HeldRun::ToLoad(now));
+                    self.outputs
+                        .push(Output::Answer(request_id, Answer::Started(id)));
                 }
             }
             StoreReply::Refused => {}
-            // If the run was written all the same, it runs; nobody was told of
-            // it. It is found when the range is looked through.
+            // If the run was recorded all the same, the next scan of its range finds it and it
+            // is executed, although its id was not returned to the user.
             _ => {
                 self.creating.remove(&id);
-                let answer = Answer::RetryAfter(COME_BACK);
-                self.out.push(Output::Answer(asker, answer));
+                let answer = Answer::RetryAfter(RETRY_AFTER);
+                self.outputs.push(Output::Answer(request_id, answer));
             }
         }
     }
 
-    /// Does what is due, as far as the budgets go.
-    fn go_on(&mut self, now: Duration, unix_s: u64) {
+    /// Performs all due work within the request budgets.
+    fn advance(&mut self, now: Duration, unix_s: u64) {
         let held: BTreeSet<u32> = self.ranges.held().collect();
-        // What is not ours any more is somebody else's to go on with.
+        // Runs of ranges that this instance no longer holds are left to the new holder.
         self.runs.retain(|id, _| held.contains(&id.range));
-        while self.store.left(now) > 0
-            && let Some(act) = self.ranges.next(now)
+        while self.store_budget.available(now) > 0
+            && let Some(action) = self.ranges.next_action(now)
         {
-            let call = match &act {
-                ranges::Act::NewLease => StoreCall::LeaseGrant(self.settings.lease),
-                ranges::Act::Touch(lease) => StoreCall::LeaseRenewal(*lease),
-                ranges::Act::Join(txn) | ranges::Act::Claim(_, txn, _) => {
+            let call = match &action {
+                ranges::Action::GrantLease => StoreCall::LeaseGrant(self.settings.lease),
+                ranges::Action::RenewLease(lease) => StoreCall::LeaseRenewal(*lease),
+                ranges::Action::RegisterMember(txn) | ranges::Action::WriteClaim(_, txn, _) => {
                     StoreCall::Txn(txn.clone())
                 }
-                ranges::Act::Look(prefix, after) => StoreCall::Page {
+                ranges::Action::ReadPage(prefix, after) => StoreCall::Page {
                     prefix: (*prefix).to_owned(),
                     after: after.clone(),
                 },
             };
-            self.store(Pending::Ranges(act), call);
+            self.call_store(Pending::Ranges(action), call);
         }
-        if now >= self.cancels_at && self.store.left(now) > 0 && !held.is_empty() {
-            self.cancels_at = now + CANCELS_EVERY;
+        if now >= self.next_cancel_scan && self.store_budget.available(now) > 0 && !held.is_empty()
+        {
+            self.next_cancel_scan = now + CANCEL_SCAN_INTERVAL;
             let call = StoreCall::Page {
                 prefix: "wf/c/".to_owned(),
                 after: None,
             };
-            self.store(Pending::Cancels, call);
+            self.call_store(Pending::CancelScan, call);
         }
-        self.runs_at.retain(|range, _| held.contains(range));
+        self.next_run_scans.retain(|range, _| held.contains(range));
         for range in held {
-            let due = self.runs_at.get(&range).is_none_or(|at| now >= *at);
-            if due && self.store.left(now) > 0 {
-                self.runs_at.insert(range, now + RUNS_EVERY);
+            let due = self.next_run_scans.get(&range).is_none_or(|at| now >= *at);
+            if due && self.store_budget.available(now) > 0 {
+                self.next_run_scans.insert(range, now + RUN_SCAN_INTERVAL);
                 let call = StoreCall::Page {
                     prefix: format!("wf/r/{range}/"),
                     after: None,
                 };
-                self.store(Pending::Runs(range), call);
+                self.call_store(Pending::RunScan(range), call);
             }
         }
-        self.create_on(now);
-        self.sweep_on(now);
-        // Each run gets its turn, whoever was first last time.
+        self.advance_creations(now);
+        self.advance_sweeps(now);
+        // Runs are advanced round robin, after the one that was advanced last.
         let ids: Vec<RunId> = self.runs.keys().copied().collect();
-        let first = ids.partition_point(|id| Some(*id) <= self.turn);
+        let first = ids.partition_point(|id| Some(*id) <= self.last_advanced);
         for id in ids[first..].iter().chain(&ids[..first]) {
-            if self.store.left(now) == 0 && self.jobs.left(now) == 0 {
+            if self.store_budget.available(now) == 0 && self.job_budget.available(now) == 0 {
                 break;
             }
-            self.turn = Some(*id);
-            self.run_on(now, unix_s, *id);
+            self.last_advanced = Some(*id);
+            self.advance_run(now, unix_s, *id);
         }
     }
 
-    fn create_on(&mut self, now: Duration) {
+    fn advance_creations(&mut self, now: Duration) {
         let ids: Vec<_> = self.creating.keys().copied().collect();
         for id in ids {
             let Some(creating) = self.creating.get_mut(&id) else {
@@ -893,124 +957,130 @@
             let Some(txn) = creating.txns.last() else {
                 continue;
             };
-            let room =
-                self.store.left(now) > 0 && self.writes.left(now) >= txn.changes.len().min(8);
-            if creating.busy || !room {
+            let within_budget = self.store_budget.available(now) > 0
+                && self.write_budget.available(now) >= txn.changes.len().min(8);
+            if creating.in_flight || !within_budget {
                 continue;
             }
-            creating.busy = true;
+            creating.in_flight = true;
             let mut txn = txn.clone();
-            if !self.fence(id.range, &mut txn.conds) {
+            if !self.add_fence(id.range, &mut txn.conds) {
                 if let Some(creating) = self.creating.remove(&id) {
-                    let answer = Answer::RetryAfter(COME_BACK);
-                    self.out.push(Output::Answer(creating.asker, answer));
+                    let answer = Answer::RetryAfter(RETRY_AFTER);
+                    self.outputs
+                        .push(Output::Answer(creating.request_id, answer));
                 }
                 continue;
             }
-            self.store(Pending::Create(id), StoreCall::Txn(txn));
+            self.call_store(Pending::Create(id), StoreCall::Txn(txn));
         }
     }
 
-    /// Removes runs that have been kept for long enough, in what is left of the
-    /// budgets.
-    fn sweep_on(&mut self, now: Duration) {
-        let at_once = self.at_once();
-        while self.store.left(now) > 2 && self.writes.left(now) > at_once {
-            match self.sweeps.next(at_once) {
-                Some(Step::Look(id, after)) => {
+    /// Removes runs whose retention period is over, with what remains of the budgets.
+    fn advance_sweeps(&mut self, now: Duration) {
+        let max_txn_changes = self.max_txn_changes();
+        while self.store_budget.available(now) > 2
+            && self.write_budget.available(now) > max_txn_changes
+        {
+            match self.sweeps.next_step(max_txn_changes) {
+                Some(SweepStep::ListJobs(id, after)) => {
                     let prefix = format!("{}/", run_key('j', id));
                     let call = StoreCall::Page { prefix, after };
-                    self.store(Pending::SweepLook(id), call);
+                    self.call_store(Pending::SweepList(id), call);
                 }
-                Some(Step::Remove(id, changes)) => {
+                Some(SweepStep::Remove(id, changes)) => {
                     let mut conds = Vec::new();
-                    if !self.fence(id.range, &mut conds) {
-                        self.sweeps.removed(id, None);
+                    if !self.add_fence(id.range, &mut conds) {
+                        self.sweeps.removal_answered(id, None);
                         continue;
                     }
-                    let pending = Pending::Sweep(id, changes.len());
-                    self.store(pending, StoreCall::Txn(Txn { conds, changes }));
+                    let pending = Pending::SweepRemove(id, changes.len());
+                    self.call_store(pending, StoreCall::Txn(Txn { conds, changes }));
                 }
                 None => return,
             }
         }
     }
 
-    fn run_on(&mut self, now: Duration, unix_s: u64, id: RunId) {
+    fn advance_run(&mut self, now: Duration, unix_s: u64, id: RunId) {
         match self.runs.get_mut(&id) {
-            Some(Held::ToLoad(at)) if now >= *at && self.store.left(now) > 0 => {
-                self.runs.insert(id, Held::Loading);
+            Some(HeldRun::ToLoad(at)) if now >= *at && self.store_budget.available(now) > 0 => {
+                self.runs.insert(id, HeldRun::Loading);
                 let call = StoreCall::Page {
                     prefix: run_key('r', id),
                     after: None,
                 };
-                self.store(Pending::Load(id, Stage::Record), call);
+                self.call_store(Pending::Load(id, LoadStage::Record), call);
             }
-            Some(Held::Broken(record, version, busy)) if !*busy && self.store.left(now) > 0 => {
-                *busy = true;
+            Some(HeldRun::Invalid(record, version, in_flight))
+                if !*in_flight && self.store_budget.available(now) > 0 =>
+            {
+                *in_flight = true;
                 record.ended_s = Some(unix_s);
-                let changes = vec![put(run_key('r', id), record)];
+                let changes = vec![put_record(run_key('r', id), record)];
                 let version = *version;
-                if let Some(conds) = self.unchanged(id, version) {
+                if let Some(conds) = self.run_conditions(id, version) {
                     let call = StoreCall::Txn(Txn { conds, changes });
-                    self.store(Pending::Write(id, Vec::new()), call);
+                    self.call_store(Pending::Write(id, Vec::new()), call);
                 }
             }
-            Some(Held::Active(run, version)) => {
-                let left = self.jobs.left(now);
-                let may_write = self.store.left(now) > 0 && self.writes.left(now) > 0;
+            Some(HeldRun::Active(run, version)) => {
+                let left = self.job_budget.available(now);
+                let may_write =
+                    self.store_budget.available(now) > 0 && self.write_budget.available(now) > 0;
                 if left == 0 && !may_write {
                     return;
                 }
                 let version = *version;
-                let acts = run.next_actions(now, unix_s, left, may_write);
-                for act in acts {
-                    self.act(id, version, act);
+                let actions = run.next_actions(now, unix_s, left, may_write);
+                for action in actions {
+                    self.perform(id, version, action);
                 }
             }
             _ => {}
         }
     }
 
-    fn act(&mut self, id: RunId, version: u64, act: active::Act) {
-        use active::Act;
-        if !matches!(act, Act::Write(_)) {
-            self.jobs.take(1);
+    fn perform(&mut self, id: RunId, version: u64, action: active::Action) {
+        use active::Action;
+        if !matches!(action, Action::Write(_)) {
+            self.job_budget.charge(1);
         }
-        match act {
-            Act::Write(changes) => {
-                if let Some(conds) = self.unchanged(id, version) {
-                    // The run's record comes last: until then nothing counts.
+        match action {
+            Action::Write(changes) => {
+                if let Some(conds) = self.run_conditions(id, version) {
+                    // The run's record comes last; until it is written, the run's recorded
+                    // state does not change.
                     let mut txns: Vec<Txn> = changes
-                        .chunks(self.at_once())
+                        .chunks(self.max_txn_changes())
                         .map(|changes| Txn {
                             conds: conds.clone(),
                             changes: changes.to_vec(),
                         })
                         .collect();
                     let first = txns.remove(0);
-                    self.store(Pending::Write(id, txns), StoreCall::Txn(first));
+                    self.call_store(Pending::Write(id, txns), StoreCall::Txn(first));
                 }
             }
-            Act::Submit(key, spec) => {
-                let call = self.call(Pending::Job(id, key, false));
-                self.out.push(Output::Submit(call, spec));
+            Action::Submit(key, spec) => {
+                let call = self.register_call(Pending::Job(id, key, false));
+                self.outputs.push(Output::Submit(call, spec));
             }
-            Act::Poll(key, job) => {
-                let call = self.call(Pending::Job(id, key, false));
-                self.out.push(Output::Poll(call, job));
+            Action::Poll(key, job) => {
+                let call = self.register_call(Pending::Job(id, key, false));
+                self.outputs.push(Output::Poll(call, job));
             }
-            Act::Abort(key, job) => {
-                let call = self.call(Pending::Job(id, key, true));
-                self.out.push(Output::Abort(call, job));
+            Action::Abort(key, job) => {
+                let call = self.register_call(Pending::Job(id, key, true));
+                self.outputs.push(Output::Abort(call, job));
             }
-            Act::Results(key, job, tasks) => {
-                let call = self.call(Pending::Results(id, key));
-                self.out.push(Output::Results(call, job, tasks));
+            Action::Results(key, job, tasks) => {
+                let call = self.register_call(Pending::Results(id, key));
+                self.outputs.push(Output::Results(call, job, tasks));
             }
-            Act::Text(location) => {
-                let call = self.call(Pending::Text(id, location.clone()));
-                self.out.push(Output::Text(call, location));
+            Action::Text(location) => {
+                let call = self.register_call(Pending::Text(id, location.clone()));
+                self.outputs.push(Output::Text(call, location));
             }
         }
     }
--- a/crates/workflow/src/sweep.rs
+++ b/crates/workflow/src/sweep.rs
@@ -1,5 +1,5 @@
-//! Ended runs are kept for some time and then removed: pieces first, the run's
-//! own record last, so that a sweep that is cut short is taken up again.
+//! Removes ended runs after the retention period: pieces first, the run's own record last, so
+//! that an interrupted sweep is resumed when the record is read again.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,50 +7,52 @@
 
 use crate::records::{RunId, RunRecord, piece_key, run_key};
 
-/// So many are removed at a time.
-const AT_A_TIME: usize = 4;
+/// Maximum number of runs that are removed at the same time.
+const MAX_CONCURRENT_SWEEPS: usize = 4;
 
-/// What is to be done next for a run.
+/// Next step in the removal of a run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    /// Read what its jobs are kept in, after a key.
-    Look(RunId, Option<String>),
-    /// Remove these.
+pub enum SweepStep {
+    /// List the records of the run's jobs, after a key.
+    ListJobs(RunId, Option<String>),
+    /// Delete these keys.
     Remove(RunId, Vec<Change>),
 }
 
 #[derive(Debug)]
 struct Sweep {
-    /// To be removed, the first to go last.
+    /// Keys to remove, in reverse order: the last one is removed first.
     keys: Vec<String>,
-    /// Where to look on; none: all is known.
-    look: Option<Option<String>>,
-    busy: bool,
+    /// Key after which the list of jobs continues, `Some(None)` at its start; `None` once all job
+    /// keys are known.
+    list_after: Option<Option<String>>,
+    in_flight: bool,
 }
 
-/// The runs that are being removed.
+/// Runs that are being removed.
 #[derive(Debug)]
 pub struct Sweeps {
-    keep: Duration,
+    retention: Duration,
     runs: BTreeMap<RunId, Sweep>,
 }
 
 impl Sweeps {
-    /// Runs are kept for so long after their end.
-    pub fn new(keep: Duration) -> Self {
+    /// Runs are removed once `retention` has passed since their end.
+    pub fn new(retention: Duration) -> Self {
         Self {
-            keep,
+            retention,
             runs: BTreeMap::new(),
         }
     }
 
-    /// An ended run was seen.
-    pub fn seen(&mut self, id: RunId, record: &RunRecord, unix_s: u64) {
-        let over = record.ended_s.map(|ended| ended + self.keep.as_secs());
-        if !record.state.is_final() || over.is_none_or(|over| unix_s < over) {
+    /// Starts the removal of a run if its retention period is over and the limit of concurrent
+    /// sweeps allows it.
+    pub fn consider(&mut self, id: RunId, record: &RunRecord, unix_s: u64) {
+        let expires_s = record.ended_s.map(|ended| ended + self.retention.as_secs());
+        if !record.state.is_final() || expires_s.is_none_or(|at_s| unix_s < at_s) {
             return;
         }
-        if self.runs.len() >= AT_A_TIME || self.runs.contains_key(&id) {
+        if self.runs.len() >= MAX_CONCURRENT_SWEEPS || self.runs.contains_key(&id) {
             return;
         }
         let pieces = (record.pieces + record.outputs) as usize;
@@ -58,53 +60,54 @@
         keys.extend((0..pieces).map(|i| piece_key('t', id, i)));
         let sweep = Sweep {
             keys,
-            look: Some(None),
-            busy: false,
+            list_after: Some(None),
+            in_flight: false,
         };
         self.runs.insert(id, sweep);
     }
 
-    /// What is to be done, at most so many changes at once.
-    pub fn next(&mut self, at_once: usize) -> Option<Step> {
-        let (id, sweep) = self.runs.iter_mut().find(|(_, s)| !s.busy)?;
-        sweep.busy = true;
-        if let Some(after) = &sweep.look {
-            return Some(Step::Look(*id, after.clone()));
+    /// Next step of any sweep without a request in flight, with at most `max_changes` changes.
+    pub fn next_step(&mut self, max_changes: usize) -> Option<SweepStep> {
+        let (id, sweep) = self.runs.iter_mut().find(|(_, s)| !s.in_flight)?;
+        sweep.in_flight = true;
+        if let Some(after) = &sweep.list_after {
+            return Some(SweepStep::ListJobs(*id, after.clone()));
         }
-        let from = sweep.keys.len().saturating_sub(at_once);
+        let from = sweep.keys.len().saturating_sub(max_changes);
         let keys = sweep.keys[from..].iter().rev().cloned();
         let changes = keys.map(|key| Change::Delete { key }).collect();
-        Some(Step::Remove(*id, changes))
+        Some(SweepStep::Remove(*id, changes))
     }
 
-    /// A page of its jobs' keys; none: it could not be had.
-    pub fn looked(&mut self, id: RunId, page: Option<(&[Item], bool)>) {
+    /// Adds a page of job keys, with whether more follow. `None` means that the read failed.
+    pub fn jobs_listed(&mut self, id: RunId, page: Option<(&[Item], bool)>) {
         let Some(sweep) = self.runs.get_mut(&id) else {
             return;
         };
         let Some((items, more)) = page else {
-            // It is found again when its range is looked through.
+            // The next scan of the range finds the run again.
             self.runs.remove(&id);
             return;
         };
-        sweep.busy = false;
+        sweep.in_flight = false;
         sweep.keys.extend(items.iter().map(|i| i.key.clone()));
-        sweep.look = match more {
+        sweep.list_after = match more {
             true => Some(items.last().map(|i| i.key.clone())),
             false => None,
         };
     }
 
-    /// Whether so many keys are gone.
-    pub fn removed(&mut self, id: RunId, count: Option<usize>) {
+    /// Records the answer to a removal: the number of keys that were deleted, or `None` if it
+    /// failed.
+    pub fn removal_answered(&mut self, id: RunId, count: Option<usize>) {
         let (Some(sweep), Some(count)) = (self.runs.get_mut(&id), count) else {
             self.runs.remove(&id);
             return;
         };
-        sweep.busy = false;
+        sweep.in_flight = false;
         sweep.keys.truncate(sweep.keys.len().saturating_sub(count));
         if sweep.keys.is_empty() {
-            log::debug!("{id}: removed");
+            log::debug!("{id}: run removed after its retention period");
             self.runs.remove(&id);
         }
     }
@@ -116,7 +119,7 @@
     use crate::records::RunState;
 
     #[test]
-    fn the_record_goes_last() {
+    fn the_run_record_is_removed_last() {
         let mut sweeps = Sweeps::new(Duration::from_secs(100));
         let id = RunId {
             range: 1,
@@ -130,25 +133,25 @@
             outputs: 1,
             failure: None,
         };
-        sweeps.seen(id, &record, 149);
-        assert_eq!(sweeps.next(3), None);
+        sweeps.consider(id, &record, 149);
+        assert_eq!(sweeps.next_step(3), None);
         record.state = RunState::Failing;
-        sweeps.seen(id, &record, 500);
-        assert_eq!(sweeps.next(3), None);
+        sweeps.consider(id, &record, 500);
+        assert_eq!(sweeps.next_step(3), None);
         record.state = RunState::ExecutorError;
-        sweeps.seen(id, &record, 150);
-        assert_eq!(sweeps.next(3), Some(Step::Look(id, None)));
-        assert_eq!(sweeps.next(3), None);
+        sweeps.consider(id, &record, 150);
+        assert_eq!(sweeps.next_step(3), Some(SweepStep::ListJobs(id, None)));
+        assert_eq!(sweeps.next_step(3), None);
         let job = Item {
             key: piece_key('j', id, 0),
             value: rmpv::Value::Nil,
             version: 1,
         };
-        sweeps.looked(id, Some((&[job], false)));
-        let mut gone = Vec::new();
-        while let Some(Step::Remove(_, changes)) = sweeps.next(4) {
-            sweeps.removed(id, Some(changes.len()));
-            gone.extend(changes.into_iter().map(|c| match c {
+        sweeps.jobs_listed(id, Some((&[job], false)));
+        let mut removed = Vec::new();
+        while let Some(SweepStep::Remove(_, changes)) = sweeps.next_step(4) {
+            sweeps.removal_answered(id, Some(changes.len()));
+            removed.extend(changes.into_iter().map(|c| match c {
                 Change::Delete { key } => key,
                 other => panic!("{other:?}"),
             }));
@@ -157,6 +160,6 @@
         let last = [run_key('c', id), run_key('r', id)];
         let mut all = vec![piece_key('j', id, 0), t(2), t(1), t(0)];
         all.extend(last);
-        assert_eq!(gone, all);
+        assert_eq!(removed, all);
     }
 }
--- a/crates/workflow/tests/runs.rs
+++ b/crates/workflow/tests/runs.rs
@@ -15,7 +15,7 @@
 use oliveshift_workflow::{
     active::{JobReply, Sabotage},
     api::{self, Reply},
-    records::{JobRecord, RunId, RunRecord, RunState, get, run_id_of_key},
+    records::{JobRecord, RunId, RunRecord, RunState, parse_record, run_id_of_key},
     service::{Answer, Input, Output, Service, Settings, StoreCall, UserRequest},
 };
 
@@ -487,7 +487,8 @@
     /// Looks into the state service, as nobody could.
     fn watch(&mut self) {
         for item in self.items("wf/r/") {
-            let (Some(id), Some(record)) = (run_id_of_key(&item.key), get::<RunRecord>(&item))
+            let (Some(id), Some(record)) =
+                (run_id_of_key(&item.key), parse_record::<RunRecord>(&item))
             else {
                 self.broken
                     .push(format!("{}: a record that can't be read", item.key));
@@ -517,7 +518,7 @@
     /// When a run has ended, so have its jobs.
     fn nothing_runs(&mut self, id: RunId) {
         for item in self.items(&format!("wf/j/{}/{:016x}/", id.range, id.number)) {
-            for job in get::<Vec<JobRecord>>(&item).expect("jobs") {
+            for job in parse_record::<Vec<JobRecord>>(&item).expect("jobs") {
                 let known = self.jobs.get(&job.spec.id);
                 let open =
                     known.filter(|j| !api::is_final_phase(j.phase) && j.spec.class != "foreign");
@@ -555,7 +556,7 @@
         let mut steps: BTreeMap<(RunId, String, u32), BTreeSet<JobId>> = BTreeMap::new();
         for item in self.items("wf/j/") {
             let id = run_id_of_key(&item.key).expect("a run's key");
-            for job in get::<Vec<JobRecord>>(&item).expect("jobs") {
+            for job in parse_record::<Vec<JobRecord>>(&item).expect("jobs") {
                 let foreign = |j: &Job| j.spec.class == "foreign";
                 if self.jobs.get(&job.spec.id).is_some_and(|j| !foreign(j)) {
                     let step = (id, job.step.clone(), job.group);
