--- a/crates/cwl/src/command.rs
+++ b/crates/cwl/src/command.rs
@@ -13,15 +13,15 @@
     fault::Fault,
     requirements::{WorkDir, WorkDirEntry, runtime},
     types::{Type, class_of},
-    values::{basename, checked},
+    values::{basename, check_outputs},
 };
 
 /// The most words of a command line.
-const MAX_WORDS: usize = 100_000;
+const MAX_COMMAND_WORDS: usize = 100_000;
 /// How much of a file expressions may see, in bytes.
-pub const MAX_CONTENTS: usize = 64 << 10;
+pub const MAX_CONTENTS_BYTES: usize = 64 << 10;
 /// The file by which a tool gives its outputs itself.
-const OWN_OUTPUT: &str = "cwl.output.json";
+const OUTPUT_JSON_FILE: &str = "cwl.output.json";
 
 /// What a task has to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -52,14 +52,14 @@
     /// Where, below the working directory.
     pub path: String,
     /// What.
-    pub what: Put,
+    pub source: StagedSource,
     /// Whether the tool may change it.
     pub writable: bool,
 }
 
 /// What is put somewhere.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Put {
+pub enum StagedSource {
     /// What the object store has there.
     Location(String),
     /// A text.
@@ -73,16 +73,20 @@
 ///
 /// # Errors
 /// An expression throws, or gives what is no word.
-pub fn command(tool: &Tool, inputs: &Object, engine: &Engine) -> Result<CommandLine, Fault> {
+pub fn build_command_line(
+    tool: &Tool,
+    inputs: &Object,
+    engine: &Engine,
+) -> Result<CommandLine, Fault> {
     let common = &tool.common;
-    let Prepared {
+    let PreparedInputs {
         scope,
         mut staged,
         cores,
         ram_mib,
-    } = prepared(tool, inputs, engine)?;
+    } = prepare_inputs(tool, inputs, engine)?;
     if let Some(dir) = common.requirements.work_dir() {
-        work_dir(dir, &scope, engine, &mut staged)?;
+        stage_work_dir(dir, &scope, engine, &mut staged)?;
     }
     let text = |template: &Option<Template>| -> Result<Option<String>, Fault> {
         let Some(template) = template else {
@@ -97,12 +101,12 @@
         }
     };
     let stdin = text(&tool.stdin)?;
-    let names = streams(tool, &scope, engine)?;
+    let names = stream_files(tool, &scope, engine)?;
     let mut environment = Vec::new();
     for (name, template) in common.requirements.environment() {
-        environment.push((name.clone(), as_word(&template.eval(&scope, engine)?)));
+        environment.push((name.clone(), to_word(&template.eval(&scope, engine)?)));
     }
-    let words = words(tool, &scope, engine)?;
+    let words = command_words(tool, &scope, engine)?;
     let argv = if common.requirements.shell() {
         let line: Vec<_> = words.iter().map(Word::for_shell).collect();
         vec!["/bin/sh".into(), "-c".into(), line.join(" ")]
@@ -123,7 +127,7 @@
 }
 
 /// What a tool's expressions see, and what it was worked out with.
-struct Prepared<'a> {
+struct PreparedInputs<'a> {
     scope: Scope<'a>,
     staged: Vec<Staged>,
     cores: f64,
@@ -131,24 +135,28 @@
 }
 
 /// Gives the files that go in their places, and finds out what the tool needs.
-fn prepared<'a>(tool: &'a Tool, inputs: &Object, engine: &Engine) -> Result<Prepared<'a>, Fault> {
+fn prepare_inputs<'a>(
+    tool: &'a Tool,
+    inputs: &Object,
+    engine: &Engine,
+) -> Result<PreparedInputs<'a>, Fault> {
     let mut staged = Vec::new();
     let mut placed = Object::default();
     for (number, (name, value)) in inputs.iter().enumerate() {
         let mut value = (**value).clone();
-        place(&mut value, &format!("in/{number}"), &mut staged);
+        stage(&mut value, &format!("in/{number}"), &mut staged);
         placed.insert_mut(name.clone(), Arc::new(value));
     }
     let requirements = &tool.common.requirements;
     let mut scope = Scope {
         inputs: placed,
-        own: Value::Null,
+        self_value: Value::Null,
         runtime: Value::Null,
         library: requirements.library(),
     };
     let (cores, ram_mib) = requirements.resources(&scope, engine)?;
     scope.runtime = runtime(cores, ram_mib);
-    Ok(Prepared {
+    Ok(PreparedInputs {
         scope,
         staged,
         cores,
@@ -157,7 +165,7 @@
 }
 
 /// The files that standard output and error go to.
-fn streams(
+fn stream_files(
     tool: &Tool,
     scope: &Scope<'_>,
     engine: &Engine,
@@ -166,7 +174,7 @@
         if let Some(template) = template {
             let name = template.eval(scope, engine)?;
             return match name {
-                Value::String(name) if is_name(&name) => Ok(Some(name)),
+                Value::String(name) if is_relative_path(&name) => Ok(Some(name)),
                 other => Err(template
                     .cursor()
                     .fault(format!("`{other}` is no file's name"))),
@@ -182,7 +190,7 @@
 }
 
 /// Whether it names something in the working directory and nothing outside.
-fn is_name(path: &str) -> bool {
+fn is_relative_path(path: &str) -> bool {
     !path.is_empty()
         && !path.starts_with('/')
         && !path.contains('\0')
@@ -192,21 +200,21 @@
 }
 
 /// Gives the files of a value their paths.
-fn place(value: &mut Value, dir: &str, staged: &mut Vec<Staged>) {
+fn stage(value: &mut Value, dir: &str, staged: &mut Vec<Staged>) {
     match value {
         Value::Array(list) => {
             for (i, value) in list.iter_mut().enumerate() {
-                place(value, &format!("{dir}/{i}"), staged);
+                stage(value, &format!("{dir}/{i}"), staged);
             }
         }
         Value::Object(map) => match map.get("class").and_then(Value::as_str) {
             Some(class @ ("File" | "Directory")) => {
                 let is_dir = class == "Directory";
-                place_file(map, is_dir, dir, staged);
+                stage_file(map, is_dir, dir, staged);
             }
             _ => {
                 for (name, value) in map.iter_mut() {
-                    place(value, &format!("{dir}/{name}"), staged);
+                    stage(value, &format!("{dir}/{name}"), staged);
                 }
             }
         },
@@ -214,9 +222,9 @@
     }
 }
 
-fn place_file(map: &mut Map<String, Value>, is_dir: bool, dir: &str, staged: &mut Vec<Staged>) {
+fn stage_file(map: &mut Map<String, Value>, is_dir: bool, dir: &str, staged: &mut Vec<Staged>) {
     let name = basename(&Value::Object(map.clone())).to_owned();
-    let name = if is_name(&name) && !name.contains('/') {
+    let name = if is_relative_path(&name) && !name.contains('/') {
         name
     } else {
         "file".to_owned()
@@ -224,7 +232,7 @@
     let path = format!("{dir}/{name}");
     staged.push(Staged {
         path: path.clone(),
-        what: what_of(map, is_dir),
+        source: source_of(map, is_dir),
         writable: false,
     });
     let (root, ext) = match name.rfind('.') {
@@ -239,39 +247,39 @@
     map.insert("path".into(), path.into());
     map.insert("basename".into(), name.clone().into());
     // What comes with a file lies beside it.
-    if let Some(Value::Array(beside)) = map.get_mut("secondaryFiles") {
-        for file in beside {
-            place_beside(file, dir, staged);
+    if let Some(Value::Array(related)) = map.get_mut("secondaryFiles") {
+        for file in related {
+            stage_related(file, dir, staged);
         }
     }
     if let Some(Value::Array(listing)) = map.get_mut("listing") {
         let inside = format!("{dir}/{name}");
         for file in listing {
-            place_beside(file, &inside, staged);
+            stage_related(file, &inside, staged);
         }
     }
 }
 
 /// What a file or directory is put in place from.
-fn what_of(map: &Map<String, Value>, is_dir: bool) -> Put {
+fn source_of(map: &Map<String, Value>, is_dir: bool) -> StagedSource {
     let text = |name: &str| map.get(name).and_then(Value::as_str).map(str::to_owned);
     match (text("location"), text("contents")) {
-        (Some(location), _) => Put::Location(location),
-        (None, Some(contents)) => Put::Text(contents),
-        (None, None) if is_dir => Put::Directory,
-        (None, None) => Put::Text(String::new()),
+        (Some(location), _) => StagedSource::Location(location),
+        (None, Some(contents)) => StagedSource::Text(contents),
+        (None, None) if is_dir => StagedSource::Directory,
+        (None, None) => StagedSource::Text(String::new()),
     }
 }
 
-fn place_beside(file: &mut Value, dir: &str, staged: &mut Vec<Staged>) {
+fn stage_related(file: &mut Value, dir: &str, staged: &mut Vec<Staged>) {
     let is_dir = class_of(file) == Some("Directory");
     if let Value::Object(map) = file {
-        place_file(map, is_dir, dir, staged);
+        stage_file(map, is_dir, dir, staged);
     }
 }
 
 /// What `InitialWorkDirRequirement` asks for.
-fn work_dir(
+fn stage_work_dir(
     dir: &WorkDir,
     scope: &Scope<'_>,
     engine: &Engine,
@@ -287,29 +295,30 @@
                 } = entry;
                 let value = content.eval(scope, engine)?;
                 let name = match name {
-                    Some(name) => Some((as_word(&name.eval(scope, engine)?), name)),
+                    Some(name) => Some((to_word(&name.eval(scope, engine)?), name)),
                     None => None,
                 };
                 if let Some((name, template)) = &name
-                    && !is_name(name)
+                    && !is_relative_path(name)
                 {
                     return Err(template
                         .cursor()
                         .fault(format!("`{name}` is no file's name")));
                 }
                 let name = name.map(|(name, _)| name);
-                put_in(&value, name, *writable, staged).map_err(|e| content.cursor().fault(e))?;
+                stage_value(&value, name, *writable, staged)
+                    .map_err(|e| content.cursor().fault(e))?;
             }
         }
         WorkDir::All(template) => {
             let value = template.eval(scope, engine)?;
-            put_in(&value, None, false, staged).map_err(|e| template.cursor().fault(e))?;
+            stage_value(&value, None, false, staged).map_err(|e| template.cursor().fault(e))?;
         }
     }
     Ok(())
 }
 
-fn put_in(
+fn stage_value(
     value: &Value,
     name: Option<String>,
     writable: bool,
@@ -322,17 +331,17 @@
                 return Err("several files for one name".into());
             }
             list.iter()
-                .try_for_each(|v| put_in(v, name.clone(), writable, staged))
+                .try_for_each(|v| stage_value(v, name.clone(), writable, staged))
         }
         Value::Object(map) if map.contains_key("class") => {
             let path = name.unwrap_or_else(|| basename(value).to_owned());
-            let what = what_of(map, class_of(value) == Some("Directory"));
-            if !is_name(&path) {
+            let source = source_of(map, class_of(value) == Some("Directory"));
+            if !is_relative_path(&path) {
                 return Err(format!("`{path}` is no file's name"));
             }
             staged.push(Staged {
                 path,
-                what,
+                source,
                 writable,
             });
             Ok(())
@@ -343,7 +352,7 @@
             let writable = map.get("writable").and_then(Value::as_bool);
             let entry = map.get("entry").unwrap_or(&Value::Null);
             let name = name.map(str::to_owned);
-            put_in(entry, name, writable.unwrap_or(false), staged)
+            stage_value(entry, name, writable.unwrap_or(false), staged)
         }
         other => {
             let Some(path) = name else {
@@ -351,7 +360,7 @@
             };
             staged.push(Staged {
                 path,
-                what: Put::Text(as_word(other)),
+                source: StagedSource::Text(to_word(other)),
                 writable,
             });
             Ok(())
@@ -379,18 +388,18 @@
 /// Where words go: positions from the outside in, with indexes and names
 /// between. Numbers come before names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Key {
+enum SortKey {
     Number(i64),
     Name(String),
 }
 
 /// The words of a command line in their order.
-fn words(tool: &Tool, scope: &Scope<'_>, engine: &Engine) -> Result<Vec<Word>, Fault> {
-    let mut parts: Vec<(Vec<Key>, Vec<Word>)> = Vec::new();
+fn command_words(tool: &Tool, scope: &Scope<'_>, engine: &Engine) -> Result<Vec<Word>, Fault> {
+    let mut parts: Vec<(Vec<SortKey>, Vec<Word>)> = Vec::new();
     for (i, argument) in tool.arguments.iter().enumerate() {
         let position = position(argument, &Value::Null, scope, engine)?;
-        let key = vec![Key::Number(position), Key::Number(i as i64)];
-        let words = bind(argument, &Value::Null, scope, engine)?;
+        let key = vec![SortKey::Number(position), SortKey::Number(i as i64)];
+        let words = words_of_binding(argument, &Value::Null, scope, engine)?;
         parts.push((key, words));
     }
     for parameter in &tool.common.inputs {
@@ -399,7 +408,7 @@
             .get(&parameter.name)
             .cloned()
             .unwrap_or_default();
-        let name = Key::Name(parameter.name.clone());
+        let name = SortKey::Name(parameter.name.clone());
         collect_words(
             &parameter.bound,
             &value,
@@ -416,8 +425,8 @@
         quote: true,
     });
     let words: Vec<_> = command.chain(parts.into_iter().flat_map(|p| p.1)).collect();
-    if words.len() > MAX_WORDS {
-        let what = format!("a command line of more than {MAX_WORDS} words");
+    if words.len() > MAX_COMMAND_WORDS {
+        let what = format!("a command line of more than {MAX_COMMAND_WORDS} words");
         return Err(tool.common.cursor.fault(what));
     }
     Ok(words)
@@ -426,20 +435,20 @@
 fn collect_words(
     bound: &BoundType,
     value: &Value,
-    outer: &[Key],
-    here: Key,
+    outer: &[SortKey],
+    here: SortKey,
     scope: &Scope<'_>,
     engine: &Engine,
-    parts: &mut Vec<(Vec<Key>, Vec<Word>)>,
+    parts: &mut Vec<(Vec<SortKey>, Vec<Word>)>,
 ) -> Result<(), Fault> {
     if value.is_null() {
         return Ok(());
     }
     let mut key = outer.to_vec();
     if let Some(binding) = &bound.binding {
-        key.push(Key::Number(position(binding, value, scope, engine)?));
+        key.push(SortKey::Number(position(binding, value, scope, engine)?));
         key.push(here);
-        let words = bind(binding, value, scope, engine)?;
+        let words = words_of_binding(binding, value, scope, engine)?;
         if !words.is_empty() {
             parts.push((key.clone(), words));
         }
@@ -449,7 +458,7 @@
             return Ok(());
         }
     } else {
-        key.push(Key::Number(0));
+        key.push(SortKey::Number(0));
         key.push(here);
     }
     match &bound.parts {
@@ -457,23 +466,23 @@
         BoundParts::Union(choices) => {
             if let Some(choice) = choices.iter().find(|c| c.kind.check(value).is_ok()) {
                 let mut choice = choice.clone();
-                pass_on(bound, &mut choice);
-                let here = Key::Number(0);
+                inherit_binding(bound, &mut choice);
+                let here = SortKey::Number(0);
                 collect_words(&choice, value, &key, here, scope, engine, parts)?;
             }
         }
         BoundParts::Items(item) => {
             let mut item = (**item).clone();
-            pass_on(bound, &mut item);
+            inherit_binding(bound, &mut item);
             for (i, value) in value.as_array().into_iter().flatten().enumerate() {
-                let here = Key::Number(i as i64);
+                let here = SortKey::Number(i as i64);
                 collect_words(&item, value, &key, here, scope, engine, parts)?;
             }
         }
         BoundParts::Fields(fields) => {
             for (name, field) in fields {
                 let value = value.get(name).unwrap_or(&Value::Null);
-                let here = Key::Name(name.clone());
+                let here = SortKey::Name(name.clone());
                 collect_words(field, value, &key, here, scope, engine, parts)?;
             }
         }
@@ -482,7 +491,7 @@
 }
 
 /// The items of an array that is bound as a whole are words of their own.
-fn pass_on(outer: &BoundType, part: &mut BoundType) {
+fn inherit_binding(outer: &BoundType, part: &mut BoundType) {
     if let Some(binding) = &outer.binding
         && part.binding.is_none()
         && matches!(outer.kind, Type::Array(_))
@@ -512,7 +521,7 @@
         return Ok(0);
     };
     let scope = Scope {
-        own: value.clone(),
+        self_value: value.clone(),
         ..scope.clone()
     };
     match template.eval(&scope, engine)? {
@@ -526,7 +535,7 @@
 }
 
 /// The words that a value adds by itself.
-fn bind(
+fn words_of_binding(
     binding: &Binding,
     value: &Value,
     scope: &Scope<'_>,
@@ -535,7 +544,7 @@
     let made = match &binding.value_from {
         Some(template) => {
             let scope = Scope {
-                own: value.clone(),
+                self_value: value.clone(),
                 ..scope.clone()
             };
             Some(template.eval(&scope, engine)?)
@@ -548,23 +557,23 @@
         Value::Array(list) => match &binding.separator {
             _ if list.is_empty() => return Ok(Vec::new()),
             Some(separator) => {
-                let words: Vec<_> = list.iter().map(as_word).collect();
+                let words: Vec<_> = list.iter().map(to_word).collect();
                 vec![words.join(separator)]
             }
             None => {
                 let mut words: Vec<_> = prefix.into_iter().cloned().collect();
                 if made.is_some() {
-                    words.extend(list.iter().map(as_word));
+                    words.extend(list.iter().map(to_word));
                 }
-                return Ok(quoted(words, binding));
+                return Ok(to_words(words, binding));
             }
         },
-        Value::Object(_) if class_of(value).is_some() => vec![as_word(value)],
+        Value::Object(_) if class_of(value).is_some() => vec![to_word(value)],
         Value::Object(_) | Value::Bool(true) => {
-            return Ok(quoted(prefix.into_iter().cloned().collect(), binding));
+            return Ok(to_words(prefix.into_iter().cloned().collect(), binding));
         }
         Value::Null | Value::Bool(false) => return Ok(Vec::new()),
-        other => vec![as_word(other)],
+        other => vec![to_word(other)],
     };
     let mut words = Vec::new();
     for text in texts {
@@ -574,16 +583,16 @@
             (None, _) => words.push(text),
         }
     }
-    Ok(quoted(words, binding))
+    Ok(to_words(words, binding))
 }
 
-fn quoted(words: Vec<String>, binding: &Binding) -> Vec<Word> {
+fn to_words(words: Vec<String>, binding: &Binding) -> Vec<Word> {
     let quote = binding.quote;
     words.into_iter().map(|text| Word { text, quote }).collect()
 }
 
 /// A value as a word: numbers without exponents, files by their paths.
-fn as_word(value: &Value) -> String {
+fn to_word(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Number(n) => match n.as_f64() {
@@ -600,7 +609,7 @@
 
 /// Something in the directory that a tool has run in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Left {
+pub struct OutputEntry {
     /// Its path, relative to the directory.
     pub path: String,
     /// Whether it is a directory.
@@ -612,14 +621,14 @@
 }
 
 /// The directory that a tool has run in.
-pub trait OutDir {
+pub trait OutputDir {
     /// All that is in it, at any depth.
-    fn list(&self) -> Vec<Left>;
-    /// The beginning of a file, at most [`MAX_CONTENTS`].
+    fn list(&self) -> Vec<OutputEntry>;
+    /// The beginning of a file, at most [`MAX_CONTENTS_BYTES`].
     ///
     /// # Errors
     /// It can't be read, or is no text.
-    fn text(&self, path: &str) -> Result<String, String>;
+    fn read_text(&self, path: &str) -> Result<String, String>;
 }
 
 /// Why a tool has no outputs.
@@ -630,7 +639,7 @@
     Temporary(i64),
     /// It won't.
     #[error("exit code {0}")]
-    Code(i64),
+    Permanent(i64),
     /// What it left is not what was promised.
     #[error("{0}")]
     Output(#[from] Fault),
@@ -640,14 +649,14 @@
 ///
 /// # Errors
 /// It does not.
-pub fn verdict(tool: &Tool, code: i64) -> Result<(), Failure> {
+pub fn check_exit_code(tool: &Tool, code: i64) -> Result<(), Failure> {
     // The tool's own word counts before the custom that 0 is success.
     if tool.success_codes.contains(&code) {
         Ok(())
     } else if tool.temporary_fail_codes.contains(&code) {
         Err(Failure::Temporary(code))
     } else if tool.permanent_fail_codes.contains(&code) || code != 0 {
-        Err(Failure::Code(code))
+        Err(Failure::Permanent(code))
     } else {
         Ok(())
     }
@@ -658,34 +667,36 @@
 /// # Errors
 /// The exit code says that it failed, or outputs are missing or of the wrong
 /// type.
-pub fn collect(
+pub fn collect_outputs(
     tool: &Tool,
     inputs: &Object,
     code: i64,
-    dir: &dyn OutDir,
+    dir: &dyn OutputDir,
     engine: &Engine,
 ) -> Result<Object, Failure> {
-    verdict(tool, code)?;
+    check_exit_code(tool, code)?;
     let common = &tool.common;
-    let left = dir.list();
-    let by_path: BTreeMap<&str, &Left> = left.iter().map(|l| (l.path.as_str(), l)).collect();
-    let mut scope = prepared(tool, inputs, engine)?.scope;
+    let entries = dir.list();
+    let by_path: BTreeMap<&str, &OutputEntry> =
+        entries.iter().map(|l| (l.path.as_str(), l)).collect();
+    let mut scope = prepare_inputs(tool, inputs, engine)?.scope;
     if let Value::Object(map) = &mut scope.runtime {
         map.insert("exitCode".into(), code.into());
     }
-    if by_path.contains_key(OWN_OUTPUT) {
-        let text = dir.text(OWN_OUTPUT);
+    if by_path.contains_key(OUTPUT_JSON_FILE) {
+        let text = dir.read_text(OUTPUT_JSON_FILE);
         let value = text.and_then(|t| serde_json::from_str(&t).map_err(|e| e.to_string()));
-        let mut value = value.map_err(|e| common.cursor.fault(format!("{OWN_OUTPUT}: {e}")))?;
-        located(&mut value, &by_path).map_err(|e| common.cursor.fault(e))?;
-        return Ok(checked(common, value)?);
+        let mut value =
+            value.map_err(|e| common.cursor.fault(format!("{OUTPUT_JSON_FILE}: {e}")))?;
+        resolve_paths(&mut value, &by_path).map_err(|e| common.cursor.fault(e))?;
+        return Ok(check_outputs(common, value)?);
     }
-    let names = streams(tool, &scope, engine)?;
+    let names = stream_files(tool, &scope, engine)?;
     let mut object = Map::new();
     for output in &common.outputs {
-        let found = Finder {
+        let finder = OutputFinder {
             output,
-            left: &left,
+            entries: &entries,
             by_path: &by_path,
             dir,
             scope: &scope,
@@ -696,22 +707,22 @@
             Type::Stderr => names.1.as_deref(),
             _ => None,
         };
-        object.insert(output.name.clone(), found.value(stream)?);
+        object.insert(output.name.clone(), finder.value(stream)?);
     }
-    Ok(checked(common, Value::Object(object))?)
+    Ok(check_outputs(common, Value::Object(object))?)
 }
 
 /// Finds the value of one output.
-struct Finder<'a> {
+struct OutputFinder<'a> {
     output: &'a Output,
-    left: &'a [Left],
-    by_path: &'a BTreeMap<&'a str, &'a Left>,
-    dir: &'a dyn OutDir,
+    entries: &'a [OutputEntry],
+    by_path: &'a BTreeMap<&'a str, &'a OutputEntry>,
+    dir: &'a dyn OutputDir,
     scope: &'a Scope<'a>,
     engine: &'a Engine,
 }
 
-impl Finder<'_> {
+impl OutputFinder<'_> {
     fn value(&self, stream: Option<&str>) -> Result<Value, Fault> {
         let cursor = &self.output.cursor;
         if let Some(name) = stream {
@@ -745,11 +756,11 @@
             }
         }
         let mut files = Vec::new();
-        for left in matching {
-            let mut file = self.file(left)?;
-            if found.load_contents && !left.is_dir {
-                let text = self.dir.text(&left.path);
-                let text = text.map_err(|e| cursor.fault(format!("{}: {e}", left.path)))?;
+        for entry in matching {
+            let mut file = self.file(entry)?;
+            if found.load_contents && !entry.is_dir {
+                let text = self.dir.read_text(&entry.path);
+                let text = text.map_err(|e| cursor.fault(format!("{}: {e}", entry.path)))?;
                 if let Value::Object(map) = &mut file {
                     map.insert("contents".into(), text.into());
                 }
@@ -757,12 +768,12 @@
             files.push(file);
         }
         if let Some(eval) = &found.eval {
-            let own = match found.glob.is_empty() {
+            let self_value = match found.glob.is_empty() {
                 true => Value::Null,
                 false => files.into(),
             };
             let scope = Scope {
-                own,
+                self_value,
                 ..self.scope.clone()
             };
             return eval.eval(&scope, self.engine);
@@ -779,16 +790,16 @@
         for template in &found.glob {
             match template.eval(self.scope, self.engine)? {
                 Value::Array(list) => {
-                    globs.extend(list.iter().map(|pattern| (template, as_word(pattern))));
+                    globs.extend(list.iter().map(|pattern| (template, to_word(pattern))));
                 }
-                other => globs.push((template, as_word(&other))),
+                other => globs.push((template, to_word(&other))),
             }
         }
         Ok(globs)
     }
 
-    fn matching(&self, globs: &[(&Template, String)]) -> Result<Vec<&Left>, Fault> {
-        let mut files: Vec<&Left> = Vec::new();
+    fn matching(&self, globs: &[(&Template, String)]) -> Result<Vec<&OutputEntry>, Fault> {
+        let mut files: Vec<&OutputEntry> = Vec::new();
         for (template, pattern) in globs {
             let pattern = pattern.trim_start_matches("./").trim_end_matches('/');
             if pattern.starts_with('/') || pattern.split('/').any(|p| p == "..") {
@@ -799,7 +810,7 @@
             let glob = glob.map_err(|e| template.cursor().fault(e.to_string()))?;
             let glob = glob.compile_matcher();
             let mut matching: Vec<_> = self
-                .left
+                .entries
                 .iter()
                 .filter(|l| glob.is_match(&l.path))
                 .collect();
@@ -810,17 +821,17 @@
     }
 
     /// A file as a value, with what comes with it.
-    fn file(&self, left: &Left) -> Result<Value, Fault> {
-        let mut value = as_value(left);
-        let mut beside = Vec::new();
+    fn file(&self, entry: &OutputEntry) -> Result<Value, Fault> {
+        let mut value = file_value(entry);
+        let mut related = Vec::new();
         for secondary in &self.output.secondary_files {
             let name = secondary.name_for(basename(&value));
-            let path = match left.path.rsplit_once('/') {
+            let path = match entry.path.rsplit_once('/') {
                 Some((dir, _)) => format!("{dir}/{name}"),
                 None => name,
             };
             match self.by_path.get(path.as_str()) {
-                Some(file) => beside.push(as_value(file)),
+                Some(file) => related.push(file_value(file)),
                 None if secondary.required => {
                     let what = format!("the secondary file `{path}` was not left behind");
                     return Err(self.output.cursor.fault(what));
@@ -828,28 +839,28 @@
                 None => {}
             }
         }
-        if !beside.is_empty()
+        if !related.is_empty()
             && let Value::Object(map) = &mut value
         {
-            map.insert("secondaryFiles".into(), beside.into());
+            map.insert("secondaryFiles".into(), related.into());
         }
         Ok(value)
     }
 }
 
-fn as_value(left: &Left) -> Value {
-    let name = left
+fn file_value(entry: &OutputEntry) -> Value {
+    let name = entry
         .path
         .rsplit_once('/')
-        .map_or(left.path.as_str(), |(_, n)| n);
-    if left.is_dir {
-        return json!({"class": "Directory", "basename": name, "location": left.location});
+        .map_or(entry.path.as_str(), |(_, n)| n);
+    if entry.is_dir {
+        return json!({"class": "Directory", "basename": name, "location": entry.location});
     }
     json!({
         "class": "File",
         "basename": name,
-        "location": left.location,
-        "size": left.size,
+        "location": entry.location,
+        "size": entry.size,
     })
 }
 
@@ -862,9 +873,9 @@
 }
 
 /// Files that a tool names by path become files that can be had elsewhere.
-fn located(value: &mut Value, by_path: &BTreeMap<&str, &Left>) -> Result<(), String> {
+fn resolve_paths(value: &mut Value, by_path: &BTreeMap<&str, &OutputEntry>) -> Result<(), String> {
     match value {
-        Value::Array(list) => list.iter_mut().try_for_each(|v| located(v, by_path)),
+        Value::Array(list) => list.iter_mut().try_for_each(|v| resolve_paths(v, by_path)),
         Value::Object(map) => {
             if matches!(
                 map.get("class").and_then(Value::as_str),
@@ -875,14 +886,15 @@
                     .or(map.get("location"))
                     .and_then(Value::as_str);
                 let path = path.unwrap_or_default().trim_start_matches("./").to_owned();
-                let left = by_path.get(path.as_str());
-                let left = left.ok_or(format!("{OWN_OUTPUT}: `{path}` was not left behind"))?;
-                if let Value::Object(found) = as_value(left) {
+                let entry = by_path.get(path.as_str());
+                let entry =
+                    entry.ok_or(format!("{OUTPUT_JSON_FILE}: `{path}` was not left behind"))?;
+                if let Value::Object(found) = file_value(entry) {
                     map.remove("path");
                     map.extend(found);
                 }
             }
-            map.values_mut().try_for_each(|v| located(v, by_path))
+            map.values_mut().try_for_each(|v| resolve_paths(v, by_path))
         }
         _ => Ok(()),
     }
--- a/crates/cwl/src/engine.rs
+++ b/crates/cwl/src/engine.rs
@@ -17,25 +17,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Memory, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Stack, in bytes; bounds recursion.
-    pub stack: usize,
+    pub stack_bytes: usize,
     /// Work, in times that the engine looks up: one is some 10,000 steps.
-    pub looks: u32,
+    pub max_interrupt_checks: u32,
     /// Time, whatever it does.
-    pub time: Duration,
+    pub timeout: Duration,
     /// The largest result, in bytes of JSON.
-    pub result: usize,
+    pub result_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            memory: 32 << 20,
-            stack: 192 << 10,
-            looks: 1_000,
-            time: Duration::from_secs(5),
-            result: 4 << 20,
+            memory_bytes: 32 << 20,
+            stack_bytes: 192 << 10,
+            max_interrupt_checks: 1_000,
+            timeout: Duration::from_secs(5),
+            result_bytes: 4 << 20,
         }
     }
 }
@@ -53,15 +53,20 @@
     /// # Errors
     /// It throws, is no JavaScript, goes beyond a limit, or returns what is no
     /// value; in words.
-    pub fn call(&self, library: &[String], body: &str, scope: &Scope<'_>) -> Result<Value, String> {
+    pub fn evaluate(
+        &self,
+        library: &[String],
+        body: &str,
+        scope: &Scope<'_>,
+    ) -> Result<Value, String> {
         let runtime = Runtime::new().map_err(|e| e.to_string())?;
-        runtime.set_memory_limit(self.limits.memory);
-        runtime.set_max_stack_size(self.limits.stack);
-        let (mut looks, most) = (0, self.limits.looks);
-        let (begun, time) = (Instant::now(), self.limits.time);
+        runtime.set_memory_limit(self.limits.memory_bytes);
+        runtime.set_max_stack_size(self.limits.stack_bytes);
+        let (mut interrupt_checks, most) = (0, self.limits.max_interrupt_checks);
+        let (begun, timeout) = (Instant::now(), self.limits.timeout);
         runtime.set_interrupt_handler(Some(Box::new(move || {
-            looks += 1;
-            looks > most || begun.elapsed() > time
+            interrupt_checks += 1;
+            interrupt_checks > most || begun.elapsed() > timeout
         })));
         let context = Context::full(&runtime).map_err(|e| e.to_string())?;
         context.with(|ctx| {
@@ -76,9 +81,9 @@
             })?;
             match text {
                 None => Ok(Value::Null),
-                Some(text) if text.len() > self.limits.result => Err(format!(
+                Some(text) if text.len() > self.limits.result_bytes => Err(format!(
                     "its result is larger than {} bytes",
-                    self.limits.result
+                    self.limits.result_bytes
                 )),
                 Some(text) => serde_json::from_str(&text).map_err(|e| e.to_string()),
             }
@@ -95,7 +100,7 @@
         let globals = ctx.globals();
         let values = [
             ("inputs", scope.inputs_value()),
-            ("self", scope.own.clone()),
+            ("self", scope.self_value.clone()),
             ("runtime", scope.runtime.clone()),
         ];
         for (name, value) in values {
@@ -124,10 +129,10 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn parses(&self, body: &str) -> Result<(), String> {
+    pub fn check_syntax(&self, body: &str) -> Result<(), String> {
         // Never called, so only what is wrong with the text is found.
         let body = format!("return function() {{\n{body}\n}} && null;");
-        self.call(&[], &body, &Scope::default()).map(|_| ())
+        self.evaluate(&[], &body, &Scope::default()).map(|_| ())
     }
 }
 
@@ -136,7 +141,7 @@
     use super::*;
 
     fn js(body: &str) -> Result<Value, String> {
-        Engine::default().call(&[], body, &Scope::default())
+        Engine::default().evaluate(&[], body, &Scope::default())
     }
 
     #[test]
@@ -171,13 +176,13 @@
     }
 
     #[test]
-    fn nothing_is_left_behind() {
+    fn evaluations_share_no_state() {
         let engine = Engine::default();
         let library = ["var n = 0; function next() { n += 1; return n; }".to_owned()];
         for _ in 0..3 {
             let scope = Scope::default();
             assert_eq!(
-                engine.call(&library, "return next();", &scope),
+                engine.evaluate(&library, "return next();", &scope),
                 Ok(1.into())
             );
         }
@@ -187,8 +192,8 @@
     }
 
     #[test]
-    fn text_that_is_no_javascript_is_found_without_running_it() {
-        assert_eq!(Engine::default().parses("throw 1;"), Ok(()));
-        assert!(Engine::default().parses("return 1 +;").is_err());
+    fn syntax_is_checked_without_running_the_code() {
+        assert_eq!(Engine::default().check_syntax("throw 1;"), Ok(()));
+        assert!(Engine::default().check_syntax("return 1 +;").is_err());
     }
 }
--- a/crates/cwl/src/expr.rs
+++ b/crates/cwl/src/expr.rs
@@ -16,7 +16,7 @@
     /// `inputs`.
     pub inputs: Object,
     /// `self`.
-    pub own: Value,
+    pub self_value: Value,
     /// `runtime`.
     pub runtime: Value,
     /// What `expressionLib` gives; none: JavaScript is not asked for.
@@ -78,7 +78,7 @@
         }
         for piece in &template.pieces {
             let body = match piece {
-                Piece::Expression(text) => as_body(text),
+                Piece::Expression(text) => function_body(text),
                 Piece::Body(text) => text.clone(),
                 _ => continue,
             };
@@ -86,19 +86,19 @@
                 let what = "an expression needs InlineJavascriptRequirement";
                 return Err(cursor.fault(what));
             }
-            let parses = Engine::default().parses(&body);
+            let parses = Engine::default().check_syntax(&body);
             parses.map_err(|e| cursor.fault(format!("no JavaScript: {e}")))?;
         }
         Ok(template)
     }
 
     /// Whether it is the same whatever the values are.
-    pub fn is_plain(&self) -> bool {
+    pub fn is_constant(&self) -> bool {
         self.pieces.iter().all(|p| matches!(p, Piece::Plain(_)))
     }
 
     /// Whether it takes the engine to know its value.
-    pub fn runs_code(&self) -> bool {
+    pub fn uses_javascript(&self) -> bool {
         let code = |p: &Piece| matches!(p, Piece::Expression(_) | Piece::Body(_));
         self.pieces.iter().any(code)
     }
@@ -125,8 +125,8 @@
                     text += plain;
                     continue;
                 }
-                Piece::Reference(parts) => refer(parts, scope),
-                Piece::Expression(code) => run(&as_body(code), scope, engine),
+                Piece::Reference(parts) => resolve_reference(parts, scope),
+                Piece::Expression(code) => run(&function_body(code), scope, engine),
                 Piece::Body(code) => run(code, scope, engine),
             };
             let value = value.map_err(|e| self.cursor.fault(e))?;
@@ -142,21 +142,21 @@
     }
 }
 
-fn as_body(expression: &str) -> String {
+fn function_body(expression: &str) -> String {
     // The line's end closes a comment.
     format!("return (\n{expression}\n);")
 }
 
 fn run(body: &str, scope: &Scope<'_>, engine: &Engine) -> Result<Value, String> {
     let library = scope.library.unwrap_or_default();
-    engine.call(library, body, scope)
+    engine.evaluate(library, body, scope)
 }
 
 /// Cuts a text into its pieces.
 fn split(text: &str) -> Result<Vec<Piece>, String> {
     // Blanks around a single expression don't make it a text.
     let trimmed = text.trim();
-    if let Some((piece, rest)) = expression(trimmed)?
+    if let Some((piece, rest)) = leading_expression(trimmed)?
         && rest.is_empty()
     {
         return Ok(vec![piece]);
@@ -171,7 +171,7 @@
         } else if c == '\\' && rest[1..].starts_with('\\') {
             plain.push('\\');
             rest = &rest[2..];
-        } else if let Some((piece, after)) = expression(rest)? {
+        } else if let Some((piece, after)) = leading_expression(rest)? {
             if !plain.is_empty() {
                 pieces.push(Piece::Plain(std::mem::take(&mut plain)));
             }
@@ -189,13 +189,13 @@
 }
 
 /// An expression that the text begins with, and the rest.
-fn expression(text: &str) -> Result<Option<(Piece, &str)>, String> {
+fn leading_expression(text: &str) -> Result<Option<(Piece, &str)>, String> {
     let body = match text.get(..2) {
         Some("$(") => false,
         Some("${") => true,
         _ => return Ok(None),
     };
-    let Some(end) = closing(&text[1..]) else {
+    let Some(end) = closing_bracket(&text[1..]) else {
         return Err(format!("`{}` is not closed", &text[..2]));
     };
     let inner = &text[2..=end];
@@ -203,7 +203,7 @@
     let piece = if body {
         Piece::Body(inner.to_owned())
     } else {
-        match reference(inner) {
+        match parse_reference(inner) {
             Some(parts) => Piece::Reference(parts),
             None => Piece::Expression(inner.to_owned()),
         }
@@ -213,7 +213,7 @@
 
 /// Where the bracket that the text begins with is closed, in bytes. Brackets in
 /// quotes don't count.
-fn closing(text: &str) -> Option<usize> {
+fn closing_bracket(text: &str) -> Option<usize> {
     let mut open = Vec::new();
     let mut quote = None;
     let mut escaped = false;
@@ -245,7 +245,7 @@
 }
 
 /// Reads `inputs.sheet['a b'][0].path`.
-fn reference(text: &str) -> Option<Vec<Part>> {
+fn parse_reference(text: &str) -> Option<Vec<Part>> {
     let is_symbol = |c: char| c.is_alphanumeric() || c == '_';
     let symbol = |text: &str| text.find(|c| !is_symbol(c)).unwrap_or(text.len());
     let text = text.trim();
@@ -287,10 +287,10 @@
 }
 
 /// What a reference stands for.
-fn refer(parts: &[Part], scope: &Scope<'_>) -> Result<Value, String> {
+fn resolve_reference(parts: &[Part], scope: &Scope<'_>) -> Result<Value, String> {
     let mut parts = parts.iter();
     let missing = |name: &str| format!("there is no `{name}`");
-    let (mut value, mut way) = match parts.next() {
+    let (mut value, mut path) = match parts.next() {
         Some(Part::Name(first)) if first == "inputs" => match parts.next() {
             None => return Ok(scope.inputs_value()),
             Some(Part::Name(name)) => match scope.inputs.get(name) {
@@ -299,29 +299,29 @@
             },
             Some(Part::Index(_)) => return Err("`inputs` has names, not numbers".into()),
         },
-        Some(Part::Name(first)) if first == "self" => (&scope.own, "self".to_owned()),
+        Some(Part::Name(first)) if first == "self" => (&scope.self_value, "self".to_owned()),
         Some(Part::Name(first)) if first == "runtime" => (&scope.runtime, "runtime".to_owned()),
         _ => (&Value::Null, "null".to_owned()),
     };
     let mut length = None;
     for part in parts {
         if length.is_some() {
-            return Err(format!("`{way}` is a number"));
+            return Err(format!("`{path}` is a number"));
         }
         match part {
             Part::Name(name) => {
-                way = format!("{way}.{name}");
+                path = format!("{path}.{name}");
                 match value {
                     Value::Object(map) => {
-                        value = map.get(name).ok_or_else(|| missing(&way))?;
+                        value = map.get(name).ok_or_else(|| missing(&path))?;
                     }
                     Value::Array(list) if name == "length" => length = Some(list.len()),
-                    _ => return Err(missing(&way)),
+                    _ => return Err(missing(&path)),
                 }
             }
             Part::Index(i) => {
-                way = format!("{way}[{i}]");
-                value = value.get(i).ok_or_else(|| missing(&way))?;
+                path = format!("{path}[{i}]");
+                value = value.get(i).ok_or_else(|| missing(&path))?;
             }
         }
     }
@@ -344,7 +344,7 @@
         let inputs = inputs.as_object().cloned().unwrap_or_default();
         let scope = Scope {
             inputs: inputs.into_iter().map(|(n, v)| (n, Arc::new(v))).collect(),
-            own: json!("me"),
+            self_value: json!("me"),
             runtime: json!({"cores": 2}),
             library: Some(&[]),
         };
@@ -354,7 +354,7 @@
     }
 
     #[test]
-    fn texts_and_their_values() {
+    fn templates_evaluate_to_their_values() {
         let cases = [
             ("plain", json!("plain")),
             ("$(inputs.n)", json!(3)),
--- a/crates/cwl/src/load.rs
+++ b/crates/cwl/src/load.rs
@@ -473,7 +473,7 @@
         let when = fields.get("when");
         let when = when.map(|w| Template::parse(&w, js)).transpose()?;
         if let Some(when) = &when
-            && when.is_plain()
+            && when.is_constant()
         {
             return Err(when.cursor().fault("an expression is expected"));
         }
--- a/crates/cwl/src/requirements.rs
+++ b/crates/cwl/src/requirements.rs
@@ -240,7 +240,7 @@
         match self.get("ResourceRequirement") {
             Some(Requirement::Resources(asked)) => {
                 let given = [&asked.cores, &asked.ram];
-                given.into_iter().flatten().all(Template::is_plain)
+                given.into_iter().flatten().all(Template::is_constant)
             }
             _ => true,
         }
@@ -251,7 +251,7 @@
         match self.get("ResourceRequirement") {
             Some(Requirement::Resources(asked)) => {
                 let given = [&asked.cores, &asked.ram].into_iter().flatten();
-                given.filter(|t| t.runs_code()).count()
+                given.filter(|t| t.uses_javascript()).count()
             }
             _ => 0,
         }
--- a/crates/cwl/src/values.rs
+++ b/crates/cwl/src/values.rs
@@ -17,12 +17,12 @@
 };
 
 /// The most members of a scatter.
-pub const MAX_MEMBERS: usize = 100_000;
+pub const MAX_SCATTER_MEMBERS: usize = 100_000;
 
 /// The most evaluations of JavaScript for all members of a step. Some take a
 /// quarter of a millisecond; whoever evaluates does nothing else meanwhile, and
 /// is taken for dead after some seconds.
-pub const MAX_EVALUATIONS: usize = 10_000;
+pub const MAX_STEP_EVALUATIONS: usize = 10_000;
 
 /// One run of a step.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,7 +30,7 @@
     /// What goes into its process.
     pub inputs: Object,
     /// Whether it is run; if not, all that comes out of it is null.
-    pub runs: bool,
+    pub should_run: bool,
 }
 
 /// All runs of a step.
@@ -46,11 +46,11 @@
 ///
 /// # Errors
 /// `pickValue` finds none, or not only one.
-pub fn linked(
+pub fn link_value(
     link: &Link,
-    of: &dyn Fn(&Source) -> Option<Arc<Value>>,
+    source_value: &dyn Fn(&Source) -> Option<Arc<Value>>,
 ) -> Result<Option<Arc<Value>>, String> {
-    let values: Option<Vec<_>> = link.sources.iter().map(of).collect();
+    let values: Option<Vec<_>> = link.sources.iter().map(source_value).collect();
     let Some(mut values) = values else {
         return Ok(None);
     };
@@ -64,7 +64,7 @@
                 Value::Array(list) => list.clone(),
                 other => vec![other.clone()],
             };
-            return picked(list, Some(pick)).map(Some);
+            return pick_values(list, Some(pick)).map(Some);
         }
         Some(LinkMerge::Nested) => values.iter().map(|v| (**v).clone()).collect(),
         Some(LinkMerge::Flattened) => {
@@ -78,10 +78,10 @@
             flat
         }
     };
-    picked(list, link.pick).map(Some)
+    pick_values(list, link.pick).map(Some)
 }
 
-fn picked(list: Vec<Value>, pick: Option<PickValue>) -> Result<Arc<Value>, String> {
+fn pick_values(list: Vec<Value>, pick: Option<PickValue>) -> Result<Arc<Value>, String> {
     let Some(pick) = pick else {
         return Ok(Arc::new(list.into()));
     };
@@ -107,13 +107,13 @@
 /// What goes in does not fit, with its place.
 pub fn members(
     step: &Step,
-    of: &dyn Fn(&Source) -> Option<Arc<Value>>,
+    source_value: &dyn Fn(&Source) -> Option<Arc<Value>>,
     contents: &dyn Fn(&str) -> Option<String>,
     engine: &Engine,
 ) -> Result<Option<Members>, Fault> {
     let mut base = Object::default();
     for input in &step.inputs {
-        let value = linked(&input.link, of).map_err(|e| input.cursor.fault(e))?;
+        let value = link_value(&input.link, source_value).map_err(|e| input.cursor.fault(e))?;
         let Some(mut value) = value else {
             return Ok(None);
         };
@@ -127,9 +127,9 @@
         }
         base.insert_mut(input.name.clone(), value);
     }
-    let (shape, objects) = scattered(step, &base)?;
-    if objects.len().saturating_mul(evaluations(step)) > MAX_EVALUATIONS {
-        let what = format!("scatter: more than {MAX_EVALUATIONS} evaluations of JavaScript");
+    let (shape, objects) = scatter_inputs(step, &base)?;
+    if objects.len().saturating_mul(evaluations_per_member(step)) > MAX_STEP_EVALUATIONS {
+        let what = format!("scatter: more than {MAX_STEP_EVALUATIONS} evaluations of JavaScript");
         return Err(step.cursor.fault(what));
     }
     let mut all = Vec::with_capacity(objects.len());
@@ -144,8 +144,9 @@
 }
 
 /// How often each member of a step takes the engine.
-fn evaluations(step: &Step) -> usize {
-    let code = |template: Option<&Template>| usize::from(template.is_some_and(Template::runs_code));
+fn evaluations_per_member(step: &Step) -> usize {
+    let code =
+        |template: Option<&Template>| usize::from(template.is_some_and(Template::uses_javascript));
     let inputs = step.inputs.iter().map(|i| code(i.value_from.as_ref()));
     let own = match &step.run {
         Process::Tool(tool) => {
@@ -164,7 +165,7 @@
 }
 
 /// The inputs of each member, before `valueFrom`.
-fn scattered(step: &Step, base: &Object) -> Result<(Vec<usize>, Vec<Object>), Fault> {
+fn scatter_inputs(step: &Step, base: &Object) -> Result<(Vec<usize>, Vec<Object>), Fault> {
     if step.scatter.is_empty() {
         return Ok((Vec::new(), vec![base.clone()]));
     }
@@ -193,8 +194,8 @@
             (lengths.clone(), count)
         }
     };
-    let count = count.filter(|n| *n <= MAX_MEMBERS).ok_or_else(|| {
-        let what = format!("scatter: more than {MAX_MEMBERS} members");
+    let count = count.filter(|n| *n <= MAX_SCATTER_MEMBERS).ok_or_else(|| {
+        let what = format!("scatter: more than {MAX_SCATTER_MEMBERS} members");
         step.cursor.fault(what)
     })?;
     let mut objects = Vec::with_capacity(count);
@@ -229,9 +230,9 @@
     engine: &Engine,
 ) -> Result<Member, Fault> {
     let mut made = object.clone();
-    let scope = |own: Value, inputs: Object| Scope {
+    let scope = |self_value: Value, inputs: Object| Scope {
         inputs,
-        own,
+        self_value,
         runtime: Value::Null,
         library: step.requirements.library(),
     };
@@ -250,7 +251,7 @@
             Value::Bool(false) => {
                 return Ok(Member {
                     inputs: Object::default(),
-                    runs: false,
+                    should_run: false,
                 });
             }
             other => {
@@ -259,8 +260,11 @@
             }
         }
     }
-    let inputs = taken(step.run.common(), &made, contents, &step.cursor)?;
-    Ok(Member { inputs, runs: true })
+    let inputs = process_inputs(step.run.common(), &made, contents, &step.cursor)?;
+    Ok(Member {
+        inputs,
+        should_run: true,
+    })
 }
 
 /// What a process makes of what is given to it: defaults, checks, and the
@@ -268,7 +272,7 @@
 ///
 /// # Errors
 /// Something is missing or of the wrong type.
-pub fn taken(
+pub fn process_inputs(
     common: &Common,
     given: &Object,
     contents: &dyn Fn(&str) -> Option<String>,
@@ -283,8 +287,8 @@
         {
             value = Arc::new(default.clone());
         }
-        let fits = fits(parameter, &value);
-        fits.map_err(|e| cursor.fault(format!("{name}: {e}")))?;
+        let checked = check_input(parameter, &value);
+        checked.map_err(|e| cursor.fault(format!("{name}: {e}")))?;
         if parameter.load_contents {
             let loaded = with_contents(&value, contents);
             value = loaded.map_err(|e| cursor.fault(format!("{name}: {e}")))?;
@@ -294,9 +298,9 @@
     Ok(taken)
 }
 
-fn fits(parameter: &Parameter, value: &Value) -> Result<(), String> {
+fn check_input(parameter: &Parameter, value: &Value) -> Result<(), String> {
     parameter.kind.check(value)?;
-    for file in files(value) {
+    for file in top_level_files(value) {
         for wanted in &parameter.secondary_files {
             if wanted.required && !has_secondary(file, wanted) {
                 let name = wanted.name_for(basename(file));
@@ -314,11 +318,13 @@
 }
 
 /// The files of a value that are not in a directory or beside a file.
-pub fn files(value: &Value) -> Vec<&Value> {
+pub fn top_level_files(value: &Value) -> Vec<&Value> {
     match value {
-        Value::Array(list) => list.iter().flat_map(files).collect(),
+        Value::Array(list) => list.iter().flat_map(top_level_files).collect(),
         value if class_of(value) == Some("File") => vec![value],
-        Value::Object(map) if !map.contains_key("class") => map.values().flat_map(files).collect(),
+        Value::Object(map) if !map.contains_key("class") => {
+            map.values().flat_map(top_level_files).collect()
+        }
         _ => Vec::new(),
     }
 }
@@ -339,13 +345,16 @@
     contents: &dyn Fn(&str) -> Option<String>,
 ) -> Result<Arc<Value>, String> {
     let mut value = (**value).clone();
-    load(&mut value, contents)?;
+    load_contents(&mut value, contents)?;
     Ok(Arc::new(value))
 }
 
-fn load(value: &mut Value, contents: &dyn Fn(&str) -> Option<String>) -> Result<(), String> {
+fn load_contents(
+    value: &mut Value,
+    contents: &dyn Fn(&str) -> Option<String>,
+) -> Result<(), String> {
     match value {
-        Value::Array(list) => list.iter_mut().try_for_each(|v| load(v, contents)),
+        Value::Array(list) => list.iter_mut().try_for_each(|v| load_contents(v, contents)),
         Value::Object(map) if map.get("class").and_then(Value::as_str) == Some("File") => {
             if map.contains_key("contents") {
                 return Ok(());
@@ -364,7 +373,10 @@
 
 /// Files whose beginnings a step's inputs ask for, by location, as far as their
 /// values are known.
-pub fn wanted_contents(step: &Step, of: &dyn Fn(&Source) -> Option<Arc<Value>>) -> Vec<String> {
+pub fn files_to_load(
+    step: &Step,
+    source_value: &dyn Fn(&Source) -> Option<Arc<Value>>,
+) -> Vec<String> {
     let takes = &step.run.common().inputs;
     let mut wanted = Vec::new();
     for input in &step.inputs {
@@ -372,10 +384,10 @@
         if !input.load_contents && !parameter.is_some_and(|p| p.load_contents) {
             continue;
         }
-        let Ok(Some(value)) = linked(&input.link, of) else {
+        let Ok(Some(value)) = link_value(&input.link, source_value) else {
             continue;
         };
-        for file in files(&value) {
+        for file in top_level_files(&value) {
             let location = file.get("location").and_then(Value::as_str);
             if let Some(location) = location
                 && file.get("contents").is_none()
@@ -388,18 +400,18 @@
 }
 
 /// What comes out of all members of a step under one name.
-pub fn gathered(shape: &[usize], method: ScatterMethod, each: Vec<Value>) -> Value {
+pub fn gather_outputs(shape: &[usize], method: ScatterMethod, each: Vec<Value>) -> Value {
     match (shape, method) {
         ([], _) => each.into_iter().next().unwrap_or_default(),
-        (shape, ScatterMethod::NestedCrossProduct) => nested(shape, &mut each.into_iter()),
+        (shape, ScatterMethod::NestedCrossProduct) => nest(shape, &mut each.into_iter()),
         _ => each.into(),
     }
 }
 
-fn nested(shape: &[usize], each: &mut impl Iterator<Item = Value>) -> Value {
+fn nest(shape: &[usize], each: &mut impl Iterator<Item = Value>) -> Value {
     match shape {
         [] => each.next().unwrap_or_default(),
-        [first, rest @ ..] => (0..*first).map(|_| nested(rest, each)).collect(),
+        [first, rest @ ..] => (0..*first).map(|_| nest(rest, each)).collect(),
     }
 }
 
@@ -407,7 +419,7 @@
 ///
 /// # Errors
 /// It is no map, or something is missing, or of the wrong type.
-pub fn checked(common: &Common, given: Value) -> Result<Object, Fault> {
+pub fn check_outputs(common: &Common, given: Value) -> Result<Object, Fault> {
     let Value::Object(mut map) = given else {
         let what = format!("a map of outputs is expected, not {given}");
         return Err(common.cursor.fault(what));
@@ -432,7 +444,7 @@
 ///
 /// # Errors
 /// It throws, or what it gives does not fit.
-pub fn expression(
+pub fn run_expression(
     common: &Common,
     template: &Template,
     inputs: &Object,
@@ -440,9 +452,9 @@
 ) -> Result<Object, Fault> {
     let scope = Scope {
         inputs: inputs.clone(),
-        own: Value::Null,
+        self_value: Value::Null,
         runtime: Value::Null,
         library: common.requirements.library(),
     };
-    checked(common, template.eval(&scope, engine)?)
+    check_outputs(common, template.eval(&scope, engine)?)
 }
--- a/crates/cwl/tests/meaning.rs
+++ b/crates/cwl/tests/meaning.rs
@@ -4,7 +4,7 @@
 
 use oliveshift_cwl::{
     Engine,
-    command::{self, Failure, Left, OutDir, Put},
+    command::{self, Failure, OutputDir, OutputEntry, StagedSource},
     cursor::Cursor,
     document::{Process, ScatterMethod, Source, Tool},
     expr::Object,
@@ -14,9 +14,9 @@
 };
 use serde_json::{Value, json};
 
-struct One(String);
+struct SingleDocument(String);
 
-impl Resolver for One {
+impl Resolver for SingleDocument {
     fn read(&self, path: &str) -> Result<String, String> {
         match path {
             "w.cwl" => Ok(self.0.clone()),
@@ -26,7 +26,7 @@
 }
 
 fn process(text: &str) -> Process {
-    let one = One(format!("cwlVersion: v1.2\n{text}"));
+    let one = SingleDocument(format!("cwlVersion: v1.2\n{text}"));
     load::load(&one, "w.cwl").unwrap_or_else(|e| panic!("{e}\n{text}"))
 }
 
@@ -42,15 +42,16 @@
     map.into_iter().map(|(n, v)| (n, Arc::new(v))).collect()
 }
 
-fn taken(tool: &Tool, given: Value) -> Result<Object, String> {
-    let taken = values::taken(&tool.common, &object(given), &|_| None, &tool.common.cursor);
-    taken.map_err(|f| f.message)
+fn process_inputs(tool: &Tool, given: Value) -> Result<Object, String> {
+    let inputs =
+        values::process_inputs(&tool.common, &object(given), &|_| None, &tool.common.cursor);
+    inputs.map_err(|f| f.message)
 }
 
 fn argv(text: &str, given: Value) -> Vec<String> {
     let tool = tool(text);
-    let inputs = taken(&tool, given).expect("inputs");
-    let made = command::command(&tool, &inputs, &Engine::default());
+    let inputs = process_inputs(&tool, given).expect("inputs");
+    let made = command::build_command_line(&tool, &inputs, &Engine::default());
     made.unwrap_or_else(|e| panic!("{e}\n{text}")).argv
 }
 
@@ -168,7 +169,7 @@
 
 /// What a drawn input is: its type, its binding, a value, and the words that
 /// the standard says it adds, spelled out case by case.
-struct Drawn {
+struct DrawnInput {
     name: String,
     text: String,
     value: Value,
@@ -176,7 +177,7 @@
     words: Vec<String>,
 }
 
-fn draw(rng: &mut fastrand::Rng, name: &str) -> Drawn {
+fn draw(rng: &mut fastrand::Rng, name: &str) -> DrawnInput {
     let position = rng.i64(-2..3);
     let prefix = rng.bool().then(|| format!("-{name}"));
     let separate = rng.bool();
@@ -220,7 +221,7 @@
         "  {name}: {{type: {kind}, inputBinding: {{position: {position}, separate: {separate}{}{more}}}}}\n",
         before.unwrap_or_default()
     );
-    Drawn {
+    DrawnInput {
         name: name.to_owned(),
         text,
         value,
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn drawn_command_lines_are_the_models() {
+fn random_command_lines_match_the_model() {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut words = 0;
     for _ in 0..400 {
@@ -268,7 +269,7 @@
 }
 
 #[test]
-fn what_is_put_in_place() {
+fn inputs_and_requirements_become_a_command_line() {
     let text = "baseCommand: x
 outputs: []
 requirements:
@@ -285,20 +286,26 @@
 ";
     let tool = tool(text);
     let mut file = json!({"class": "File", "location": "store://d/a.dat"});
-    let missing = taken(&tool, json!({"n": 3, "f": file})).expect_err("no index");
+    let missing = process_inputs(&tool, json!({"n": 3, "f": file})).expect_err("no index");
     assert_eq!(missing, "f: the secondary file `a.dat.idx` is missing");
     file["secondaryFiles"] = json!([{"class": "File", "location": "store://d/a.dat.idx"}]);
-    let inputs = taken(&tool, json!({"n": 3, "f": file})).expect("good");
-    let made = command::command(&tool, &inputs, &Engine::default()).expect("a command");
+    let inputs = process_inputs(&tool, json!({"n": 3, "f": file})).expect("good");
+    let made = command::build_command_line(&tool, &inputs, &Engine::default()).expect("a command");
     let staged: BTreeMap<_, _> = made.staged.iter().map(|s| (s.path.as_str(), s)).collect();
-    let put = |path: &str| &staged[path].what;
-    assert_eq!(put("in/0/a.dat"), &Put::Location("store://d/a.dat".into()));
+    let put = |path: &str| &staged[path].source;
+    assert_eq!(
+        put("in/0/a.dat"),
+        &StagedSource::Location("store://d/a.dat".into())
+    );
     assert_eq!(
         put("in/0/a.dat.idx"),
-        &Put::Location("store://d/a.dat.idx".into())
+        &StagedSource::Location("store://d/a.dat.idx".into())
+    );
+    assert_eq!(put("run.ini"), &StagedSource::Text("n=3".into()));
+    assert_eq!(
+        put("a.dat"),
+        &StagedSource::Location("store://d/a.dat".into())
     );
-    assert_eq!(put("run.ini"), &Put::Text("n=3".into()));
-    assert_eq!(put("a.dat"), &Put::Location("store://d/a.dat".into()));
     assert!(staged["run.ini"].writable && !staged["a.dat"].writable);
     assert_eq!(made.stdin.as_deref(), Some("in/0/a.dat"));
     assert_eq!(made.environment, [("LEVEL".to_owned(), "4".to_owned())]);
@@ -311,19 +318,19 @@
             "baseCommand: x\ninputs: []\noutputs: []\nrequirements: {{InitialWorkDirRequirement: {{listing: [{{entryname: '{bad}', entry: y}}]}}}}\n"
         );
         let tool = self::tool(&text);
-        let made = command::command(&tool, &Object::default(), &Engine::default());
+        let made = command::build_command_line(&tool, &Object::default(), &Engine::default());
         let fault = made.expect_err(bad).to_string();
         assert!(fault.contains("is no file's name"), "{fault}");
     }
 }
 
 /// A directory in memory.
-struct Dir(BTreeMap<&'static str, &'static str>);
+struct MemoryDir(BTreeMap<&'static str, &'static str>);
 
-impl OutDir for Dir {
-    fn list(&self) -> Vec<Left> {
+impl OutputDir for MemoryDir {
+    fn list(&self) -> Vec<OutputEntry> {
         let files = self.0.iter();
-        let left = files.map(|(path, text)| Left {
+        let left = files.map(|(path, text)| OutputEntry {
             path: (*path).to_owned(),
             is_dir: false,
             size: text.len() as u64,
@@ -332,7 +339,7 @@
         left.collect()
     }
 
-    fn text(&self, path: &str) -> Result<String, String> {
+    fn read_text(&self, path: &str) -> Result<String, String> {
         self.0
             .get(path)
             .map(|t| (*t).to_owned())
@@ -341,7 +348,7 @@
 }
 
 #[test]
-fn what_a_tool_leaves_behind() {
+fn outputs_are_collected() {
     let text = "baseCommand: x
 requirements: {InlineJavascriptRequirement: {}}
 inputs: []
@@ -355,19 +362,21 @@
   said: stdout
 ";
     let tool = tool(text);
-    let collect = |dir: &Dir, code| {
-        command::collect(&tool, &Object::default(), code, dir, &Engine::default())
+    let collect = |dir: &MemoryDir, code| {
+        command::collect_outputs(&tool, &Object::default(), code, dir, &Engine::default())
     };
-    let mut dir = Dir([
-        ("a.txt", "hi"),
-        ("a.txt.idx", ""),
-        ("d/x.c", ""),
-        ("d/e/y.c", ""),
-        ("z.b", ""),
-        ("n", "41\n"),
-        ("cwl.stdout", ""),
-    ]
-    .into());
+    let mut dir = MemoryDir(
+        [
+            ("a.txt", "hi"),
+            ("a.txt.idx", ""),
+            ("d/x.c", ""),
+            ("d/e/y.c", ""),
+            ("z.b", ""),
+            ("n", "41\n"),
+            ("cwl.stdout", ""),
+        ]
+        .into(),
+    );
     let got = collect(&dir, 3).expect("outputs");
     assert_eq!(got["one"]["location"], "store://run/a.txt");
     assert_eq!(got["one"]["size"], 2);
@@ -383,8 +392,8 @@
     assert_eq!(got["said"]["basename"], "cwl.stdout");
 
     assert_eq!(collect(&dir, 75), Err(Failure::Temporary(75)));
-    assert_eq!(collect(&dir, 1), Err(Failure::Code(1)));
-    let fails = |dir: &Dir, why: &str| {
+    assert_eq!(collect(&dir, 1), Err(Failure::Permanent(1)));
+    let fails = |dir: &MemoryDir, why: &str| {
         let error = collect(dir, 0).expect_err(why).to_string();
         assert!(error.contains(why), "{error}");
     };
@@ -442,7 +451,7 @@
 
 /// Scatter compared with nested loops.
 #[test]
-fn drawn_scatters_are_the_models() {
+fn random_scatters_match_nested_loops() {
     let mut rng = fastrand::Rng::with_seed(23);
     for _ in 0..60 {
         let mut list = |n: usize| -> Vec<i64> { (0..n).map(|_| rng.i64(0..9)).collect() };
@@ -490,7 +499,7 @@
                 let object = m.inputs.iter();
                 object.map(|(n, v)| (n.clone(), (**v).clone())).collect()
             });
-            let gathered = values::gathered(&got.shape, kind, each.collect());
+            let gathered = values::gather_outputs(&got.shape, kind, each.collect());
             assert_eq!(gathered, expected, "{method} {given}");
         }
         let dot = run(&step("dotproduct"), &given);
@@ -584,7 +593,7 @@
         &given,
     )
     .expect("good");
-    let runs: Vec<_> = got.members.iter().map(|m| m.runs).collect();
+    let runs: Vec<_> = got.members.iter().map(|m| m.should_run).collect();
     assert_eq!((got.shape, runs), (vec![3], vec![true, false, true]));
 }
 
@@ -613,7 +622,7 @@
     };
     let run = |given| {
         let inputs = object(given);
-        values::expression(&tool.common, &tool.expression, &inputs, &Engine::default())
+        values::run_expression(&tool.common, &tool.expression, &inputs, &Engine::default())
     };
     assert_eq!(
         run(json!({"n": 4})).map(|o| (*o["m"]).clone()).ok(),
--- a/crates/daemon/src/workflows/object_store.rs
+++ b/crates/daemon/src/workflows/object_store.rs
@@ -5,7 +5,7 @@
 
 use std::{io::Read, path::PathBuf};
 
-use oliveshift_cwl::command::MAX_CONTENTS;
+use oliveshift_cwl::command::MAX_CONTENTS_BYTES;
 use oliveshift_wire::JobId;
 use oliveshift_workflow::job::TaskResult;
 
@@ -24,7 +24,7 @@
         (0..tasks).map(read).collect()
     }
 
-    /// The first [`MAX_CONTENTS`] bytes of a file; `None` if it cannot be read or is not UTF-8.
+    /// The first [`MAX_CONTENTS_BYTES`] bytes of a file; `None` if it cannot be read or is not UTF-8.
     pub fn text(&self, location: &str) -> Option<String> {
         let path = location.strip_prefix("store://")?;
         if path.split('/').any(|part| matches!(part, "" | "." | "..")) {
@@ -32,7 +32,7 @@
         }
         let mut bytes = Vec::new();
         let file = std::fs::File::open(self.0.join(path)).ok()?;
-        file.take(MAX_CONTENTS as u64)
+        file.take(MAX_CONTENTS_BYTES as u64)
             .read_to_end(&mut bytes)
             .ok()?;
         String::from_utf8(bytes).ok()
--- a/crates/workflow/src/flow.rs
+++ b/crates/workflow/src/flow.rs
@@ -112,7 +112,7 @@
         let map = given.as_object().cloned().unwrap_or_default();
         let given: Object = map.into_iter().map(|(n, v)| (n, Arc::new(v))).collect();
         let common = &workflow.common;
-        let inputs = values::taken(common, &given, &|_| None, &common.cursor)?;
+        let inputs = values::process_inputs(common, &given, &|_| None, &common.cursor)?;
         let mut run = Self {
             engine,
             flows: Vec::new(),
@@ -292,7 +292,7 @@
     }
 
     fn wants_texts(&mut self, f: usize, step: &Step) -> bool {
-        let files_to_read = values::wanted_contents(step, &|source| self.value(f, source));
+        let files_to_read = values::files_to_load(step, &|source| self.value(f, source));
         let missing: Vec<_> = files_to_read
             .into_iter()
             .filter(|w| !self.texts.contains_key(w))
@@ -321,7 +321,7 @@
         let mut parts = Vec::with_capacity(members.members.len());
         let mut groups: Vec<(TaskRequirements, u32)> = Vec::new();
         for (m, member) in members.members.iter().enumerate() {
-            if !member.runs {
+            if !member.should_run {
                 parts.push(Part::Skipped);
                 continue;
             }
@@ -350,8 +350,12 @@
                 }
                 Process::Expression(tool) => {
                     let common = &tool.common;
-                    let made =
-                        values::expression(common, &tool.expression, &member.inputs, &self.engine);
+                    let made = values::run_expression(
+                        common,
+                        &tool.expression,
+                        &member.inputs,
+                        &self.engine,
+                    );
                     made.map(Part::Over)
                 }
                 Process::Workflow(inner) => {
@@ -416,7 +420,7 @@
             group: 0,
         };
         let count: usize = shape.iter().product();
-        if count == 0 || count > values::MAX_MEMBERS {
+        if count == 0 || count > values::MAX_SCATTER_MEMBERS {
             return false;
         }
         let parts = (0..count as u32).map(|index| Part::Task {
@@ -523,7 +527,7 @@
         let mut outputs = Map::new();
         for output in &common.outputs {
             let Some(link) = &output.link else { continue };
-            let value = values::linked(link, &|source| self.value(f, source));
+            let value = values::link_value(link, &|source| self.value(f, source));
             match value {
                 Ok(value) => {
                     let value = value.map(|v| (*v).clone()).unwrap_or_default();
@@ -538,7 +542,7 @@
             }
         }
         let outputs = Value::Object(outputs);
-        let object = match values::checked(common, outputs.clone()) {
+        let object = match values::check_outputs(common, outputs.clone()) {
             Ok(object) => object,
             Err(fault) => {
                 let path = flow.path.clone();
@@ -624,8 +628,13 @@
             let made = match results.get(*index as usize) {
                 Some(result) => {
                     let inputs = &members[m].inputs;
-                    let made =
-                        command::collect(tool, inputs, result.exit_code, result, &self.engine);
+                    let made = command::collect_outputs(
+                        tool,
+                        inputs,
+                        result.exit_code,
+                        result,
+                        &self.engine,
+                    );
                     made.map_err(|e| e.to_string())
                 }
                 None => Err("it left no result behind".to_owned()),
@@ -645,7 +654,7 @@
             Part::Over(object) => object.get(name).map(|v| (**v).clone()).unwrap_or_default(),
             _ => Value::Null,
         });
-        let value = values::gathered(shape, step.scatter_method, each.collect());
+        let value = values::gather_outputs(shape, step.scatter_method, each.collect());
         (name.clone(), Arc::new(value))
     });
     outputs.collect()
--- a/crates/workflow/src/job.rs
+++ b/crates/workflow/src/job.rs
@@ -4,7 +4,7 @@
 
 use oliveshift_cwl::{
     Engine, Fault,
-    command::{Left, OutDir},
+    command::{OutputDir, OutputEntry},
     document::{Step, Tool},
     expr::{Object, Scope},
     requirements::Placement,
@@ -68,7 +68,7 @@
     }
     let scope = Scope {
         inputs: inputs.cloned().unwrap_or_default(),
-        own: Value::Null,
+        self_value: Value::Null,
         runtime: Value::Null,
         library: requirements.library(),
     };
@@ -149,10 +149,10 @@
     pub texts: BTreeMap<String, String>,
 }
 
-impl OutDir for TaskResult {
-    fn list(&self) -> Vec<Left> {
+impl OutputDir for TaskResult {
+    fn list(&self) -> Vec<OutputEntry> {
         let files = self.files.iter();
-        let files = files.map(|(path, is_dir, size, location)| Left {
+        let files = files.map(|(path, is_dir, size, location)| OutputEntry {
             path: path.clone(),
             is_dir: *is_dir,
             size: *size,
@@ -161,7 +161,7 @@
         files.collect()
     }
 
-    fn text(&self, path: &str) -> Result<String, String> {
+    fn read_text(&self, path: &str) -> Result<String, String> {
         let text = self.texts.get(path).cloned();
         text.ok_or_else(|| "its contents were not kept".to_owned())
     }
