--- a/crates/testkit/tests/admission.rs
+++ b/crates/testkit/tests/admission.rs
@@ -56,7 +56,8 @@
 /// The result of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// The most by which the sum of all shares exceeded the horizon.
+    /// The most by which open work and all shares together exceeded the horizon, or the open work
+    /// if that is more.
     max_share_excess: f64,
     /// The most that a controller spent beyond its share after the one job that may exceed it.
     max_overspend: f64,
@@ -76,7 +77,7 @@
 
 fn spec(number: u32, class: &str, tasks: u32) -> JobSpec {
     JobSpec {
-        id: format!("j-{number:06}").parse().expect("an id"),
+        id: format!("j-{number:06}").parse().expect("a valid job id"),
         class: class.into(),
         team: "red".into(),
         shape: Shape::Array,
@@ -445,7 +446,7 @@
                 (0..rng.usize(1..12))
                     .map(|_| {
                         number += 1;
-                        let id = format!("j-{number:06}").parse().expect("an id");
+                        let id = format!("j-{number:06}").parse().expect("a valid job id");
                         (id, rng.f64() * 4.0)
                     })
                     .collect()
@@ -488,7 +489,7 @@
         let late = BTreeMap::from([(
             flow(0),
             OldestJob {
-                id: "j-000001".parse().expect("an id"),
+                id: "j-000001".parse().expect("a valid job id"),
                 work: 1.0,
             },
         )]);
--- a/crates/testkit/tests/days.rs
+++ b/crates/testkit/tests/days.rs
@@ -582,9 +582,10 @@
     });
 }
 
-/// Exhausts the sockets: connections that stay silent, machines whose messages are held back, a
-/// controller cut off from its workers, then a paused controller process. Connections without a
-/// live client took up all sockets, and users and the load balancer were refused.
+/// Exhausts the sockets with silent connections, as from machines whose network holds back what
+/// they send, while a third of the machines and then one controller are cut off and another
+/// controller is paused. Connections without a live peer took up all sockets, and users and the
+/// load balancer were refused.
 fn run_socket_exhaustion(sabotage: Option<Sabotage>) -> Outcome {
     let cut = |node, machine_group, from, until| Fault::CutWorkers {
         node,
