--- a/crates/cwl/src/cursor.rs
+++ b/crates/cwl/src/cursor.rs
@@ -1,5 +1,5 @@
-//! Reading a document's values with their place at hand, so that each fault
-//! can say where it is.
+//! Typed access to the values of a document. Each value keeps its path, so that every
+//! fault can name its location.
 
 use std::sync::Arc;
 
@@ -8,20 +8,20 @@
     yaml::{Data, Location, Node},
 };
 
-/// The most steps, inputs and the like in one place.
-const MAX_NAMED: usize = 5_000;
+/// Maximum number of entries in one list or map of named entries, such as steps or inputs.
+const MAX_NAMED_ENTRIES: usize = 5_000;
 
-/// A value and the way to it from the document's top.
+/// A value and its path from the top of the document.
 #[derive(Clone, Debug)]
 pub struct Cursor {
     /// The value.
     pub node: Node,
-    /// The way, `steps.split.in`.
+    /// The path, such as `steps.split.in`.
     pub path: String,
 }
 
 impl Cursor {
-    /// The top of a document.
+    /// A cursor at the top of a document.
     pub fn top(node: Node) -> Self {
         Self {
             node,
@@ -29,12 +29,12 @@
         }
     }
 
-    /// A fault here.
+    /// Creates a fault at this value.
     pub fn fault(&self, message: impl Into<String>) -> Fault {
         fault(&self.node.location, &self.path, message)
     }
 
-    /// A value below this one.
+    /// A cursor at `node`, the child of this value called `name`.
     pub fn below(&self, name: &str, node: Node) -> Self {
         let path = match self.path.as_str() {
             "" => name.to_owned(),
@@ -43,7 +43,7 @@
         Self { node, path }
     }
 
-    /// It must be text.
+    /// The value as text; a fault if it is anything else.
     pub fn text(&self) -> Result<&str, Fault> {
         match &self.node.data {
             Data::Text(text) => Ok(text),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// It must be `true` or `false`.
+    /// The value as a boolean; a fault if it is anything else.
     pub fn bool(&self) -> Result<bool, Fault> {
         match self.node.data {
             Data::Bool(b) => Ok(b),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// It must be a number.
+    /// The value as a number; a fault if it is anything else.
     pub fn number(&self) -> Result<f64, Fault> {
         match self.node.data {
             Data::Int(n) => Ok(n as f64),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// It must be a whole number.
+    /// The value as a whole number; a fault if it is anything else.
     pub fn int(&self) -> Result<i64, Fault> {
         match self.node.data {
             Data::Int(n) => Ok(n),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A list, or one value that stands for a list of itself.
+    /// The items of a list. Null gives no items, any other value a list of itself.
     pub fn to_list(&self) -> Vec<Cursor> {
         match &self.node.data {
             Data::List(list) => list
@@ -89,19 +89,20 @@
         }
     }
 
-    /// Texts of a list, or one text.
+    /// A list of texts, or a single text as a list of one.
     pub fn texts(&self) -> Result<Vec<String>, Fault> {
         let texts = self.to_list();
         texts.iter().map(|s| s.text().map(str::to_owned)).collect()
     }
 
-    /// Whole numbers of a list, or one.
+    /// A list of whole numbers, or a single number as a list of one.
     pub fn ints(&self) -> Result<Vec<i64>, Fault> {
         self.to_list().iter().map(Cursor::int).collect()
     }
 
-    /// A list of maps that name themselves by `key`, or a map by these names.
-    /// There a value that is no map stands for one that only has `short`.
+    /// Reads named entries: a list of maps that hold their name under `key`, or a map from
+    /// names to entries. In a map, an entry that is not itself a map is short for a map with
+    /// that value under `short`.
     pub fn named(&self, key: &str, short: Option<&str>) -> Result<Vec<(String, Cursor)>, Fault> {
         let mut named: Vec<(String, Cursor)> = Vec::new();
         let count = match &self.node.data {
@@ -109,8 +110,8 @@
             Data::Map(map) => map.len(),
             _ => 0,
         };
-        if count > MAX_NAMED {
-            return Err(self.fault(format!("more than {MAX_NAMED} of them")));
+        if count > MAX_NAMED_ENTRIES {
+            return Err(self.fault(format!("more than {MAX_NAMED_ENTRIES} entries")));
         }
         match &self.node.data {
             Data::Null => {}
@@ -141,13 +142,13 @@
         Ok(named)
     }
 
-    /// A map whose values are asked for by name.
+    /// The fields of a map, to be read by name.
     pub fn fields(&self) -> Result<Fields, Fault> {
         match &self.node.data {
             Data::Map(map) => Ok(Fields {
                 cursor: self.clone(),
                 map: map.clone(),
-                known: Vec::new(),
+                read_names: Vec::new(),
             }),
             _ => Err(self.expected("a map")),
         }
@@ -158,7 +159,7 @@
     }
 }
 
-/// A fault at a place.
+/// Creates a fault at a location and path.
 pub fn fault(location: &Location, path: &str, message: impl Into<String>) -> Fault {
     Fault {
         file: location.file.to_string(),
@@ -168,20 +169,20 @@
     }
 }
 
-/// The values of a map. What nobody has asked for when reading is over is a
-/// fault: something that is not understood must not be ignored.
+/// The fields of a map. [`Fields::finish`] refuses fields that were not read, so that
+/// unsupported fields are never silently ignored.
 #[derive(Debug)]
 pub struct Fields {
-    /// Where the map is.
+    /// The map itself.
     pub cursor: Cursor,
     map: Arc<Vec<(Arc<str>, Node)>>,
-    known: Vec<&'static str>,
+    read_names: Vec<&'static str>,
 }
 
 impl Fields {
-    /// A value, if it is there and not null.
+    /// A field's value, if it is present and not null.
     pub fn get(&mut self, name: &'static str) -> Option<Cursor> {
-        self.known.push(name);
+        self.read_names.push(name);
         let (_, node) = self.map.iter().find(|(n, _)| &**n == name)?;
         match node.data {
             Data::Null => None,
@@ -189,40 +190,40 @@
         }
     }
 
-    /// A value that must be there.
+    /// The value of a required field; a fault if it is absent or null.
     pub fn require(&mut self, name: &'static str) -> Result<Cursor, Fault> {
         let missing = self.cursor.fault(format!("`{name}` is missing"));
         self.get(name).ok_or(missing)
     }
 
-    /// A value that may be null where that says something.
+    /// A field's value, if it is present. Unlike [`Fields::get`], also returns null.
     pub fn get_or_null(&mut self, name: &'static str) -> Option<Cursor> {
-        self.known.push(name);
+        self.read_names.push(name);
         let (_, node) = self.map.iter().find(|(n, _)| &**n == name)?;
         Some(self.cursor.below(name, node.clone()))
     }
 
-    /// Values that change nothing of what is done.
+    /// Accepts fields that only describe and don't affect execution.
     pub fn allow_descriptive_fields(&mut self) {
-        self.known.extend(["id", "label", "doc", "intent"]);
+        self.read_names.extend(["id", "label", "doc", "intent"]);
     }
 
-    /// Refuses what is in the map and was not asked for. Names with a prefix
-    /// are extensions of others, which CWL allows.
+    /// Refuses fields that were not read. Names with a prefix (`name:`) are extensions, which
+    /// CWL allows, and names with `$` are directives; both are ignored.
     pub fn finish(self) -> Result<(), Fault> {
         for (name, node) in self.map.iter() {
-            let known = self.known.iter().any(|k| *k == &**name);
-            if !known && !name.contains(':') && !name.starts_with('$') {
+            let is_read = self.read_names.iter().any(|n| *n == &**name);
+            if !is_read && !name.contains(':') && !name.starts_with('$') {
                 let cursor = self.cursor.below(name, node.clone());
-                return Err(cursor.fault("this field is not known or not supported here"));
+                return Err(cursor.fault("this field is unknown or not supported here"));
             }
         }
         Ok(())
     }
 }
 
-/// The last part of an identifier, `sheet` of `#main/split/sheet`.
-pub fn local(id: &str) -> &str {
+/// The last part of an identifier, such as `sheet` of `#main/split/sheet`.
+pub fn local_name(id: &str) -> &str {
     let after = id.rsplit_once('#').map_or(id, |(_, after)| after);
     after.rsplit_once('/').map_or(after, |(_, last)| last)
 }
--- a/crates/cwl/src/document.rs
+++ b/crates/cwl/src/document.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 use crate::{
-    cursor::{Cursor, Fields, local},
+    cursor::{Cursor, Fields, local_name},
     expr::Template,
     fault::Fault,
     requirements::Requirements,
@@ -343,7 +343,7 @@
         skip_unused_fields(&mut fields)?;
         let default = fields.get_or_null("default").map(|d| d.node.to_value());
         let parameter = Parameter {
-            name: local(&name).to_owned(),
+            name: local_name(&name).to_owned(),
             kind,
             bound,
             load_contents,
@@ -386,7 +386,7 @@
             None => None,
         };
         let output = Output {
-            name: local(&name).to_owned(),
+            name: local_name(&name).to_owned(),
             kind,
             output_binding,
             secondary_files: secondary_files(&mut fields)?,
@@ -511,7 +511,7 @@
                         };
                         let kind = field.below("type", kind.clone());
                         let part = bound(&kind, inner(&field)?, names, js)?;
-                        parts.push((local(&name).to_owned(), part));
+                        parts.push((local_name(&name).to_owned(), part));
                     }
                     BoundParts::Fields(parts)
                 }
--- a/crates/cwl/src/fault.rs
+++ b/crates/cwl/src/fault.rs
@@ -1,23 +1,23 @@
-//! What is wrong with a document.
+//! The error type for CWL documents.
 
 use thiserror::Error;
 
-/// A fault of a document: where it is and what to do about it.
+/// An error in a document, with its location.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{file}:{line}: {}{message}", self.place())]
+#[error("{file}:{line}: {}{message}", self.path_prefix())]
 pub struct Fault {
-    /// The file, as the resolver knows it.
+    /// The file's path, as passed to the resolver.
     pub file: String,
-    /// The line, from 1.
+    /// The line number, counted from 1.
     pub line: usize,
-    /// The place in the document, `steps.split.in.sheet`; empty: as a whole.
+    /// The path in the document, such as `steps.split.in.sheet`; empty for the whole document.
     pub path: String,
-    /// What is wrong.
+    /// A description of the error.
     pub message: String,
 }
 
 impl Fault {
-    fn place(&self) -> String {
+    fn path_prefix(&self) -> String {
         match self.path.as_str() {
             "" => String::new(),
             path => format!("{path}: "),
--- a/crates/cwl/src/lib.rs
+++ b/crates/cwl/src/lib.rs
@@ -1,8 +1,8 @@
 //! CWL v1.2 for oliveshift, without I/O: documents and their checks, types,
 //! expressions, scatter and command lines.
 //!
-//! [`load::load`] reads a document and finds its faults; what it gives is run
-//! by others.
+//! [`load::load`] reads and checks a document. The resulting processes are executed
+//! by other crates.
 
 pub mod command;
 pub mod cursor;
--- a/crates/cwl/src/load.rs
+++ b/crates/cwl/src/load.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    cursor::{Cursor, local},
+    cursor::{Cursor, local_name},
     document::{
         Binding, Common, ExpressionTool, Link, LinkMerge, PickValue, Process, ScatterMethod,
         Source, Step, StepInput, Tool, Workflow, binding, link, outputs, parameters,
@@ -233,7 +233,7 @@
         check_version(&top)?;
         let Some(graph) = top.node.get("$graph") else {
             let own = top.node.get("id").map(|id| top.below("id", id.clone()));
-            let own = own.map(|id| id.text().map(|t| local(t).to_owned()));
+            let own = own.map(|id| id.text().map(|t| local_name(t).to_owned()));
             let own = own.transpose()?.unwrap_or_default();
             if let Some(name) = name
                 && name != own
@@ -245,14 +245,14 @@
         let graph = top.below("$graph", graph.clone());
         let all = graph.named("id", None)?;
         let wanted = name.unwrap_or("main");
-        let found = all.iter().find(|(id, _)| local(id) == wanted);
+        let found = all.iter().find(|(id, _)| local_name(id) == wanted);
         let found = match (found, all.as_slice()) {
             (Some(found), _) => found,
             (None, [only]) if name.is_none() => only,
             _ => return Err(graph.fault(format!("there is no process `{wanted}` in this file"))),
         };
         let cursor = found.1.clone();
-        self.inline(&cursor, file, local(&found.0), outer, running)
+        self.inline(&cursor, file, local_name(&found.0), outer, running)
     }
 
     /// A process that stands here.
@@ -364,7 +364,13 @@
     ) -> Result<Workflow, Fault> {
         let mut steps: Vec<Step> = Vec::new();
         for (name, cursor) in cursor.named("id", None)? {
-            let step = self.step(local(&name), &cursor, &common.requirements, file, running)?;
+            let step = self.step(
+                local_name(&name),
+                &cursor,
+                &common.requirements,
+                file,
+                running,
+            )?;
             if steps.iter().any(|s| s.name == step.name) {
                 return Err(cursor.fault(format!("`{}` is named twice", step.name)));
             }
@@ -429,14 +435,14 @@
                     path => join(file, path).map_err(|e| run.fault(e))?,
                 };
                 self.file(&path, Some(&run))?;
-                self.process(&path, name.map(local), &requirements, running)?
+                self.process(&path, name.map(local_name), &requirements, running)?
             }
             Err(_) => self.inline(&run, file, name, &requirements, running)?,
         };
         let mut inputs = Vec::new();
         for (name, cursor) in fields.require("in")?.named("id", Some("source"))? {
             let cursor = with_source(cursor);
-            inputs.push(step_input(local(&name), &cursor, js)?);
+            inputs.push(step_input(local_name(&name), &cursor, js)?);
         }
         let mut outputs = Vec::new();
         for out in fields.require("out")?.to_list() {
@@ -444,7 +450,7 @@
                 Some(id) => out.below("id", id.clone()).text()?.to_owned(),
                 None => out.text()?.to_owned(),
             };
-            let name = local(&name).to_owned();
+            let name = local_name(&name).to_owned();
             if !process.common().outputs.iter().any(|o| o.name == name) {
                 return Err(out.fault(format!("what it runs has no output `{name}`")));
             }
@@ -452,7 +458,7 @@
         }
         let scatter = fields.get("scatter").map(|s| s.texts()).transpose()?;
         let scatter: Vec<_> = scatter.unwrap_or_default();
-        let scatter: Vec<_> = scatter.iter().map(|s| local(s).to_owned()).collect();
+        let scatter: Vec<_> = scatter.iter().map(|s| local_name(s).to_owned()).collect();
         let scatter_method = match fields.get("scatterMethod") {
             Some(cursor) => match cursor.text()? {
                 "dotproduct" => ScatterMethod::DotProduct,
@@ -602,7 +608,9 @@
             };
             *source = match step {
                 Some(step) if self.made.contains_key(&step) => Source::Step(step.0, step.1),
-                _ if self.inputs.contains_key(local(name)) => Source::Input(local(name).to_owned()),
+                _ if self.inputs.contains_key(local_name(name)) => {
+                    Source::Input(local_name(name).to_owned())
+                }
                 _ => return Err(cursor.fault(format!("`{name}` is no input and no step's output"))),
             };
         }
--- a/crates/cwl/src/requirements.rs
+++ b/crates/cwl/src/requirements.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 use crate::{
-    cursor::{Cursor, Fields, local},
+    cursor::{Cursor, Fields, local_name},
     engine::Engine,
     expr::{Scope, Template},
     fault::Fault,
@@ -345,7 +345,7 @@
                 };
                 let name = kind.below("name", name.clone());
                 let read = Type::parse(&kind, &names)?;
-                names.insert(local(name.text()?).to_owned(), read);
+                names.insert(local_name(name.text()?).to_owned(), read);
             }
             ("SchemaDefRequirement", Requirement::SchemaDefs(names))
         }
--- a/crates/cwl/src/types.rs
+++ b/crates/cwl/src/types.rs
@@ -1,11 +1,11 @@
-//! The types of CWL, and which values have them.
+//! The types of CWL, and checks of values against them.
 
 use std::{collections::BTreeMap, fmt};
 
 use serde_json::{Map, Value};
 
 use crate::{
-    cursor::{Cursor, local},
+    cursor::{Cursor, local_name},
     fault::Fault,
     yaml::Data,
 };
@@ -13,17 +13,17 @@
 /// A type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Type {
-    /// Nothing.
+    /// No value.
     Null,
     /// `true` or `false`.
     Boolean,
-    /// 32 bits.
+    /// A signed integer of 32 bits.
     Int,
-    /// 64 bits.
+    /// A signed integer of 64 bits.
     Long,
-    /// A number, single precision.
+    /// A single-precision number.
     Float,
-    /// A number, double precision.
+    /// A double-precision number.
     Double,
     /// Text.
     String,
@@ -31,57 +31,58 @@
     File,
     /// A directory.
     Directory,
-    /// Anything but nothing.
+    /// Any value except null.
     Any,
     /// The standard output of a tool, as a file.
     Stdout,
-    /// Its standard error.
+    /// The standard error of a tool, as a file.
     Stderr,
-    /// Values in order.
+    /// An array with items of one type.
     Array(Box<Type>),
-    /// Values by name.
+    /// Named fields, each with its type.
     Record(Vec<(String, Type)>),
-    /// One of these texts.
+    /// One of these symbols.
     Enum(Vec<String>),
-    /// One of these types.
+    /// A value of any of these types.
     Union(Vec<Type>),
 }
 
-/// The longest type that is written as a text; each `[]` is one more level.
-const MAX_TEXT: usize = 128;
+/// Maximum length of a type written as text. Each `[]` in it nests the type one level
+/// deeper, so this bounds the depth.
+const MAX_TYPE_TEXT_BYTES: usize = 128;
 
-/// Types that a document names itself.
+/// Types that a document defines, by name.
 pub type NamedTypes = BTreeMap<String, Type>;
 
 impl Type {
-    /// Reads a type.
+    /// Parses a type.
     ///
     /// # Errors
-    /// It is none, or none that is known.
+    /// The value is not a type, or names an unknown or unsupported one.
     pub fn parse(cursor: &Cursor, names: &NamedTypes) -> Result<Self, Fault> {
         match &cursor.node.data {
-            Data::Text(text) if text.len() > MAX_TEXT => {
-                Err(cursor.fault(format!("a type of more than {MAX_TEXT} characters")))
+            Data::Text(text) if text.len() > MAX_TYPE_TEXT_BYTES => {
+                Err(cursor.fault(format!("a type of more than {MAX_TYPE_TEXT_BYTES} bytes")))
             }
-            Data::Text(text) => Self::named(text, cursor, names),
+            Data::Text(text) => Self::parse_text(text, cursor, names),
             Data::List(_) => {
                 let types = cursor.to_list();
                 let types: Result<Vec<_>, _> =
                     types.iter().map(|t| Self::parse(t, names)).collect();
                 Ok(Self::Union(types?))
             }
-            Data::Map(_) => Self::schema(cursor, names),
+            Data::Map(_) => Self::parse_schema(cursor, names),
             _ => Err(cursor.fault(format!("a type is expected, not {}", cursor.node.kind()))),
         }
     }
 
-    fn named(text: &str, cursor: &Cursor, names: &NamedTypes) -> Result<Self, Fault> {
+    fn parse_text(text: &str, cursor: &Cursor, names: &NamedTypes) -> Result<Self, Fault> {
         if let Some(inner) = text.strip_suffix('?') {
-            let inner = Self::named(inner, cursor, names)?;
+            let inner = Self::parse_text(inner, cursor, names)?;
             return Ok(Self::Union(vec![Self::Null, inner]));
         }
         if let Some(inner) = text.strip_suffix("[]") {
-            let inner = Self::named(inner, cursor, names)?;
+            let inner = Self::parse_text(inner, cursor, names)?;
             return Ok(Self::Array(Box::new(inner)));
         }
         Ok(match text {
@@ -102,15 +103,16 @@
                     cursor.fault("`type: stdin` is not supported; write `stdin: $(inputs.…)`")
                 );
             }
-            name => match names.get(local(name)) {
+            name => match names.get(local_name(name)) {
                 Some(known) => known.clone(),
                 None => return Err(cursor.fault(format!("the type `{name}` is not known"))),
             },
         })
     }
 
-    /// A type that is spelled out. What `inputBinding` it has is read apart.
-    fn schema(cursor: &Cursor, names: &NamedTypes) -> Result<Self, Fault> {
+    /// Parses a type written as a map. Its `inputBinding` is read separately, in
+    /// [`crate::document`].
+    fn parse_schema(cursor: &Cursor, names: &NamedTypes) -> Result<Self, Fault> {
         let mut fields = cursor.fields()?;
         fields.allow_descriptive_fields();
         let kind = fields.require("type")?;
@@ -126,7 +128,7 @@
                     .require("symbols")?
                     .texts()?
                     .iter()
-                    .map(|s| local(s).to_owned())
+                    .map(|s| local_name(s).to_owned())
                     .collect(),
             ),
             Ok("record") => {
@@ -146,7 +148,7 @@
                         }
                         let kind = Self::parse(&field.require("type")?, names)?;
                         field.finish()?;
-                        parts.push((local(&name).to_owned(), kind));
+                        parts.push((local_name(&name).to_owned(), kind));
                     }
                 }
                 Self::Record(parts)
@@ -157,7 +159,7 @@
         Ok(read)
     }
 
-    /// Whether nothing is a value of it.
+    /// Whether null is a value of this type.
     pub fn is_optional(&self) -> bool {
         match self {
             Self::Null => true,
@@ -166,10 +168,10 @@
         }
     }
 
-    /// Checks a value.
+    /// Checks that a value has this type.
     ///
     /// # Errors
-    /// What does not fit, in words.
+    /// A description of the mismatch.
     pub fn check(&self, value: &Value) -> Result<(), String> {
         let fits = match (self, value) {
             (Self::Null, Value::Null)
@@ -199,7 +201,8 @@
                 }
             }
             (Self::Union(types), value) => match types.as_slice() {
-                // The one that may be meant gives the better reason.
+                // For an optional type, the mismatch with the non-null type says more than
+                // that no alternative fits.
                 [Self::Null, one] if !value.is_null() => return one.check(value),
                 types => types.iter().any(|t| t.check(value).is_ok()),
             },
@@ -211,8 +214,8 @@
         }
     }
 
-    /// Whether some value of this type is one of the other: a link between the
-    /// two may work out.
+    /// Whether some value of this type may also have the other type, so that a link from
+    /// this type to the other can be valid.
     pub fn may_match(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Union(types), other) => types.iter().any(|t| t.may_match(other)),
@@ -229,15 +232,15 @@
             | (Self::String, Self::Enum(_)) => true,
             (Self::Enum(a), Self::Enum(b)) => a.iter().any(|s| b.contains(s)),
             (Self::Record(a), Self::Record(b)) => a.iter().all(|(name, kind)| {
-                let there = b.iter().find(|(n, _)| n == name);
-                there.is_some_and(|(_, k)| kind.may_match(k))
+                let matching = b.iter().find(|(n, _)| n == name);
+                matching.is_some_and(|(_, k)| kind.may_match(k))
             }),
             (this, other) => this == other,
         }
     }
 }
 
-/// The class of a file or directory.
+/// The `class` of an object, such as `File` or `Directory`.
 pub fn class_of(value: &Value) -> Option<&str> {
     value.as_object()?.get("class")?.as_str()
 }
--- a/crates/cwl/src/yaml.rs
+++ b/crates/cwl/src/yaml.rs
@@ -1,7 +1,7 @@
-//! YAML and JSON as trees that know their lines.
+//! Parses YAML and JSON into trees whose values keep their file and line.
 //!
-//! Documents come from outside, so depth, size and what aliases stand for are
-//! bounded while a tree is built.
+//! Documents are untrusted input, so nesting depth, size and the expansion of aliases are
+//! bounded while the tree is built.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -12,52 +12,52 @@
 
 use crate::fault::Fault;
 
-/// The largest file, in bytes.
+/// Maximum size of one file.
 pub const MAX_FILE_BYTES: usize = 4 << 20;
-/// The deepest nesting.
+/// Maximum nesting depth of lists and maps.
 pub const MAX_DEPTH: usize = 64;
-/// The most values of a file, with what aliases stand for counted each time.
+/// Maximum number of values in a file. The values behind an alias count at each use.
 pub const MAX_NODES: usize = 200_000;
 
-/// Where something stands.
+/// The position of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
     /// The file.
     pub file: Arc<str>,
-    /// The line, from 1.
+    /// The line number, counted from 1.
     pub line: usize,
 }
 
-/// A value and where it stands; cheap to clone.
+/// A value and its location. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Where.
+    /// The location.
     pub location: Location,
     /// The value.
     pub data: Data,
 }
 
-/// What a value is.
+/// The data of a value.
 #[derive(Clone, Debug)]
 pub enum Data {
-    /// Nothing.
+    /// Null.
     Null,
     /// `true` or `false`.
     Bool(bool),
     /// A whole number.
     Int(i64),
-    /// Another number.
+    /// Any other number.
     Float(f64),
     /// Text.
     Text(Arc<str>),
-    /// Values in order.
+    /// Items in order.
     List(Arc<Vec<Node>>),
-    /// Values by name, in the order of the document.
+    /// Keys and values, in the order of the document.
     Map(Arc<Vec<(Arc<str>, Node)>>),
 }
 
 impl Node {
-    /// As the values that expressions see.
+    /// Converts to the JSON value that expressions see.
     pub fn to_value(&self) -> serde_json::Value {
         use serde_json::Value;
         match &self.data {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A named value of a map.
+    /// The value of a key, if this is a map that has it.
     pub fn get(&self, name: &str) -> Option<&Node> {
         match &self.data {
             Data::Map(map) => map.iter().find(|(n, _)| &**n == name).map(|(_, node)| node),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// What it is, in words.
+    /// A description of the kind of value, for messages.
     pub fn kind(&self) -> &'static str {
         match self.data {
             Data::Null => "nothing",
@@ -95,39 +95,39 @@
     }
 }
 
-/// A list or map that is not complete yet.
-struct Open {
+/// A list or map whose end has not been parsed yet.
+struct OpenCollection {
     location: Location,
     anchor: usize,
     items: Vec<Node>,
-    /// The names of a map's values; none: it is a list.
-    names: Option<Vec<Arc<str>>>,
-    seen: HashSet<Arc<str>>,
-    /// A name that waits for its value.
-    name: Option<Arc<str>>,
-    /// How many values it holds, itself included.
+    /// The keys of a map; `None` for a list.
+    keys: Option<Vec<Arc<str>>>,
+    seen_keys: HashSet<Arc<str>>,
+    /// The key whose value comes next.
+    pending_key: Option<Arc<str>>,
+    /// The number of values in it, itself included.
     size: usize,
 }
 
 struct Builder {
     file: Arc<str>,
-    open: Vec<Open>,
-    /// What aliases may stand for, and how large it is.
+    open: Vec<OpenCollection>,
+    /// The anchored values, with the number of values in each.
     anchors: HashMap<usize, (Node, usize)>,
-    done: Option<Node>,
+    document: Option<Node>,
 }
 
-/// Reads one document.
+/// Parses a file that holds one document.
 ///
 /// # Errors
-/// The text is no YAML or JSON, holds no or several documents, names something
-/// twice, uses tags, or is larger or deeper than allowed.
+/// The text is not YAML or JSON, holds no document or several, repeats a key, uses a tag
+/// other than `!` or `!!str`, or exceeds a limit on size or depth.
 pub fn parse(file: &str, text: &str) -> Result<Node, Fault> {
     let mut builder = Builder {
         file: file.into(),
         open: Vec::new(),
         anchors: HashMap::new(),
-        done: None,
+        document: None,
     };
     if text.len() > MAX_FILE_BYTES {
         return Err(builder.fault(1, format!("larger than {MAX_FILE_BYTES} bytes")));
@@ -141,8 +141,8 @@
             }
         }
     }
-    let empty = builder.fault(1, "an empty document".into());
-    builder.done.ok_or(empty)
+    let empty = builder.fault(1, "the document is empty".into());
+    builder.document.ok_or(empty)
 }
 
 impl Builder {
@@ -166,35 +166,37 @@
                 let data = match tag.as_deref() {
                     None if plain => scalar(&text),
                     None => Data::Text(text.as_ref().into()),
-                    // `!` alone, and `!!str`, say that it is text.
+                    // `!` and `!!str` mark a scalar as text.
                     Some(tag) if tag.suffix == "str" || tag.suffix.is_empty() => {
                         Data::Text(text.as_ref().into())
                     }
-                    Some(tag) => return Err(self.tagged(line, &tag.suffix)),
+                    Some(tag) => return Err(self.tag_fault(line, &tag.suffix)),
                 };
-                self.put(Node { location, data }, anchor, 1)
+                self.add_value(Node { location, data }, anchor, 1)
             }
             Event::SequenceStart(anchor, tag) => {
                 if let Some(tag) = tag {
-                    return Err(self.tagged(line, &tag.suffix));
+                    return Err(self.tag_fault(line, &tag.suffix));
                 }
-                self.begin(location, anchor, None)
+                self.open_collection(location, anchor, None)
             }
             Event::MappingStart(anchor, tag) => {
                 if let Some(tag) = tag {
-                    return Err(self.tagged(line, &tag.suffix));
+                    return Err(self.tag_fault(line, &tag.suffix));
                 }
-                self.begin(location, anchor, Some(Vec::new()))
+                self.open_collection(location, anchor, Some(Vec::new()))
             }
             Event::SequenceEnd | Event::MappingEnd => {
                 let Some(open) = self.open.pop() else {
-                    return Err(self.fault(line, "an end without a beginning".into()));
+                    return Err(
+                        self.fault(line, "the end of a list or map that was not opened".into())
+                    );
                 };
-                let data = match open.names {
+                let data = match open.keys {
                     None => Data::List(open.items.into()),
-                    Some(names) => Data::Map(Arc::new(names.into_iter().zip(open.items).collect())),
+                    Some(keys) => Data::Map(Arc::new(keys.into_iter().zip(open.items).collect())),
                 };
-                self.put(
+                self.add_value(
                     Node {
                         location: open.location,
                         data,
@@ -204,43 +206,46 @@
                 )
             }
             Event::Alias(anchor) => match self.anchors.get(&anchor).cloned() {
-                Some((node, size)) => self.put(node, 0, size),
-                None => Err(self.fault(line, "an alias of what it stands in".into())),
+                Some((node, size)) => self.add_value(node, 0, size),
+                None => Err(self.fault(line, "an alias of a value that contains it".into())),
             },
-            Event::DocumentStart(_) if self.done.is_some() => {
+            Event::DocumentStart(_) if self.document.is_some() => {
                 Err(self.fault(line, "a second document in one file".into()))
             }
             _ => Ok(()),
         }
     }
 
-    fn tagged(&self, line: usize, tag: &str) -> Fault {
-        self.fault(line, format!("the tag `{tag}` is not used in CWL"))
+    fn tag_fault(&self, line: usize, tag: &str) -> Fault {
+        self.fault(
+            line,
+            format!("the tag `{tag}` is not supported in CWL documents"),
+        )
     }
 
-    fn begin(
+    fn open_collection(
         &mut self,
         location: Location,
         anchor: usize,
-        names: Option<Vec<Arc<str>>>,
+        keys: Option<Vec<Arc<str>>>,
     ) -> Result<(), Fault> {
         if self.open.len() >= MAX_DEPTH {
             return Err(self.fault(location.line, format!("nested deeper than {MAX_DEPTH}")));
         }
-        self.open.push(Open {
+        self.open.push(OpenCollection {
             location,
             anchor,
             items: Vec::new(),
-            names,
-            seen: HashSet::new(),
-            name: None,
+            keys,
+            seen_keys: HashSet::new(),
+            pending_key: None,
             size: 1,
         });
         Ok(())
     }
 
-    /// A value is complete and goes where it belongs.
-    fn put(&mut self, node: Node, anchor: usize, size: usize) -> Result<(), Fault> {
+    /// Adds a complete value to the innermost open list or map, or makes it the document.
+    fn add_value(&mut self, node: Node, anchor: usize, size: usize) -> Result<(), Fault> {
         let line = node.location.line;
         let before: usize = self.open.iter().map(|o| o.size).sum();
         if before + size > MAX_NODES {
@@ -250,31 +255,34 @@
             self.anchors.insert(anchor, (node.clone(), size));
         }
         let Some(open) = self.open.last_mut() else {
-            self.done = Some(node);
+            self.document = Some(node);
             return Ok(());
         };
         open.size += size;
-        match &mut open.names {
+        match &mut open.keys {
             None => open.items.push(node),
-            Some(names) => match open.name.take() {
-                Some(name) => {
-                    names.push(name);
+            Some(keys) => match open.pending_key.take() {
+                Some(key) => {
+                    keys.push(key);
                     open.items.push(node);
                 }
                 None => {
-                    let name: Arc<str> = match &node.data {
+                    let key: Arc<str> = match &node.data {
                         Data::Text(text) => text.clone(),
                         Data::Bool(b) => b.to_string().into(),
                         Data::Int(n) => n.to_string().into(),
                         _ => {
-                            let what = format!("{} as a name", node.kind());
-                            return Err(self.fault(line, what));
+                            let message = format!(
+                                "a map key must be text, a boolean or a whole number, not {}",
+                                node.kind()
+                            );
+                            return Err(self.fault(line, message));
                         }
                     };
-                    if !open.seen.insert(name.clone()) {
-                        return Err(self.fault(line, format!("`{name}` is named twice")));
+                    if !open.seen_keys.insert(key.clone()) {
+                        return Err(self.fault(line, format!("duplicate key `{key}`")));
                     }
-                    open.name = Some(name);
+                    open.pending_key = Some(key);
                 }
             },
         }
@@ -282,7 +290,8 @@
     }
 }
 
-/// A plain scalar by the core schema of YAML 1.2.
+/// Interprets a plain scalar by the core schema of YAML 1.2, without hexadecimal and octal
+/// integers, infinities and NaN, which stay text.
 fn scalar(text: &str) -> Data {
     match text {
         "" | "~" | "null" | "Null" | "NULL" => return Data::Null,
@@ -313,7 +322,7 @@
     use super::*;
 
     #[test]
-    fn values_are_those_of_the_core_schema() {
+    fn plain_scalars_follow_the_core_schema() {
         let text =
             "a: [1, -2, 1.5, 1e3, .5, true, ~, 0x1f, 1.2.3, '1', v1.2]\nb: {c: &x hi, d: *x}\n";
         let value = parse("f", text).expect("good").to_value();
@@ -325,8 +334,8 @@
     }
 
     #[test]
-    fn what_blows_up_is_refused() {
-        // Ten aliases of ten aliases of ...: 10^8 values in 400 bytes.
+    fn documents_beyond_the_limits_are_refused() {
+        // Nested aliases, ten at each of eight levels: 10^8 values in 400 bytes.
         let mut text = "a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n".to_owned();
         for i in 1..8 {
             let before = format!("*a{}, ", i - 1).repeat(10);
@@ -339,17 +348,18 @@
             (deep.as_str(), ""),
             (maps.as_str(), "nested deeper than 64"),
             ("a: &a [*a]", "alias"),
-            ("a: 1\nb: 2\na: 3", "`a` is named twice"),
+            ("a: 1\nb: 2\na: 3", "duplicate key `a`"),
             ("--- 1\n--- 2\n", "second document"),
             ("a: !!binary aGk=", "tag"),
             ("", "empty"),
-            ("? [a]\n: 1", "as a name"),
+            ("? [a]\n: 1", "a map key must be"),
         ];
         for (text, why) in cases {
             let fault = parse("f.cwl", text).expect_err(why);
             assert!(fault.to_string().contains(why), "{fault}");
         }
-        // Names are many, and none is looked for among all others.
+        // Checks for duplicate keys take no linear search, so a map with very many keys parses
+        // quickly.
         let many: String = (0..90_000).map(|i| format!("k{i}: 1\n")).collect();
         assert!(parse("f.cwl", &many).is_ok());
         let fault = parse("f.cwl", "a: 1\nb: [\n").expect_err("open");
--- a/crates/cwl/tests/documents.rs
+++ b/crates/cwl/tests/documents.rs
@@ -95,7 +95,7 @@
         ),
         (
             TOOL.replace("a: string", "a: {type: string, inputBindin: {}}"),
-            "w.cwl:4: inputs.a.inputBindin: this field is not known",
+            "w.cwl:4: inputs.a.inputBindin: this field is unknown",
         ),
         (TOOL.replace("baseCommand: echo\n", ""), "nothing to run"),
         (
@@ -350,7 +350,7 @@
     let cases = [
         (
             TOOL.replace("a: string", &format!("a: 'int{}'", "[]".repeat(100_000))),
-            "a type of more than 128",
+            "a type of more than 128 bytes",
         ),
         (
             TOOL.replace("echo", &format!("[{}]", list("{$include: big}", 8))),
@@ -365,7 +365,7 @@
                 "{a: string}",
                 &format!("[{}]", list("{id: a, type: int}", 5001)),
             ),
-            "more than 5000 of them",
+            "more than 5000 entries",
         ),
     ];
     for (text, why) in cases {
