--- a/crates/cwl/src/command.rs
+++ b/crates/cwl/src/command.rs
@@ -107,7 +107,7 @@
         environment.push((name.clone(), to_word(&template.eval(&scope, engine)?)));
     }
     let words = command_words(tool, &scope, engine)?;
-    let argv = if common.requirements.shell() {
+    let argv = if common.requirements.uses_shell() {
         let line: Vec<_> = words.iter().map(Word::for_shell).collect();
         vec!["/bin/sh".into(), "-c".into(), line.join(" ")]
     } else {
--- a/crates/cwl/src/load.rs
+++ b/crates/cwl/src/load.rs
@@ -291,7 +291,7 @@
         fields.get("cwlVersion");
         let class = fields.require("class")?;
         let requirements = Requirements::read(&mut fields, outer)?;
-        let names = requirements.names();
+        let names = requirements.named_types();
         let js = requirements.library().is_some();
         let common = Common {
             id: if id.is_empty() { file } else { id }.to_owned(),
--- a/crates/cwl/src/requirements.rs
+++ b/crates/cwl/src/requirements.rs
@@ -1,4 +1,4 @@
-//! Requirements and hints: what a process asks of whoever runs it.
+//! Requirements and hints of processes and steps, and how those of nested scopes merge.
 
 use std::collections::BTreeMap;
 
@@ -12,90 +12,90 @@
     types::{NamedTypes, Type},
 };
 
-/// The name space of what oliveshift adds, as `$namespaces` has to give it.
+/// The namespace of oliveshift's extensions, as documents declare it in `$namespaces`.
 pub const NAMESPACE: &str = "https://oliveshift.example/cwl#";
 
-/// One requirement.
+/// A requirement or hint.
 #[derive(Clone, Debug)]
 pub enum Requirement {
-    /// JavaScript, with a library.
+    /// JavaScript expressions, with the texts of `expressionLib`.
     InlineJavascript(Vec<String>),
-    /// Types that have names.
+    /// Named types.
     SchemaDefs(NamedTypes),
-    /// The image.
+    /// The container image.
     Image(String),
     /// Processors and memory.
     Resources(Resources),
-    /// Variables of the environment.
+    /// Environment variables.
     Environment(Vec<(String, Template)>),
-    /// What is in the working directory beforehand.
+    /// What is staged in the working directory before the tool starts.
     WorkDir(WorkDir),
-    /// The command is run by a shell.
+    /// The command runs in a shell.
     Shell,
-    /// The longest that a tool may run, in seconds.
+    /// The tool's time limit, in seconds.
     TimeLimit(Template),
-    /// What oliveshift adds.
+    /// Placement and ordering of jobs, an oliveshift extension.
     Placement(Placement),
-    /// A feature that is always there, or that changes nothing here.
+    /// A feature that is always available, or that has no effect here.
     NoEffect,
 }
 
 /// Processors and memory of a tool.
 #[derive(Clone, Debug, Default)]
 pub struct Resources {
-    /// Processors; `coresMin`, or `coresMax` without it.
+    /// Processors; `coresMin`, or `coresMax` if that is absent.
     pub cores: Option<Template>,
-    /// Memory in MiB; `ramMin`, or `ramMax` without it.
+    /// Memory in MiB; `ramMin`, or `ramMax` if that is absent.
     pub ram: Option<Template>,
 }
 
-/// What is put into the working directory.
+/// The contents staged in the working directory.
 #[derive(Clone, Debug)]
 pub enum WorkDir {
-    /// Entries one by one.
+    /// A list of entries.
     Entries(Vec<WorkDirEntry>),
-    /// An expression that gives all of them.
+    /// An expression that gives the whole listing.
     All(Template),
 }
 
-/// Something in the working directory.
+/// An entry staged in the working directory.
 #[derive(Clone, Debug)]
 pub struct WorkDirEntry {
-    /// Its name; none: that of the file.
+    /// The entry's name; `None` keeps the name of the file.
     pub name: Option<Template>,
-    /// Text, a file, a directory, or several.
+    /// A text, a file, a directory, or a list of these.
     pub content: Template,
-    /// Whether the tool may change it.
+    /// Whether the tool may modify it.
     pub writable: bool,
 }
 
-/// How a tool's job is placed and ordered: what a native job says of itself.
+/// Placement and ordering of a tool's job: the fields that a native job has for these.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Placement {
-    /// The team that pays.
+    /// The team that the job is accounted to.
     pub team: Option<String>,
-    /// The class of work.
+    /// The job's class of work.
     pub class: Option<String>,
     /// `low`, `normal` or `high`.
     pub urgency: Option<String>,
-    /// When it has to be done after the run's start, in seconds.
+    /// The deadline, in seconds after the start of the run.
     pub deadline_s: Option<f64>,
-    /// The only zone.
+    /// The zone to which the job is restricted.
     pub zone: Option<String>,
-    /// Machine types.
+    /// The machine types to which the job is restricted.
     pub types: Option<Vec<String>>,
-    /// Whether spot machines will do.
+    /// Whether the job may run on spot machines.
     pub spot: Option<bool>,
-    /// How long a task takes, in seconds.
+    /// The estimated run time of a task, in seconds.
     pub estimate_s: Option<f64>,
-    /// The image's size, in GB.
+    /// The size of the image, in GB.
     pub image_gb: Option<f64>,
-    /// Graphics processors.
+    /// The number of GPUs.
     pub gpus: Option<f64>,
 }
 
 impl Placement {
-    /// This within another one, which counts where this says nothing.
+    /// Fills the fields that are not set from `outer`, field by field.
     fn within(&self, outer: &Self) -> Self {
         let inner = self.clone();
         let outer = outer.clone();
@@ -114,10 +114,10 @@
     }
 }
 
-/// The classes of requirements and what becomes of them, by name.
+/// Requirements by their CWL class.
 type RequirementsByClass = BTreeMap<&'static str, Requirement>;
 
-/// All that holds for a process.
+/// The requirements and hints that apply to a process or step.
 #[derive(Clone, Debug, Default)]
 pub struct Requirements {
     required: RequirementsByClass,
@@ -125,12 +125,12 @@
 }
 
 impl Requirements {
-    /// Reads `requirements` and `hints` of a process or a step, within what holds
-    /// around it.
+    /// Reads `requirements` and `hints` of a process or step and merges them with those of
+    /// the enclosing scope, `outer`.
     ///
     /// # Errors
-    /// A requirement that is not known or not supported, or a hint that is not
-    /// well formed.
+    /// A requirement is unknown or not supported, a class is given twice, or a known hint is
+    /// malformed.
     pub fn read(fields: &mut Fields, outer: &Requirements) -> Result<Self, Fault> {
         let mut requirements = Self::default();
         let mut named = |name| -> Result<_, Fault> {
@@ -141,16 +141,16 @@
                 .unwrap_or_default())
         };
         let (required, hinted) = (named("requirements")?, named("hints")?);
-        // JavaScript and types first: the others may use them.
-        let late =
+        // JavaScript and named types are read first because other requirements may use them.
+        let uses_definitions =
             |name: &str| !matches!(name, "InlineJavascriptRequirement" | "SchemaDefRequirement");
         for (list, is_hint) in [(required, false), (hinted, true)] {
             let mut list = list;
-            list.sort_by_key(|(name, _)| late(name));
+            list.sort_by_key(|(name, _)| uses_definitions(name));
             for (name, cursor) in list {
                 let merged = requirements.within(outer);
                 let read = read_requirement(&name, &cursor, is_hint, &merged)?;
-                let Some((class, require)) = read else {
+                let Some((class, requirement)) = read else {
                     continue;
                 };
                 let classes = if is_hint {
@@ -158,29 +158,30 @@
                 } else {
                     &mut requirements.required
                 };
-                if classes.insert(class, require).is_some() {
-                    return Err(cursor.fault(format!("`{name}` is given twice")));
+                if classes.insert(class, requirement).is_some() {
+                    return Err(cursor.fault(format!("`{name}` is given more than once")));
                 }
             }
         }
         Ok(requirements.within(outer))
     }
 
-    /// These within a workflow or step that has some itself: the inner ones
-    /// count, and requirements before hints.
+    /// Merges with the requirements of an enclosing workflow or step: an inner requirement
+    /// replaces an outer one of its class, and likewise for hints. [`Self::get`] prefers
+    /// requirements to hints, wherever they come from.
     fn within(&self, outer: &Requirements) -> Self {
         let merge = |outer: &RequirementsByClass, inner: &RequirementsByClass| {
             let mut all = outer.clone();
-            for (class, require) in inner {
-                let require = match (all.get(class), require) {
-                    // Whoever says how long a step takes does not mean to take
-                    // back which team pays.
+            for (class, requirement) in inner {
+                let requirement = match (all.get(class), requirement) {
+                    // Placements merge field by field: a step that gives only an estimate
+                    // keeps the team of the workflow.
                     (Some(Requirement::Placement(outer)), Requirement::Placement(inner)) => {
                         Requirement::Placement(inner.within(outer))
                     }
-                    (_, require) => require.clone(),
+                    (_, requirement) => requirement.clone(),
                 };
-                all.insert(class, require);
+                all.insert(class, requirement);
             }
             all
         };
@@ -195,7 +196,7 @@
         required.or_else(|| self.hinted.get(class))
     }
 
-    /// The library of expressions; none if JavaScript is not asked for.
+    /// The library for expressions; `None` if JavaScript is not required.
     pub fn library(&self) -> Option<&[String]> {
         match self.get("InlineJavascriptRequirement") {
             Some(Requirement::InlineJavascript(library)) => Some(library),
@@ -203,15 +204,15 @@
         }
     }
 
-    /// Types that have names.
-    pub fn names(&self) -> NamedTypes {
+    /// Named types.
+    pub fn named_types(&self) -> NamedTypes {
         match self.get("SchemaDefRequirement") {
             Some(Requirement::SchemaDefs(names)) => names.clone(),
             _ => NamedTypes::new(),
         }
     }
 
-    /// The image.
+    /// The container image.
     pub fn image(&self) -> Option<&str> {
         match self.get("DockerRequirement") {
             Some(Requirement::Image(image)) => Some(image),
@@ -219,45 +220,45 @@
         }
     }
 
-    /// Processors and memory in MiB. CWL's own defaults where nothing is said.
+    /// Processors, and memory in MiB. CWL's defaults apply where none are given.
     ///
     /// # Errors
-    /// What is given is no number above zero.
+    /// A value can't be evaluated or is not a number above zero.
     pub fn resources(&self, scope: &Scope<'_>, engine: &Engine) -> Result<(f64, f64), Fault> {
         let (mut cores, mut ram) = (1.0, 256.0);
-        if let Some(Requirement::Resources(asked)) = self.get("ResourceRequirement") {
-            for (given, into) in [(&asked.cores, &mut cores), (&asked.ram, &mut ram)] {
+        if let Some(Requirement::Resources(resources)) = self.get("ResourceRequirement") {
+            for (given, into) in [(&resources.cores, &mut cores), (&resources.ram, &mut ram)] {
                 if let Some(given) = given {
-                    *into = positive(given, scope, engine)?;
+                    *into = positive_number(given, scope, engine)?;
                 }
             }
         }
         Ok((cores, ram))
     }
 
-    /// Whether processors and memory are the same whatever goes in.
+    /// Whether processors and memory don't depend on the inputs.
     pub fn resources_are_constant(&self) -> bool {
         match self.get("ResourceRequirement") {
-            Some(Requirement::Resources(asked)) => {
-                let given = [&asked.cores, &asked.ram];
+            Some(Requirement::Resources(resources)) => {
+                let given = [&resources.cores, &resources.ram];
                 given.into_iter().flatten().all(Template::is_constant)
             }
             _ => true,
         }
     }
 
-    /// How many of them it takes the engine to know.
+    /// The number of resource values that need the JavaScript engine.
     pub fn resource_expression_count(&self) -> usize {
         match self.get("ResourceRequirement") {
-            Some(Requirement::Resources(asked)) => {
-                let given = [&asked.cores, &asked.ram].into_iter().flatten();
+            Some(Requirement::Resources(resources)) => {
+                let given = [&resources.cores, &resources.ram].into_iter().flatten();
                 given.filter(|t| t.uses_javascript()).count()
             }
             _ => 0,
         }
     }
 
-    /// Variables of the environment.
+    /// Environment variables.
     pub fn environment(&self) -> &[(String, Template)] {
         match self.get("EnvVarRequirement") {
             Some(Requirement::Environment(list)) => list,
@@ -265,7 +266,7 @@
         }
     }
 
-    /// What is in the working directory beforehand.
+    /// What is staged in the working directory before the tool starts.
     pub fn work_dir(&self) -> Option<&WorkDir> {
         match self.get("InitialWorkDirRequirement") {
             Some(Requirement::WorkDir(dir)) => Some(dir),
@@ -273,31 +274,33 @@
         }
     }
 
-    /// Whether a shell runs the command.
-    pub fn shell(&self) -> bool {
+    /// Whether the command runs in a shell.
+    pub fn uses_shell(&self) -> bool {
         self.get("ShellCommandRequirement").is_some()
     }
 
-    /// The longest that a tool may run; none: as long as it likes.
+    /// The tool's time limit in seconds; `None` for no limit.
     ///
     /// # Errors
-    /// What is given is no number.
+    /// The value can't be evaluated or is not a number of at least zero.
     pub fn time_limit(&self, scope: &Scope<'_>, engine: &Engine) -> Result<Option<f64>, Fault> {
         match self.get("ToolTimeLimit") {
             Some(Requirement::TimeLimit(limit)) => {
                 let value = limit.eval(scope, engine)?;
                 match value.as_f64() {
-                    // Zero means none, by the standard.
+                    // The CWL standard defines zero as no limit.
                     Some(0.0) => Ok(None),
                     Some(limit) if limit > 0.0 => Ok(Some(limit)),
-                    _ => Err(limit.cursor().fault("a number of seconds is expected")),
+                    _ => Err(limit
+                        .cursor()
+                        .fault("a number of seconds, zero or more, is expected")),
                 }
             }
             _ => Ok(None),
         }
     }
 
-    /// What oliveshift adds.
+    /// The `oliveshift:Placement` extension.
     pub fn placement(&self) -> Placement {
         match self.get("Placement") {
             Some(Requirement::Placement(placement)) => placement.clone(),
@@ -306,7 +309,7 @@
     }
 }
 
-fn positive(given: &Template, scope: &Scope<'_>, engine: &Engine) -> Result<f64, Fault> {
+fn positive_number(given: &Template, scope: &Scope<'_>, engine: &Engine) -> Result<f64, Fault> {
     let value = given.eval(scope, engine)?;
     match value.as_f64() {
         Some(x) if x > 0.0 && x.is_finite() => Ok(x),
@@ -317,14 +320,14 @@
     }
 }
 
-/// Reads one. None: a hint that is not known, which may be passed over.
+/// Reads one requirement or hint; `None` for an unknown hint, which is ignored.
 fn read_requirement(
     name: &str,
     cursor: &Cursor,
     is_hint: bool,
-    known: &Requirements,
+    outer: &Requirements,
 ) -> Result<Option<(&'static str, Requirement)>, Fault> {
-    let js = known.library().is_some();
+    let js = outer.library().is_some();
     let mut fields = cursor.fields()?;
     fields.get("class");
     let template = |cursor: Option<Cursor>| cursor.map(|s| Template::parse(&s, js)).transpose();
@@ -338,7 +341,7 @@
             )
         }
         "SchemaDefRequirement" => {
-            let mut names = known.names();
+            let mut names = outer.named_types();
             for kind in fields.require("types")?.to_list() {
                 let Some(name) = kind.node.get("name") else {
                     return Err(kind.fault("`name` is missing"));
@@ -372,16 +375,18 @@
             )
         }
         "ResourceRequirement" => {
-            let (cores, most) = (fields.get("coresMin"), fields.get("coresMax"));
-            let cores = template(cores.or(most))?;
-            let (ram, most) = (fields.get("ramMin"), fields.get("ramMax"));
-            let ram = template(ram.or(most))?;
-            // Machines have one disk, of which the service has no measure.
+            let (cores, max) = (fields.get("coresMin"), fields.get("coresMax"));
+            let cores = template(cores.or(max))?;
+            let (ram, max) = (fields.get("ramMin"), fields.get("ramMax"));
+            let ram = template(ram.or(max))?;
+            // Machines have one disk, whose space the service doesn't track.
             for disk in ["tmpdirMin", "tmpdirMax", "outdirMin", "outdirMax"] {
                 if let Some(cursor) = fields.get(disk)
                     && !is_hint
                 {
-                    return Err(cursor.fault("disk space is not measured; give it as a hint"));
+                    return Err(cursor.fault(
+                        "disk space can't be required because it is not tracked; give it as a hint",
+                    ));
                 }
             }
             let resources = Resources { cores, ram };
@@ -396,7 +401,9 @@
                 let value = Template::parse(&entry.require("envValue")?, js)?;
                 entry.finish()?;
                 if name.is_empty() || name.contains(['=', '\0']) {
-                    return Err(given.fault(format!("`{name}` is no variable's name")));
+                    return Err(given.fault(format!(
+                        "`{name}` is not a valid name for an environment variable"
+                    )));
                 }
                 list.push((name, value));
             }
@@ -408,7 +415,7 @@
                 Ok(_) => WorkDir::All(Template::parse(&listing, js)?),
                 Err(_) => {
                     let entries = listing.to_list();
-                    let entries = entries.iter().map(|e| entry(e, js));
+                    let entries = entries.iter().map(|e| work_dir_entry(e, js));
                     WorkDir::Entries(entries.collect::<Result<_, _>>()?)
                 }
             };
@@ -432,14 +439,15 @@
             ("StepInputExpressionRequirement", Requirement::NoEffect)
         }
         "WorkReuse" => {
-            // Nothing is reused, which is what `false` asks and `true` allows.
+            // Results are never reused, which satisfies both values: `true` only allows reuse.
             fields.get("enableReuse");
             ("WorkReuse", Requirement::NoEffect)
         }
         "NetworkAccess" => {
             let access = fields.require("networkAccess")?;
             if !is_hint && !access.bool()? {
-                let what = "tasks have their machine's network; it can't be taken away";
+                let what =
+                    "network access can't be disabled: tasks use the network of their machine";
                 return Err(access.fault(what));
             }
             ("NetworkAccess", Requirement::NoEffect)
@@ -462,7 +470,8 @@
     Ok(Some(read))
 }
 
-/// `Placement` of `oliveshift:Placement` or of the whole name.
+/// The class name without its namespace: `Placement` for `oliveshift:Placement` and for
+/// the name with the full [`NAMESPACE`].
 fn local_class(name: &str) -> &str {
     if let Some(rest) = name.strip_prefix(NAMESPACE) {
         return rest;
@@ -473,7 +482,7 @@
     }
 }
 
-fn entry(cursor: &Cursor, js: bool) -> Result<WorkDirEntry, Fault> {
+fn work_dir_entry(cursor: &Cursor, js: bool) -> Result<WorkDirEntry, Fault> {
     if cursor.text().is_ok() || cursor.node.get("entry").is_none() {
         return Ok(WorkDirEntry {
             name: None,
@@ -507,7 +516,7 @@
     if let Some((urgency, cursor)) = &urgency
         && !["low", "normal", "high"].contains(&urgency.as_str())
     {
-        // Production is for services, which a workflow's steps are not.
+        // `production` is reserved for services, and steps of a workflow are not services.
         return Err(cursor.fault("`low`, `normal` or `high` is expected"));
     }
     let mut number = |name| -> Result<Option<f64>, Fault> {
@@ -525,13 +534,13 @@
     let gpus = number("gpus")?;
     let types = fields.get("types").map(|t| t.texts()).transpose()?;
     let spot = fields.get("spot").map(|s| s.bool()).transpose()?;
-    let plain = |text: Option<(String, Cursor)>| text.map(|(text, _)| text);
+    let without_cursor = |text: Option<(String, Cursor)>| text.map(|(text, _)| text);
     Ok(Placement {
-        team: plain(team),
-        class: plain(class),
-        urgency: plain(urgency),
+        team: without_cursor(team),
+        class: without_cursor(class),
+        urgency: without_cursor(urgency),
         deadline_s,
-        zone: plain(zone),
+        zone: without_cursor(zone),
         types,
         spot,
         estimate_s,
@@ -540,7 +549,8 @@
     })
 }
 
-/// The runtime that expressions see, by what a tool asked for.
+/// The `runtime` object that expressions see, with the requested processors and memory
+/// rounded up.
 pub fn runtime(cores: f64, ram: f64) -> Value {
     serde_json::json!({
         "outdir": ".",
--- a/crates/cwl/tests/documents.rs
+++ b/crates/cwl/tests/documents.rs
@@ -124,7 +124,7 @@
         ),
         (
             TOOL.to_owned() + "requirements: {NetworkAccess: {networkAccess: false}}\n",
-            "can't be taken away",
+            "network access can't be disabled",
         ),
         (
             TOOL.to_owned() + "requirements: {DockerRequirement: {dockerFile: x}}\n",
