--- a/crates/cwl/src/document.rs
+++ b/crates/cwl/src/document.rs
@@ -1,4 +1,4 @@
-//! Processes as documents describe them.
+//! CWL processes: command line tools, expression tools, workflows and their parts.
 
 use std::sync::Arc;
 
@@ -13,19 +13,19 @@
     yaml::Data,
 };
 
-/// Something that can be run.
+/// A process that can be executed.
 #[derive(Clone, Debug)]
 pub enum Process {
-    /// A command line.
+    /// A command line tool.
     Tool(Arc<Tool>),
-    /// An expression.
+    /// An expression tool.
     Expression(Arc<ExpressionTool>),
-    /// Steps.
+    /// A workflow.
     Workflow(Arc<Workflow>),
 }
 
 impl Process {
-    /// What all processes have.
+    /// The fields that all kinds of processes have.
     pub fn common(&self) -> &Common {
         match self {
             Self::Tool(tool) => &tool.common,
@@ -35,78 +35,79 @@
     }
 }
 
-/// What all processes have.
+/// The fields that all kinds of processes have.
 #[derive(Clone, Debug)]
 pub struct Common {
-    /// Its name in its file, or the file's.
+    /// The process's identifier in its file, the step's name for an inline process, or
+    /// otherwise the file's path.
     pub id: String,
-    /// Where it stands.
+    /// The location in the document.
     pub cursor: Cursor,
-    /// What goes in.
+    /// The input parameters.
     pub inputs: Vec<Parameter>,
-    /// What comes out.
+    /// The output parameters.
     pub outputs: Vec<Output>,
-    /// Requirements and hints.
+    /// Requirements and hints, merged with those of enclosing scopes.
     pub requirements: Requirements,
 }
 
-/// What goes into a process.
+/// An input parameter of a process.
 #[derive(Clone, Debug)]
 pub struct Parameter {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its type.
+    /// The type.
     pub kind: Type,
-    /// Where it goes in a command line.
+    /// How its values are added to a command line.
     pub bound: BoundType,
-    /// What it is if nothing is given.
+    /// The value used if none is given.
     pub default: Option<Value>,
     /// Whether expressions see the first 64 KiB of the file.
     pub load_contents: bool,
-    /// Files that have to come with it.
+    /// The secondary files that accompany a file.
     pub secondary_files: Vec<SecondaryFile>,
 }
 
-/// What comes out of a process.
+/// An output parameter of a process.
 #[derive(Clone, Debug)]
 pub struct Output {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its type.
+    /// The type.
     pub kind: Type,
-    /// How a tool's output is found.
+    /// How the value of a tool's output is determined.
     pub output_binding: Option<OutputBinding>,
-    /// Files that come with it.
+    /// The secondary files collected with it.
     pub secondary_files: Vec<SecondaryFile>,
-    /// Where a workflow's output comes from.
+    /// The sources of a workflow's output.
     pub link: Option<Link>,
-    /// Where it stands.
+    /// The location in the document.
     pub cursor: Cursor,
 }
 
-/// How a tool's output is found.
+/// How the value of a tool's output is determined (`outputBinding`).
 #[derive(Clone, Debug)]
 pub struct OutputBinding {
-    /// Patterns of file names; none: `eval` alone gives the value.
+    /// Patterns of file names. If empty, `eval` alone gives the value.
     pub glob: Vec<Template>,
-    /// Whether `eval` sees the first 64 KiB.
+    /// Whether `eval` sees the first 64 KiB of each file.
     pub load_contents: bool,
-    /// Makes the value from the files, which it sees as `self`.
+    /// Computes the value from the matching files, which it sees as `self` (`outputEval`).
     pub eval: Option<Template>,
 }
 
-/// A file that comes with another one: `.bai` is added to its name, each `^`
-/// before takes an extension away.
+/// A file that accompanies a primary file. The pattern's suffix, such as `.bai`, is appended
+/// to the primary file's name after each leading `^` has removed one extension from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SecondaryFile {
     /// The pattern.
     pub pattern: String,
-    /// Whether it is an error if there is none.
+    /// Whether the absence of the file is an error.
     pub required: bool,
 }
 
 impl SecondaryFile {
-    /// The name of the file that comes with `name`.
+    /// The name of the secondary file of the primary file `name`.
     pub fn name_for(&self, name: &str) -> String {
         let suffix = self.pattern.trim_start_matches('^');
         let mut stem = name;
@@ -117,49 +118,49 @@
     }
 }
 
-/// A type with what its parts add to a command line.
+/// A type with the bindings that add its values to a command line.
 #[derive(Clone, Debug)]
 pub struct BoundType {
     /// The type.
     pub kind: Type,
-    /// What a value of it adds.
+    /// What a value of this type adds.
     pub binding: Option<Binding>,
-    /// Its parts.
+    /// The parts of the type, with their own bindings.
     pub parts: BoundParts,
 }
 
-/// The parts of a type.
+/// The parts of a [`BoundType`].
 #[derive(Clone, Debug)]
 pub enum BoundParts {
-    /// None.
+    /// A type without parts.
     Leaf,
-    /// Those of an array.
+    /// The items of an array.
     Items(Box<BoundType>),
-    /// Those of a record.
+    /// The named fields of a record.
     Fields(Vec<(String, BoundType)>),
-    /// It is one of these; the first that fits counts.
+    /// The alternatives of a union; the first that a value matches applies.
     Union(Vec<BoundType>),
 }
 
-/// What a value adds to a command line.
+/// What a value adds to a command line (`inputBinding`).
 #[derive(Clone, Debug, Default)]
 pub struct Binding {
-    /// Where; 0 without it.
+    /// The sort position; 0 if absent.
     pub position: Option<Template>,
-    /// Goes before it.
+    /// A prefix for the value.
     pub prefix: Option<String>,
-    /// Whether the prefix is a word of its own.
+    /// Whether the prefix is a separate argument.
     pub separate: bool,
-    /// Joins the values of an array to one word.
+    /// Joins the items of an array to one argument (`itemSeparator`).
     pub separator: Option<String>,
-    /// Goes in instead of the value.
+    /// Replaces the value (`valueFrom`).
     pub value_from: Option<Template>,
-    /// Whether a shell must take it as one word.
+    /// Whether the value is quoted in a shell command (`shellQuote`).
     pub quote: bool,
 }
 
 impl Binding {
-    /// A word by itself.
+    /// A binding that adds the value as a separate argument without a prefix.
     pub fn word(quote: bool) -> Self {
         Self {
             separate: true,
@@ -172,108 +173,110 @@
 /// A command line tool.
 #[derive(Clone, Debug)]
 pub struct Tool {
-    /// What all processes have.
+    /// The fields that all kinds of processes have.
     pub common: Common,
-    /// The program, and words after it.
+    /// The program and its first arguments (`baseCommand`).
     pub command: Vec<String>,
-    /// Words that come from no input.
+    /// Arguments that don't come from an input.
     pub arguments: Vec<Binding>,
-    /// The file that is its standard input.
+    /// The file to use as standard input.
     pub stdin: Option<Template>,
-    /// The name of the file that its standard output goes to.
+    /// The name of the file that receives standard output.
     pub stdout: Option<Template>,
-    /// The same for its standard error.
+    /// The name of the file that receives standard error.
     pub stderr: Option<Template>,
-    /// Exit codes that mean success; none: 0.
+    /// Exit codes that mean success. 0 does so too, unless it is listed as a failure.
     pub success_codes: Vec<i64>,
-    /// Exit codes after which it may be tried again.
+    /// Exit codes of temporary failures, which may be retried.
     pub temporary_fail_codes: Vec<i64>,
-    /// Exit codes after which it must not.
+    /// Exit codes of permanent failures, which must not be retried.
     pub permanent_fail_codes: Vec<i64>,
 }
 
-/// An expression that is a process.
+/// A process that consists of an expression.
 #[derive(Clone, Debug)]
 pub struct ExpressionTool {
-    /// What all processes have.
+    /// The fields that all kinds of processes have.
     pub common: Common,
-    /// Gives the outputs.
+    /// The expression that gives the outputs.
     pub expression: Template,
 }
 
-/// Steps.
+/// A workflow.
 #[derive(Clone, Debug)]
 pub struct Workflow {
-    /// What all processes have.
+    /// The fields that all kinds of processes have.
     pub common: Common,
-    /// In an order in which each comes after those it depends on.
+    /// The steps in topological order: each follows the steps that it depends on.
     pub steps: Vec<Step>,
 }
 
-/// A step.
+/// A step of a workflow.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Where it stands.
+    /// The location in the document.
     pub cursor: Cursor,
-    /// What goes in.
+    /// The inputs of the step.
     pub inputs: Vec<StepInput>,
-    /// Names of what comes out.
+    /// The names of the outputs.
     pub outputs: Vec<String>,
-    /// What it runs.
+    /// The process that the step runs.
     pub run: Process,
-    /// Whether it is run at all.
+    /// The condition for running the step; `None` if it always runs.
     pub when: Option<Template>,
-    /// The inputs that are scattered over.
+    /// The names of the inputs to scatter over.
     pub scatter: Vec<String>,
-    /// How, if they are several.
+    /// How several scattered inputs are combined.
     pub scatter_method: ScatterMethod,
-    /// Requirements and hints, within those of the workflow.
+    /// Requirements and hints, merged with those of the workflow.
     pub requirements: Requirements,
 }
 
-/// How several inputs are scattered over.
+/// How several scattered inputs are combined (`scatterMethod`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScatterMethod {
-    /// The first with the first, the second with the second.
+    /// Items of equal index are combined (`dotproduct`).
     DotProduct,
-    /// Each with each, as arrays in arrays.
+    /// All combinations, with outputs as nested arrays (`nested_crossproduct`).
     NestedCrossProduct,
-    /// Each with each, as one array.
+    /// All combinations, with outputs as one flat array (`flat_crossproduct`).
     FlatCrossProduct,
 }
 
-/// What goes into a step.
+/// An input of a step.
 #[derive(Clone, Debug)]
 pub struct StepInput {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Where it comes from.
+    /// The sources of the value.
     pub link: Link,
-    /// What it is if nothing comes.
+    /// The value used if the sources give null.
     pub default: Option<Value>,
-    /// Makes the value.
+    /// Computes the value (`valueFrom`).
     pub value_from: Option<Template>,
     /// Whether expressions see the first 64 KiB of the file.
     pub load_contents: bool,
-    /// Where it stands.
+    /// The location in the document.
     pub cursor: Cursor,
 }
 
-/// Where a value of a workflow comes from.
+/// The sources of a value in a workflow and how they are combined.
 #[derive(Clone, Debug)]
 pub struct Link {
-    /// From these.
+    /// The sources.
     pub sources: Vec<Source>,
-    /// How several become one; given, a single one becomes a list of one.
+    /// How several sources are merged (`linkMerge`). If given, a single source gives an array
+    /// as well.
     pub merge: Option<LinkMerge>,
-    /// Which of them count.
+    /// Which of the values are used (`pickValue`).
     pub pick: Option<PickValue>,
 }
 
 impl Link {
-    /// How the values become one; none: there is only one.
+    /// The merge method that applies: `linkMerge`, or nested by default if there are several
+    /// sources. `None` if there is at most one source and no `linkMerge`.
     pub fn effective_merge(&self) -> Option<LinkMerge> {
         match (self.merge, self.sources.len()) {
             (None, 0 | 1) => None,
@@ -282,25 +285,25 @@
     }
 }
 
-/// Something that has a value.
+/// A source of a value in a workflow.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// An input of the workflow.
     Input(String),
-    /// An output of a step.
+    /// An output of a step: the names of the step and of the output.
     Step(String, String),
 }
 
-/// How several sources become one value.
+/// How several sources are merged into one value (`linkMerge`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkMerge {
-    /// An array of them.
+    /// An array with one item per source.
     Nested,
-    /// One array of what is in them.
+    /// One array of the items of all sources.
     Flattened,
 }
 
-/// Which values of several count.
+/// Which of several values are used (`pickValue`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PickValue {
     /// The first that is not null.
@@ -311,10 +314,10 @@
     All,
 }
 
-/// Reads a process's inputs.
+/// Reads a process's input parameters.
 ///
 /// # Errors
-/// The first that is wrong.
+/// The first invalid parameter.
 pub fn parameters(
     cursor: Option<Cursor>,
     names: &NamedTypes,
@@ -323,7 +326,7 @@
     let mut all: Vec<Parameter> = Vec::new();
     let Some(cursor) = cursor else { return Ok(all) };
     for (name, cursor) in cursor.named("id", Some("type"))? {
-        // A list of types stands for `type` too.
+        // A list of types is short for a map with `type` as well.
         let cursor = with_type(cursor);
         let mut fields = cursor.fields()?;
         fields.allow_descriptive_fields();
@@ -332,14 +335,14 @@
         if uses_streams(&kind) {
             return Err(type_cursor.fault("only outputs can be `stdout` or `stderr`"));
         }
-        let own = fields.get("inputBinding");
-        let own = own.map(|b| binding(&b, js)).transpose()?;
-        let (load, own) = match own {
+        let own_binding = fields.get("inputBinding");
+        let own_binding = own_binding.map(|b| binding(&b, js)).transpose()?;
+        let (load, own_binding) = match own_binding {
             Some((binding, load)) => (load, Some(binding)),
             None => (false, None),
         };
-        let bound = bound(&type_cursor, own, names, js)?;
-        let load_contents = flag(&mut fields, "loadContents")?.unwrap_or(load);
+        let bound = bound_type(&type_cursor, own_binding, names, js)?;
+        let load_contents = optional_bool(&mut fields, "loadContents")?.unwrap_or(load);
         skip_unused_fields(&mut fields)?;
         let default = fields.get_or_null("default").map(|d| d.node.to_value());
         let parameter = Parameter {
@@ -357,17 +360,17 @@
         }
         fields.finish()?;
         if all.iter().any(|p| p.name == parameter.name) {
-            return Err(cursor.fault(format!("`{}` is named twice", parameter.name)));
+            return Err(cursor.fault(format!("`{}` is defined twice", parameter.name)));
         }
         all.push(parameter);
     }
     Ok(all)
 }
 
-/// Reads a process's outputs.
+/// Reads a process's output parameters.
 ///
 /// # Errors
-/// The first that is wrong.
+/// The first invalid parameter.
 pub fn outputs(cursor: Option<Cursor>, names: &NamedTypes, js: bool) -> Result<Vec<Output>, Fault> {
     let mut all: Vec<Output> = Vec::new();
     let Some(cursor) = cursor else { return Ok(all) };
@@ -395,13 +398,14 @@
         };
         fields.finish()?;
         if all.iter().any(|o| o.name == output.name) {
-            return Err(cursor.fault(format!("`{}` is named twice", output.name)));
+            return Err(cursor.fault(format!("`{}` is defined twice", output.name)));
         }
         all.push(output);
     }
     Ok(all)
 }
 
+/// Expands a type without a map to a map with `type`.
 fn with_type(cursor: Cursor) -> Cursor {
     if matches!(cursor.node.data, Data::Map(_)) {
         return cursor;
@@ -414,6 +418,7 @@
     }
 }
 
+/// Whether the type contains `stdout` or `stderr`, except in a record.
 fn uses_streams(kind: &Type) -> bool {
     match kind {
         Type::Stdout | Type::Stderr => true,
@@ -423,7 +428,8 @@
     }
 }
 
-/// Fields that only describe, and one of which no other value is supported.
+/// Accepts `format` and `streamable`, which have no effect, and `loadListing` with the only
+/// value that is supported.
 fn skip_unused_fields(fields: &mut Fields) -> Result<(), Fault> {
     fields.get("format");
     fields.get("streamable");
@@ -435,7 +441,7 @@
     }
 }
 
-fn flag(fields: &mut Fields, name: &'static str) -> Result<Option<bool>, Fault> {
+fn optional_bool(fields: &mut Fields, name: &'static str) -> Result<Option<bool>, Fault> {
     fields.get(name).map(|s| s.bool()).transpose()
 }
 
@@ -450,14 +456,14 @@
             Err(_) => {
                 let mut fields = cursor.fields()?;
                 let pattern = fields.require("pattern")?;
-                let required = flag(&mut fields, "required")?.unwrap_or(true);
+                let required = optional_bool(&mut fields, "required")?.unwrap_or(true);
                 fields.finish()?;
                 (pattern, required)
             }
         };
         let text = pattern.text()?.trim_end_matches('?');
         if text.contains(['$', '/']) || text.trim_start_matches('^').is_empty() {
-            return Err(pattern.fault("only patterns as `.bai` or `^.bai` are supported"));
+            return Err(pattern.fault("only patterns such as `.bai` or `^.bai` are supported"));
         }
         all.push(SecondaryFile {
             pattern: text.to_owned(),
@@ -467,15 +473,16 @@
     Ok(all)
 }
 
-/// Reads what a type's parts add to a command line.
-fn bound(
+/// Reads a type with the bindings of its parts; `own_binding` is the binding of the value
+/// itself.
+fn bound_type(
     cursor: &Cursor,
-    binding_here: Option<Binding>,
+    own_binding: Option<Binding>,
     names: &NamedTypes,
     js: bool,
 ) -> Result<BoundType, Fault> {
     let kind = Type::parse(cursor, names)?;
-    let inner = |cursor: &Cursor| -> Result<Option<Binding>, Fault> {
+    let inner_binding = |cursor: &Cursor| -> Result<Option<Binding>, Fault> {
         let Some(node) = cursor.node.get("inputBinding") else {
             return Ok(None);
         };
@@ -485,21 +492,21 @@
     let parts = match &cursor.node.data {
         Data::List(_) => {
             let choices = cursor.to_list();
-            let choices = choices.iter().map(|c| bound(c, None, names, js));
+            let choices = choices.iter().map(|c| bound_type(c, None, names, js));
             BoundParts::Union(choices.collect::<Result<_, _>>()?)
         }
         Data::Map(_) => {
-            let at = |name: &str| {
+            let child = |name: &str| {
                 let node = cursor.node.get(name)?;
                 Some(cursor.below(name, node.clone()))
             };
-            let own = inner(cursor)?;
-            match (&kind, at("items"), at("fields")) {
+            let schema_binding = inner_binding(cursor)?;
+            match (&kind, child("items"), child("fields")) {
                 (Type::Array(_), Some(items), _) => {
-                    let mut part = bound(&items, None, names, js)?;
-                    // A binding of the array's type is for each of its items.
-                    if own.is_some() {
-                        part.binding = own;
+                    let mut part = bound_type(&items, None, names, js)?;
+                    // A binding in the array's type schema applies to each of its items.
+                    if schema_binding.is_some() {
+                        part.binding = schema_binding;
                     }
                     BoundParts::Items(Box::new(part))
                 }
@@ -510,7 +517,7 @@
                             return Err(field.fault("`type` is missing"));
                         };
                         let kind = field.below("type", kind.clone());
-                        let part = bound(&kind, inner(&field)?, names, js)?;
+                        let part = bound_type(&kind, inner_binding(&field)?, names, js)?;
                         parts.push((local_name(&name).to_owned(), part));
                     }
                     BoundParts::Fields(parts)
@@ -522,12 +529,13 @@
     };
     Ok(BoundType {
         kind,
-        binding: binding_here,
+        binding: own_binding,
         parts,
     })
 }
 
-/// The parts of `string[]` and `string[]?`.
+/// The parts of a type written as text, such as `string[]` or `string[]?`. They have no
+/// bindings.
 fn unbound_parts(kind: &Type) -> BoundParts {
     let part = |kind: &Type| BoundType {
         kind: kind.clone(),
@@ -544,7 +552,7 @@
     }
 }
 
-/// Reads a binding, and whether it asks for the contents of the file.
+/// Reads an input binding, and whether it sets `loadContents`.
 pub fn binding(cursor: &Cursor, js: bool) -> Result<(Binding, bool), Fault> {
     let mut fields = cursor.fields()?;
     let position = fields.get("position");
@@ -557,12 +565,12 @@
     let binding = Binding {
         position,
         prefix,
-        separate: flag(&mut fields, "separate")?.unwrap_or(true),
+        separate: optional_bool(&mut fields, "separate")?.unwrap_or(true),
         separator,
         value_from,
-        quote: flag(&mut fields, "shellQuote")?.unwrap_or(true),
+        quote: optional_bool(&mut fields, "shellQuote")?.unwrap_or(true),
     };
-    let load = flag(&mut fields, "loadContents")?.unwrap_or(false);
+    let load = optional_bool(&mut fields, "loadContents")?.unwrap_or(false);
     fields.finish()?;
     Ok((binding, load))
 }
@@ -580,7 +588,7 @@
         }
         None => Vec::new(),
     };
-    let load_contents = flag(&mut fields, "loadContents")?.unwrap_or(false);
+    let load_contents = optional_bool(&mut fields, "loadContents")?.unwrap_or(false);
     let eval = fields.get("outputEval");
     let eval = eval.map(|e| Template::parse(&e, js)).transpose()?;
     skip_unused_fields(&mut fields)?;
@@ -592,7 +600,8 @@
     })
 }
 
-/// Reads where a value comes from; `spot` is its `source`.
+/// Reads a link. `cursor` is its `source` or `outputSource`, and `fields` holds its
+/// `linkMerge` and `pickValue`.
 pub fn link(cursor: &Cursor, fields: &mut Fields) -> Result<Link, Fault> {
     let sources = cursor.texts()?;
     let merge = match fields.get("linkMerge") {
@@ -616,7 +625,7 @@
         None => None,
     };
     Ok(Link {
-        // What each name means is known once all steps are.
+        // All names are taken for inputs at first. They are resolved once all steps are known.
         sources: sources.into_iter().map(Source::Input).collect(),
         merge,
         pick,
--- a/crates/cwl/src/load.rs
+++ b/crates/cwl/src/load.rs
@@ -1,5 +1,5 @@
-//! Documents become processes: files are brought together, and what does not
-//! fit is found before anything runs.
+//! Loads documents: resolves imports, builds processes, and checks links and types before
+//! anything runs.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,60 +19,62 @@
     yaml::{self, Data, MAX_DEPTH, Node},
 };
 
-/// The version of CWL that is understood.
+/// The supported version of CWL.
 pub const VERSION: &str = "v1.2";
-/// The most files of one document, each time that one is brought in.
-const MAX_FILES: usize = 256;
-/// The most bytes of all of them.
+/// Maximum number of file reads for one document. A file imported several times counts each
+/// time.
+const MAX_FILE_READS: usize = 256;
+/// Maximum total size of the files read for one document.
 const MAX_TOTAL_BYTES: usize = 16 << 20;
-/// The deepest nesting of workflows in workflows.
-const MAX_WORKFLOW_DEPTH: usize = 16;
-/// The most values of a document, what is imported counted each time.
+/// Maximum nesting depth of processes in workflows.
+const MAX_PROCESS_DEPTH: usize = 16;
+/// Maximum number of values in a document. Imported values count at each import.
 const MAX_VALUES: usize = 500_000;
 
-/// Gives the text of files.
+/// Provides the texts of files.
 pub trait Resolver {
-    /// The text of a file, by its path relative to where documents are, with
-    /// `/` and without `.` and `..`.
+    /// Reads a file. The path is relative to the documents' directory, with `/` as separator
+    /// and without `.` and `..`.
     ///
     /// # Errors
-    /// Why there is none, in words.
+    /// A description of why the file can't be read.
     fn read(&self, path: &str) -> Result<String, String>;
 }
 
-/// Reads a document: a file, or one process of it, `file.cwl#name`.
+/// Loads a process: that of a file, or one of several as `file.cwl#name`.
 ///
 /// # Errors
-/// The first fault that is found.
+/// The first fault found.
 pub fn load(resolver: &dyn Resolver, path: &str) -> Result<Process, Fault> {
     let mut loader = Loader {
         resolver,
         files: BTreeMap::new(),
-        values: 0,
-        reads: 0,
-        bytes: 0,
+        value_count: 0,
+        file_reads: 0,
+        total_bytes: 0,
     };
     let (file, name) = match path.split_once('#') {
         Some((file, name)) => (file, Some(name)),
         None => (path, None),
     };
-    let file = join("", file).map_err(|what| file_fault(file, what))?;
-    let mut running = Vec::new();
-    loader.process(&file, name, &Requirements::default(), &mut running)
+    let file = resolve_path("", file).map_err(|what| file_fault(file, what))?;
+    let mut enclosing = Vec::new();
+    loader.load_process(&file, name, &Requirements::default(), &mut enclosing)
 }
 
-/// Reads the values that go into a process: a YAML or JSON file.
+/// Parses the input values of a process from the text of a YAML or JSON file.
 ///
 /// # Errors
-/// It is none, or no map.
+/// The text is not valid, or is not a map.
 pub fn values(file: &str, text: &str) -> Result<Node, Fault> {
     let node = yaml::parse(file, text)?;
     match node.data {
         Data::Map(_) => Ok(node),
-        _ => Err(Cursor::top(node).fault("inputs are a map from names to values")),
+        _ => Err(Cursor::top(node).fault("inputs must be a map from names to values")),
     }
 }
 
+/// A fault of a file as a whole.
 fn file_fault(file: &str, message: String) -> Fault {
     Fault {
         file: file.to_owned(),
@@ -82,10 +84,12 @@
     }
 }
 
-/// The path of a file that another one names.
-fn join(from: &str, name: &str) -> Result<String, String> {
+/// Resolves a relative path `name` that the file `from` refers to.
+fn resolve_path(from: &str, name: &str) -> Result<String, String> {
     if name.contains("://") || name.starts_with('/') || name.contains('\\') {
-        return Err(format!("`{name}`: only files by relative path are read"));
+        return Err(format!(
+            "`{name}`: only relative paths to files are supported"
+        ));
     }
     let mut parts: Vec<&str> = from.split('/').collect();
     parts.pop();
@@ -94,7 +98,7 @@
             "" | "." => {}
             ".." => {
                 if parts.pop().is_none() {
-                    return Err(format!("`{name}` leads out of the documents' directory"));
+                    return Err(format!("`{name}` is outside the documents' directory"));
                 }
             }
             part => parts.push(part),
@@ -103,21 +107,25 @@
     Ok(parts.join("/"))
 }
 
+/// The state of loading one document.
 struct Loader<'a> {
     resolver: &'a dyn Resolver,
+    /// Files that were read, with their imports resolved, by path.
     files: BTreeMap<String, Node>,
-    values: usize,
-    reads: usize,
-    bytes: usize,
+    /// Values visited while resolving imports.
+    value_count: usize,
+    file_reads: usize,
+    total_bytes: usize,
 }
 
 impl Loader<'_> {
-    /// A file with all that it imports.
-    fn file(&mut self, path: &str, by: Option<&Cursor>) -> Result<Node, Fault> {
+    /// Reads a file and resolves its imports. `referrer` is the value that names
+    /// it.
+    fn read_file(&mut self, path: &str, referrer: Option<&Cursor>) -> Result<Node, Fault> {
         if let Some(node) = self.files.get(path) {
             return Ok(node.clone());
         }
-        let text = self.text(path, by)?;
+        let text = self.read_text(path, referrer)?;
         let node = yaml::parse(path, &text)?;
         let mut open = vec![path.to_owned()];
         let node = self.resolve_imports(&Cursor::top(node), &mut open, 0)?;
@@ -125,14 +133,15 @@
         Ok(node)
     }
 
-    fn text(&mut self, path: &str, by: Option<&Cursor>) -> Result<String, Fault> {
-        let fault = |what: String| match by {
+    /// Reads the text of a file, within the limits.
+    fn read_text(&mut self, path: &str, referrer: Option<&Cursor>) -> Result<String, Fault> {
+        let fault = |what: String| match referrer {
             Some(cursor) => cursor.fault(what),
             None => file_fault(path, what),
         };
-        self.reads += 1;
-        if self.reads > MAX_FILES {
-            return Err(fault(format!("more than {MAX_FILES} files")));
+        self.file_reads += 1;
+        if self.file_reads > MAX_FILE_READS {
+            return Err(fault(format!("more than {MAX_FILE_READS} files")));
         }
         let text = self.resolver.read(path);
         let text = text.map_err(|e| fault(format!("{path}: {e}")))?;
@@ -142,8 +151,8 @@
                 yaml::MAX_FILE_BYTES
             )));
         }
-        self.bytes += text.len();
-        if self.bytes > MAX_TOTAL_BYTES {
+        self.total_bytes += text.len();
+        if self.total_bytes > MAX_TOTAL_BYTES {
             return Err(fault(format!(
                 "more than {MAX_TOTAL_BYTES} bytes in all files"
             )));
@@ -151,16 +160,17 @@
         Ok(text)
     }
 
-    /// Puts the contents of files where `$import` and `$include` name them.
+    /// Replaces `$import` and `$include` by the contents of the files that they name. `open`
+    /// holds the files whose imports are being resolved, to detect cycles.
     fn resolve_imports(
         &mut self,
         cursor: &Cursor,
         open: &mut Vec<String>,
         depth: usize,
     ) -> Result<Node, Fault> {
-        self.values += 1;
-        if depth > MAX_DEPTH || self.values > MAX_VALUES {
-            return Err(cursor.fault("too deep or too large with what it imports"));
+        self.value_count += 1;
+        if depth > MAX_DEPTH || self.value_count > MAX_VALUES {
+            return Err(cursor.fault("nested too deeply or too many values, imports included"));
         }
         let data = match &cursor.node.data {
             Data::List(list) => {
@@ -175,7 +185,7 @@
                 if let [(name, node)] = map.as_slice()
                     && (&**name == "$import" || &**name == "$include")
                 {
-                    return self.imported(&cursor.below(name, node.clone()), open, depth);
+                    return self.read_import(&cursor.below(name, node.clone()), open, depth);
                 }
                 let mut all = Vec::with_capacity(map.len());
                 for (name, node) in map.iter() {
@@ -195,16 +205,17 @@
         })
     }
 
-    fn imported(
+    /// The contents of the file that an `$import` or `$include` names.
+    fn read_import(
         &mut self,
         cursor: &Cursor,
         open: &mut Vec<String>,
         depth: usize,
     ) -> Result<Node, Fault> {
         let name = cursor.text()?;
-        let path = join(&cursor.node.location.file, name).map_err(|e| cursor.fault(e))?;
+        let path = resolve_path(&cursor.node.location.file, name).map_err(|e| cursor.fault(e))?;
         if cursor.path.ends_with("$include") {
-            let text = self.text(&path, Some(cursor))?;
+            let text = self.read_text(&path, Some(cursor))?;
             return Ok(Node {
                 location: cursor.node.location.clone(),
                 data: Data::Text(text.into()),
@@ -213,7 +224,7 @@
         if open.contains(&path) {
             return Err(cursor.fault(format!("{path} imports itself")));
         }
-        let text = self.text(&path, Some(cursor))?;
+        let text = self.read_text(&path, Some(cursor))?;
         let node = yaml::parse(&path, &text)?;
         open.push(path);
         let node = self.resolve_imports(&Cursor::top(node), open, depth + 1);
@@ -221,15 +232,16 @@
         node
     }
 
-    /// A process of a file; `running` are those that it is a part of.
-    fn process(
+    /// Loads a process of a file. `enclosing` holds the processes that contain it, to detect
+    /// recursion.
+    fn load_process(
         &mut self,
         file: &str,
         name: Option<&str>,
         outer: &Requirements,
-        running: &mut Vec<(String, String)>,
+        enclosing: &mut Vec<(String, String)>,
     ) -> Result<Process, Fault> {
-        let top = Cursor::top(self.file(file, None)?);
+        let top = Cursor::top(self.read_file(file, None)?);
         check_version(&top)?;
         let Some(graph) = top.node.get("$graph") else {
             let own = top.node.get("id").map(|id| top.below("id", id.clone()));
@@ -240,7 +252,7 @@
             {
                 return Err(top.fault(format!("there is no process `{name}` in this file")));
             }
-            return self.inline(&top, file, &own, outer, running);
+            return self.load_definition(&top, file, &own, outer, enclosing);
         };
         let graph = top.below("$graph", graph.clone());
         let all = graph.named("id", None)?;
@@ -252,39 +264,40 @@
             _ => return Err(graph.fault(format!("there is no process `{wanted}` in this file"))),
         };
         let cursor = found.1.clone();
-        self.inline(&cursor, file, local_name(&found.0), outer, running)
+        self.load_definition(&cursor, file, local_name(&found.0), outer, enclosing)
     }
 
-    /// A process that stands here.
-    fn inline(
+    /// Loads a process from its definition at `cursor`, with checks for recursion and depth.
+    fn load_definition(
         &mut self,
         cursor: &Cursor,
         file: &str,
         id: &str,
         outer: &Requirements,
-        running: &mut Vec<(String, String)>,
+        enclosing: &mut Vec<(String, String)>,
     ) -> Result<Process, Fault> {
-        let me = (file.to_owned(), format!("{id}:{}", cursor.path));
-        if running.contains(&me) {
-            return Err(cursor.fault("it is a step of itself"));
+        let identity = (file.to_owned(), format!("{id}:{}", cursor.path));
+        if enclosing.contains(&identity) {
+            return Err(cursor.fault("recursion: the process contains itself as a step"));
         }
-        if running.len() >= MAX_WORKFLOW_DEPTH {
-            let what = format!("workflows in workflows, more than {MAX_WORKFLOW_DEPTH} deep");
+        if enclosing.len() >= MAX_PROCESS_DEPTH {
+            let what = format!("processes in workflows are nested deeper than {MAX_PROCESS_DEPTH}");
             return Err(cursor.fault(what));
         }
-        running.push(me);
-        let process = self.read(cursor, file, id, outer, running);
-        running.pop();
+        enclosing.push(identity);
+        let process = self.read_process(cursor, file, id, outer, enclosing);
+        enclosing.pop();
         process
     }
 
-    fn read(
+    /// Reads the fields of a process.
+    fn read_process(
         &mut self,
         cursor: &Cursor,
         file: &str,
         id: &str,
         outer: &Requirements,
-        running: &mut Vec<(String, String)>,
+        enclosing: &mut Vec<(String, String)>,
     ) -> Result<Process, Fault> {
         let mut fields = cursor.fields()?;
         fields.allow_descriptive_fields();
@@ -338,11 +351,11 @@
             }
             "Workflow" => {
                 let steps = fields.require("steps")?;
-                let workflow = self.workflow(common, &steps, file, running)?;
+                let workflow = self.read_workflow(common, &steps, file, enclosing)?;
                 Process::Workflow(Arc::new(workflow))
             }
             "Operation" => {
-                return Err(class.fault("an Operation only describes; it can't be run"));
+                return Err(class.fault("an Operation has no implementation and can't be run"));
             }
             other => return Err(class.fault(format!("the class `{other}` is not known"))),
         };
@@ -355,24 +368,25 @@
         }
     }
 
-    fn workflow(
+    /// Reads the steps of a workflow, then resolves and checks all links.
+    fn read_workflow(
         &mut self,
         mut common: Common,
         cursor: &Cursor,
         file: &str,
-        running: &mut Vec<(String, String)>,
+        enclosing: &mut Vec<(String, String)>,
     ) -> Result<Workflow, Fault> {
         let mut steps: Vec<Step> = Vec::new();
         for (name, cursor) in cursor.named("id", None)? {
-            let step = self.step(
+            let step = self.read_step(
                 local_name(&name),
                 &cursor,
                 &common.requirements,
                 file,
-                running,
+                enclosing,
             )?;
             if steps.iter().any(|s| s.name == step.name) {
-                return Err(cursor.fault(format!("`{}` is named twice", step.name)));
+                return Err(cursor.fault(format!("`{}` is defined twice", step.name)));
             }
             steps.push(step);
         }
@@ -381,7 +395,7 @@
             .iter()
             .map(|i| (i.name.clone(), i.kind.clone()))
             .collect();
-        let made: BTreeMap<(String, String), Type> = steps
+        let step_outputs: BTreeMap<(String, String), Type> = steps
             .iter()
             .flat_map(|s| {
                 s.outputs
@@ -389,35 +403,42 @@
                     .map(|o| ((s.name.clone(), o.clone()), output_type(s, o)))
             })
             .collect();
-        let known = WorkflowTypes { inputs, made };
+        let types = WorkflowTypes {
+            inputs,
+            step_outputs,
+        };
         for step in &mut steps {
             for input in &mut step.inputs {
-                known.resolve_sources(&mut input.link, &input.cursor)?;
+                types.resolve_sources(&mut input.link, &input.cursor)?;
             }
-            known.check_step(step)?;
+            types.check_step(step)?;
         }
         for output in &mut common.outputs {
             let cursor = output.cursor.clone();
             let Some(link) = &mut output.link else {
                 return Err(cursor.fault("`outputSource` is missing"));
             };
-            known.resolve_sources(link, &cursor)?;
-            let comes = known.link_type(link);
-            if !comes.may_match(&output.kind) {
-                return Err(cursor.fault(format!("{} is expected, but {comes} comes", output.kind)));
+            types.resolve_sources(link, &cursor)?;
+            let source_type = types.link_type(link);
+            if !source_type.may_match(&output.kind) {
+                return Err(cursor.fault(format!(
+                    "{} is expected, but the source gives {source_type}",
+                    output.kind
+                )));
             }
         }
         let steps = topological_order(steps)?;
         Ok(Workflow { common, steps })
     }
 
-    fn step(
+    /// Reads a step and loads the process that it runs.
+    fn read_step(
         &mut self,
         name: &str,
         cursor: &Cursor,
         outer: &Requirements,
         file: &str,
-        running: &mut Vec<(String, String)>,
+        enclosing: &mut Vec<(String, String)>,
     ) -> Result<Step, Fault> {
         let mut fields = cursor.fields()?;
         fields.allow_descriptive_fields();
@@ -432,12 +453,12 @@
                 };
                 let path = match path {
                     "" => file.to_owned(),
-                    path => join(file, path).map_err(|e| run.fault(e))?,
+                    path => resolve_path(file, path).map_err(|e| run.fault(e))?,
                 };
-                self.file(&path, Some(&run))?;
-                self.process(&path, name.map(local_name), &requirements, running)?
+                self.read_file(&path, Some(&run))?;
+                self.load_process(&path, name.map(local_name), &requirements, enclosing)?
             }
-            Err(_) => self.inline(&run, file, name, &requirements, running)?,
+            Err(_) => self.load_definition(&run, file, name, &requirements, enclosing)?,
         };
         let mut inputs = Vec::new();
         for (name, cursor) in fields.require("in")?.named("id", Some("source"))? {
@@ -452,7 +473,7 @@
             };
             let name = local_name(&name).to_owned();
             if !process.common().outputs.iter().any(|o| o.name == name) {
-                return Err(out.fault(format!("what it runs has no output `{name}`")));
+                return Err(out.fault(format!("the step's process has no output `{name}`")));
             }
             outputs.push(name);
         }
@@ -467,13 +488,15 @@
                 other => return Err(cursor.fault(format!("`{other}` is not known"))),
             },
             None if scatter.len() > 1 => {
-                return Err(cursor.fault("`scatterMethod` is missing: several are scattered over"));
+                return Err(cursor.fault(
+                    "`scatterMethod` is missing: it is required for several scattered inputs",
+                ));
             }
             None => ScatterMethod::DotProduct,
         };
         for name in &scatter {
             if !inputs.iter().any(|i| i.name == *name) {
-                return Err(cursor.fault(format!("scatter: there is no input `{name}`")));
+                return Err(cursor.fault(format!("scatter: the step has no input `{name}`")));
             }
         }
         let when = fields.get("when");
@@ -498,6 +521,7 @@
     }
 }
 
+/// Refuses documents of an unsupported CWL version.
 fn check_version(top: &Cursor) -> Result<(), Fault> {
     let Some(version) = top.node.get("cwlVersion") else {
         return Err(top.fault("`cwlVersion` is missing"));
@@ -505,10 +529,11 @@
     let version = top.below("cwlVersion", version.clone());
     match version.text()? {
         VERSION => Ok(()),
-        other => Err(version.fault(format!("{VERSION} is understood, not {other}"))),
+        other => Err(version.fault(format!("only {VERSION} is supported, not {other}"))),
     }
 }
 
+/// Reads an entry of a tool's `arguments`.
 fn argument(cursor: &Cursor, js: bool) -> Result<Binding, Fault> {
     if matches!(cursor.node.data, Data::Map(_)) {
         let (binding, _) = binding(cursor, js)?;
@@ -524,7 +549,7 @@
     })
 }
 
-/// An input that is only its source, as a map.
+/// Expands an input given by its source alone to a map with `source`.
 fn with_source(cursor: Cursor) -> Cursor {
     if matches!(cursor.node.data, Data::Map(_)) {
         return cursor;
@@ -568,7 +593,8 @@
     })
 }
 
-/// The type of what a step makes, all members of a scatter together.
+/// The type of a step's output, with the arrays that scatter adds and with null if the step
+/// has a condition.
 fn output_type(step: &Step, output: &str) -> Type {
     let outputs = &step.run.common().outputs;
     let kind = outputs.iter().find(|o| o.name == output);
@@ -587,14 +613,15 @@
     kind
 }
 
-/// What has a value in a workflow.
+/// The types of a workflow's possible sources: its inputs, and the outputs of its steps by
+/// the names of step and output.
 struct WorkflowTypes {
     inputs: BTreeMap<String, Type>,
-    made: BTreeMap<(String, String), Type>,
+    step_outputs: BTreeMap<(String, String), Type>,
 }
 
 impl WorkflowTypes {
-    /// Finds out what the names of a link mean.
+    /// Replaces the names in a link by the workflow inputs and step outputs that they refer to.
     fn resolve_sources(&self, link: &mut Link, cursor: &Cursor) -> Result<(), Fault> {
         for source in &mut link.sources {
             let Source::Input(name) = source else {
@@ -607,11 +634,15 @@
                 _ => None,
             };
             *source = match step {
-                Some(step) if self.made.contains_key(&step) => Source::Step(step.0, step.1),
+                Some(step) if self.step_outputs.contains_key(&step) => Source::Step(step.0, step.1),
                 _ if self.inputs.contains_key(local_name(name)) => {
                     Source::Input(local_name(name).to_owned())
                 }
-                _ => return Err(cursor.fault(format!("`{name}` is no input and no step's output"))),
+                _ => {
+                    return Err(cursor.fault(format!(
+                        "`{name}` is neither a workflow input nor a step output"
+                    )));
+                }
             };
         }
         Ok(())
@@ -620,12 +651,12 @@
     fn source_type(&self, source: &Source) -> Type {
         let kind = match source {
             Source::Input(name) => self.inputs.get(name),
-            Source::Step(step, out) => self.made.get(&(step.clone(), out.clone())),
+            Source::Step(step, out) => self.step_outputs.get(&(step.clone(), out.clone())),
         };
         kind.cloned().unwrap_or(Type::Any)
     }
 
-    /// The type of what comes over a link.
+    /// The type of the value that a link gives.
     fn link_type(&self, link: &Link) -> Type {
         let mut types: Vec<_> = link.sources.iter().map(|s| self.source_type(s)).collect();
         let each = match link.effective_merge() {
@@ -644,47 +675,57 @@
         }
     }
 
-    /// Whether what comes fits what the process takes.
+    /// Checks that the types of a step's inputs match those of its process, and that no
+    /// required input is missing.
     fn check_step(&self, step: &Step) -> Result<(), Fault> {
-        let takes = &step.run.common().inputs;
+        let parameters = &step.run.common().inputs;
         for input in &step.inputs {
-            let mut comes = self.link_type(&input.link);
+            let mut source_type = self.link_type(&input.link);
             let given = !input.link.sources.is_empty();
             if let Some(default) = &input.default {
-                comes = match given {
-                    true => without_null(comes),
+                source_type = match given {
+                    true => without_null(source_type),
                     false => type_of_default(default),
                 };
             }
             let scattered = step.scatter.contains(&input.name);
             if scattered {
-                comes = match into_array(&comes) {
+                source_type = match scattered_item_type(&source_type) {
                     Some(items) => items,
                     None => {
-                        let what = format!("scatter: an array is expected, but {comes} comes");
+                        let what = format!(
+                            "scatter: an array is expected, but the source gives {source_type}"
+                        );
                         return Err(input.cursor.fault(what));
                     }
                 };
             }
-            // What an expression makes is known when it has been evaluated.
+            // The type of an expression's result is known only after its evaluation.
             if input.value_from.is_some() {
                 continue;
             }
-            let Some(takes) = takes.iter().find(|p| p.name == input.name) else {
-                // Not for the process, but for expressions of the step.
+            let Some(parameter) = parameters.iter().find(|p| p.name == input.name) else {
+                // The process has no such input; only expressions of the step use it.
                 continue;
             };
-            let takes_null = takes.kind.is_optional() || takes.default.is_some();
-            let fits = comes.may_match(&takes.kind) || (takes_null && comes.is_optional());
+            let accepts_null = parameter.kind.is_optional() || parameter.default.is_some();
+            let fits = source_type.may_match(&parameter.kind)
+                || (accepts_null && source_type.is_optional());
             if !fits {
-                let what = format!("{} is expected, but {comes} comes", takes.kind);
+                let what = format!(
+                    "{} is expected, but the source gives {source_type}",
+                    parameter.kind
+                );
                 return Err(input.cursor.fault(what));
             }
         }
-        for takes in takes {
-            let given = step.inputs.iter().any(|i| i.name == takes.name);
-            if !given && !takes.kind.is_optional() && takes.default.is_none() {
-                let what = format!("the input `{}` of what it runs is missing", takes.name);
+        for parameter in parameters {
+            let given = step.inputs.iter().any(|i| i.name == parameter.name);
+            if !given && !parameter.kind.is_optional() && parameter.default.is_none() {
+                let what = format!(
+                    "the input `{}` of the step's process is missing",
+                    parameter.name
+                );
                 return Err(step.cursor.fault(what));
             }
         }
@@ -692,6 +733,7 @@
     }
 }
 
+/// The type of a default value.
 fn type_of_default(default: &serde_json::Value) -> Type {
     use serde_json::Value;
     match default {
@@ -704,6 +746,7 @@
     }
 }
 
+/// The items' type of an array, or the type itself.
 fn into_items(kind: Type) -> Type {
     match kind {
         Type::Array(items) => *items,
@@ -711,15 +754,17 @@
     }
 }
 
-fn into_array(kind: &Type) -> Option<Type> {
+/// The type of the items to scatter over, if the type may be an array.
+fn scattered_item_type(kind: &Type) -> Option<Type> {
     match kind {
         Type::Array(items) => Some((**items).clone()),
         Type::Any => Some(Type::Any),
-        Type::Union(types) => types.iter().find_map(into_array),
+        Type::Union(types) => types.iter().find_map(scattered_item_type),
         _ => None,
     }
 }
 
+/// The type without null among its alternatives.
 fn without_null(kind: Type) -> Type {
     match kind {
         Type::Union(types) => {
@@ -733,10 +778,10 @@
     }
 }
 
-/// Puts steps behind those that they depend on.
+/// Sorts steps so that each follows the steps that it depends on.
 fn topological_order(mut steps: Vec<Step>) -> Result<Vec<Step>, Fault> {
     let mut ordered: Vec<Step> = Vec::new();
-    let mut done: BTreeSet<String> = BTreeSet::new();
+    let mut ordered_names: BTreeSet<String> = BTreeSet::new();
     while !steps.is_empty() {
         let ready = steps.iter().position(|step| {
             let sources = step.inputs.iter().flat_map(|i| &i.link.sources);
@@ -744,15 +789,18 @@
                 Source::Step(name, _) => Some(name),
                 Source::Input(_) => None,
             });
-            steps.all(|name| done.contains(name))
+            steps.all(|name| ordered_names.contains(name))
         });
         let Some(ready) = ready else {
             let names: Vec<_> = steps.iter().map(|s| s.name.as_str()).collect();
-            let what = format!("steps wait for each other: {}", names.join(", "));
+            let what = format!(
+                "steps form a dependency cycle or depend on one: {}",
+                names.join(", ")
+            );
             return Err(steps[0].cursor.fault(what));
         };
         let step = steps.remove(ready);
-        done.insert(step.name.clone());
+        ordered_names.insert(step.name.clone());
         ordered.push(step);
     }
     Ok(ordered)
--- a/crates/cwl/tests/documents.rs
+++ b/crates/cwl/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents that are good, and faults with their places.
+//! Loading of documents: valid ones, and the faults of invalid ones with their locations.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
     load::{self, Resolver},
 };
 
-/// Files by name.
+/// A resolver with files in memory, by path.
 struct Files(BTreeMap<&'static str, String>);
 
 impl Resolver for Files {
@@ -16,14 +16,14 @@
     }
 }
 
-fn one(text: &str) -> Files {
+fn single_file(text: &str) -> Files {
     Files([("w.cwl", text.to_owned())].into())
 }
 
-/// The examples that are shipped.
-struct Shipped;
+/// A resolver for the examples in `deploy/examples/cwl`.
+struct Examples;
 
-impl Resolver for Shipped {
+impl Resolver for Examples {
     fn read(&self, path: &str) -> Result<String, String> {
         let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/examples/cwl/");
         std::fs::read_to_string(format!("{dir}{path}")).map_err(|e| e.to_string())
@@ -31,15 +31,15 @@
 }
 
 #[test]
-fn the_examples_are_good() {
+fn examples_load() {
     for (name, steps) in [("sheet-to-portal.cwl", 4), ("waveform-to-catalog.cwl", 4)] {
-        let process = load::load(&Shipped, name).unwrap_or_else(|e| panic!("{e}"));
+        let process = load::load(&Examples, name).unwrap_or_else(|e| panic!("{e}"));
         let Process::Workflow(workflow) = process else {
-            panic!("{name} is a workflow");
+            panic!("{name} is not a workflow");
         };
         assert_eq!(workflow.steps.len(), steps);
     }
-    let tool = load::load(&Shipped, "sheet-to-portal.cwl#color-check").expect("a tool");
+    let tool = load::load(&Examples, "sheet-to-portal.cwl#color-check").expect("a tool");
     assert!(matches!(tool, Process::Tool(_)));
 }
 
@@ -63,11 +63,11 @@
 ";
 
 #[test]
-fn faults_have_their_places() {
+fn faults_name_their_location() {
     let cases: [(String, &str); 30] = [
         (
             TOOL.replace("v1.2", "v1.0"),
-            "w.cwl:1: cwlVersion: v1.2 is understood, not v1.0",
+            "w.cwl:1: cwlVersion: only v1.2 is supported, not v1.0",
         ),
         (
             TOOL.replace("cwlVersion: v1.2\n", ""),
@@ -75,7 +75,7 @@
         ),
         (
             TOOL.replace("CommandLineTool", "Operation"),
-            "w.cwl:2: class: an Operation only",
+            "w.cwl:2: class: an Operation has no implementation",
         ),
         (
             TOOL.replace("CommandLineTool", "Robot"),
@@ -151,50 +151,56 @@
         ),
         (
             FLOW.replace("a: a", "a: b"),
-            "w.cwl:9: steps.one.in.a: `b` is no input and no step's output",
+            "w.cwl:9: steps.one.in.a: `b` is neither a workflow input nor a step output",
         ),
         (
             FLOW.replace("{a: a}", "{a: n}"),
-            "w.cwl:9: steps.one.in.a: string is expected, but int comes",
+            "w.cwl:9: steps.one.in.a: string is expected, but the source gives int",
         ),
         (
             FLOW.replace("{a: a}", "{}"),
-            "steps.one: the input `a` of what it runs is missing",
+            "steps.one: the input `a` of the step's process is missing",
         ),
         (
             FLOW.replace("out: []", "out: [x]"),
-            "steps.one.out.0: what it runs has no output `x`",
+            "steps.one.out.0: the step's process has no output `x`",
         ),
         (
             FLOW.replace("{a: a}\n", "{a: a}\n    scatter: a\n"),
-            "steps.one.in.a: scatter: an array is expected, but string comes",
+            "steps.one.in.a: scatter: an array is expected, but the source gives string",
         ),
         (
             FLOW.replace("{a: a}\n", "{a: a}\n    scatter: b\n"),
-            "there is no input `b`",
+            "the step has no input `b`",
         ),
         (
             FLOW.replace("{a: a}\n", "{a: a}\n    when: yes\n"),
             "when: an expression is expected",
         ),
-        (FLOW.replace("t.cwl", "w.cwl"), "it is a step of itself"),
+        (
+            FLOW.replace("t.cwl", "w.cwl"),
+            "the process contains itself as a step",
+        ),
         (
             FLOW.replace("t.cwl", "../t.cwl"),
-            "leads out of the documents' directory",
+            "is outside the documents' directory",
         ),
     ];
-    for (text, why) in cases {
-        let mut files = one(&text);
+    for (text, expected) in cases {
+        let mut files = single_file(&text);
         files.0.insert("t.cwl", TOOL.to_owned());
         match load::load(&files, "w.cwl") {
-            Ok(_) => panic!("no fault: {why}\n{text}"),
-            Err(fault) => assert!(fault.to_string().contains(why), "{fault}\n  not: {why}"),
+            Ok(_) => panic!("no fault, but expected: {expected}\n{text}"),
+            Err(fault) => assert!(
+                fault.to_string().contains(expected),
+                "{fault}\n  expected: {expected}"
+            ),
         }
     }
 }
 
 #[test]
-fn steps_that_wait_for_each_other() {
+fn dependency_cycles_are_refused() {
     let text = "cwlVersion: v1.2
 class: Workflow
 inputs: []
@@ -209,17 +215,19 @@
 inputs: {a: File}
 outputs: {b: stdout}
 ";
-    let mut files = one(text);
+    let mut files = single_file(text);
     files.0.insert("e.cwl", tool.to_owned());
-    let fault = load::load(&files, "w.cwl").expect_err("a circle");
+    let fault = load::load(&files, "w.cwl").expect_err("a cycle");
     assert!(
-        fault.to_string().contains("wait for each other: x, y"),
+        fault
+            .to_string()
+            .contains("steps form a dependency cycle or depend on one: x, y"),
         "{fault}"
     );
 }
 
 #[test]
-fn files_are_brought_together() {
+fn imports_and_includes_are_resolved() {
     let tool = "cwlVersion: v1.2
 class: CommandLineTool
 baseCommand: {$import: sub/words.json}
@@ -232,7 +240,7 @@
   level: levels
 outputs: []
 ";
-    let mut files = one(tool);
+    let mut files = single_file(tool);
     files.0.insert(
         "sub/words.json",
         r#"["echo", {"$import": "word.yml"}]"#.into(),
@@ -252,7 +260,7 @@
     files
         .0
         .insert("sub/word.yml", "{$import: words.json}".into());
-    let fault = load::load(&files, "w.cwl").expect_err("a circle");
+    let fault = load::load(&files, "w.cwl").expect_err("a cycle");
     assert!(
         fault.to_string().contains("sub/words.json imports itself"),
         "{fault}"
@@ -267,21 +275,22 @@
     );
 }
 
-/// Whatever comes, a document is read or refused: no panic, no long wait. Parts
-/// of good documents are cut, doubled, swapped and overwritten.
+/// Guards against panics and endless loops on malformed documents. Parts of valid documents
+/// are deleted, duplicated, inserted or overwritten at random; each result must load or be
+/// refused with a located fault.
 #[test]
-fn whatever_comes_is_read_or_refused() {
+fn malformed_documents_load_or_are_refused() {
     let mut rng = fastrand::Rng::with_seed(15);
     let names = [
         "sheet-to-portal.cwl",
         "waveform-to-catalog.cwl",
         "tools/catalog-merge.cwl",
     ];
-    let good: Vec<String> = names
+    let valid: Vec<String> = names
         .iter()
-        .map(|n| Shipped.read(n).expect("shipped"))
+        .map(|n| Examples.read(n).expect("readable example"))
         .collect();
-    let bits = [
+    let fragments = [
         "&a ",
         "*a",
         "[",
@@ -306,18 +315,21 @@
         "-",
         "#",
     ];
-    let (mut read, mut refused) = (0, 0);
+    let (mut loaded, mut refused) = (0, 0);
     for _ in 0..4000 {
-        let mut text = good[rng.usize(0..good.len())].clone();
+        let mut text = valid[rng.usize(0..valid.len())].clone();
         for _ in 0..rng.usize(1..4) {
-            let at = |rng: &mut fastrand::Rng, text: &str| {
+            let random_boundary = |rng: &mut fastrand::Rng, text: &str| {
                 let mut at = rng.usize(0..=text.len());
                 while !text.is_char_boundary(at) {
                     at -= 1;
                 }
                 at
             };
-            let (a, b) = (at(&mut rng, &text), at(&mut rng, &text));
+            let (a, b) = (
+                random_boundary(&mut rng, &text),
+                random_boundary(&mut rng, &text),
+            );
             let (a, b) = (a.min(b), a.max(b).min(a.min(b) + 40));
             let b = (a..=b)
                 .rev()
@@ -326,25 +338,29 @@
             match rng.u32(0..4) {
                 0 => text.replace_range(a..b, ""),
                 1 => text = format!("{}{}{}", &text[..b], &text[a..b], &text[b..]),
-                2 => text.insert_str(a, bits[rng.usize(0..bits.len())]),
-                _ => text.replace_range(a..b, bits[rng.usize(0..bits.len())]),
+                2 => text.insert_str(a, fragments[rng.usize(0..fragments.len())]),
+                _ => text.replace_range(a..b, fragments[rng.usize(0..fragments.len())]),
             }
         }
-        let files = one(&text);
+        let files = single_file(&text);
         match load::load(&files, "w.cwl") {
-            Ok(_) => read += 1,
+            Ok(_) => loaded += 1,
             Err(fault) => {
                 assert!(fault.line >= 1 && !fault.message.is_empty(), "{fault:?}");
                 refused += 1;
             }
         }
     }
-    assert!(read > 100 && refused > 1000, "{read} {refused}");
+    assert!(
+        loaded > 100 && refused > 1000,
+        "{loaded} loaded, {refused} refused"
+    );
 }
 
-/// What is small and means much: each is refused, and soon.
+/// Small documents that expand to many values, files or bytes must be refused by a limit
+/// before they take much time or memory.
 #[test]
-fn documents_that_blow_up_are_refused() {
+fn expanding_documents_are_refused() {
     let big = "x".repeat(3 << 20);
     let list = |item: &str, n: usize| vec![item; n].join(", ");
     let cases = [
@@ -368,13 +384,13 @@
             "more than 5000 entries",
         ),
     ];
-    for (text, why) in cases {
-        let mut files = one(&text);
+    for (text, expected) in cases {
+        let mut files = single_file(&text);
         files.0.insert("big", big.clone());
         files.0.insert("small", "x".into());
-        let fault = load::load(&files, "w.cwl").expect_err(why);
+        let fault = load::load(&files, "w.cwl").expect_err(expected);
         assert!(
-            fault.to_string().contains(why),
+            fault.to_string().contains(expected),
             "{:.200}",
             fault.to_string()
         );
