--- a/crates/workflow/tests/sides.rs
+++ b/crates/workflow/tests/sides.rs
@@ -168,13 +168,13 @@
             *at = now + S * 5;
             self.next += 1;
             self.tokens.insert(self.next, i);
-            let operation = match is_accepted {
+            let what = match is_accepted {
                 true => ApiOperation::Poll(spec.id.clone()),
                 false => ApiOperation::Submit(Box::new(spec.clone())),
             };
             requests.push(ApiRequest {
                 token: self.next,
-                what: operation,
+                what,
             });
         }
         requests
@@ -313,17 +313,9 @@
         }
     }
 
-    fn push_request(
-        &mut self,
-        token: u64,
-        operation: ApiOperation,
-        requests: &mut Vec<ApiRequest>,
-    ) {
+    fn push_request(&mut self, token: u64, what: ApiOperation, requests: &mut Vec<ApiRequest>) {
         self.tokens.insert(token, ());
-        requests.push(ApiRequest {
-            token,
-            what: operation,
-        });
+        requests.push(ApiRequest { token, what });
     }
 }
 
