--- a/crates/workflow/src/documents.rs
+++ b/crates/workflow/src/documents.rs
@@ -1,8 +1,8 @@
-//! Documents that were read lately.
+//! A cache of parsed documents.
 //!
-//! Partners hand the same document in with other inputs, and a run is read
-//! again after each trouble. Read documents are shared: an open run took
-//! 138 KiB, most of it its own copy of the same document.
+//! Clients submit the same document with different inputs, and the service loads
+//! a run from its records again after a failure. Runs share the parsed document: without the cache
+//! an open run took 138 KiB, most of it a copy of the same document.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -10,10 +10,10 @@
 
 use crate::records::Bundle;
 
-/// The most that are kept.
+/// Least recently used documents above this number are evicted.
 const MAX_CACHED_DOCUMENTS: usize = 64;
 
-/// A document and what it was read as.
+/// The files of a document and the process parsed from them.
 #[derive(Debug)]
 struct CachedDocument {
     main: String,
@@ -21,34 +21,34 @@
     process: Process,
 }
 
-/// Documents, the last used first.
+/// Parsed documents, most recently used first.
 #[derive(Debug, Default)]
 pub struct DocumentCache {
-    known: VecDeque<Arc<CachedDocument>>,
+    documents: VecDeque<Arc<CachedDocument>>,
 }
 
 impl DocumentCache {
-    /// What a bundle runs.
+    /// Returns the parsed main document of a bundle, from the cache if it is there.
     ///
     /// # Errors
-    /// The first fault of its document, in words.
+    /// The message of the first fault found in the document.
     pub fn read(&mut self, bundle: &Bundle) -> Result<Process, String> {
-        let same = |k: &Arc<CachedDocument>| k.main == bundle.main && k.files == bundle.files;
-        let known = match self.known.iter().position(same) {
-            Some(i) => self.known.remove(i),
+        let is_same = |d: &Arc<CachedDocument>| d.main == bundle.main && d.files == bundle.files;
+        let document = match self.documents.iter().position(is_same) {
+            Some(i) => self.documents.remove(i),
             None => None,
         };
-        let known = match known {
-            Some(known) => known,
+        let document = match document {
+            Some(document) => document,
             None => Arc::new(CachedDocument {
                 process: load::load(bundle, &bundle.main).map_err(|f| f.to_string())?,
                 main: bundle.main.clone(),
                 files: bundle.files.clone(),
             }),
         };
-        let process = known.process.clone();
-        self.known.push_front(known);
-        self.known.truncate(MAX_CACHED_DOCUMENTS);
+        let process = document.process.clone();
+        self.documents.push_front(document);
+        self.documents.truncate(MAX_CACHED_DOCUMENTS);
         Ok(process)
     }
 }
@@ -89,9 +89,9 @@
         for i in 0..MAX_CACHED_DOCUMENTS {
             documents.read(&bundle(&format!("v{i}"))).expect("good");
         }
-        let anew = tool(documents.read(&bundle("echo")).expect("good"));
-        assert!(!Arc::ptr_eq(&first, &anew));
-        assert_eq!(anew.command, ["echo"]);
+        let reloaded = tool(documents.read(&bundle("echo")).expect("good"));
+        assert!(!Arc::ptr_eq(&first, &reloaded));
+        assert_eq!(reloaded.command, ["echo"]);
         assert!(documents.read(&bundle("[")).is_err());
     }
 }
--- a/crates/workflow/src/flow.rs
+++ b/crates/workflow/src/flow.rs
@@ -1,7 +1,7 @@
-//! One run: which steps can begin, what comes of them, how it ends.
+//! Evaluates one run: which steps can start, their outputs, and the run's result.
 //!
-//! Nothing here is stored: the same document, inputs and results of tasks give
-//! the same run again, which is how a run is taken up after a crash.
+//! Nothing here is stored. The same document, inputs and task results always give
+//! the same state, so a run is recovered after a crash by evaluating it again.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,95 +19,103 @@
 
 use crate::job::{TaskRequirements, TaskResult, can_submit_early, task_requirements};
 
-/// The most workflows in one run, those of scattered steps counted each.
-const MAX_FLOWS: usize = 10_000;
+/// Maximum number of workflows in one run. Each member of a scattered step that
+/// runs a workflow counts.
+const MAX_WORKFLOWS: usize = 10_000;
 
-/// Names a job of a run: the step, and which group of its members.
+/// Identifies a job within a run.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobKey {
-    /// The step, `split` or `survey.3.filter`.
+    /// The path of the step, such as `split` or, in member 3 of the scattered
+    /// subworkflow `survey`, `survey.3.filter`.
     pub step: String,
-    /// The group.
+    /// Index of the group of members within the step. Members with the same
+    /// requirements are in one group.
     pub group: u32,
 }
 
-/// Work to be submitted.
+/// A job to submit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRequest {
-    /// Its name in the run.
+    /// Identifies the job within the run.
     pub key: JobKey,
-    /// What its tasks need.
+    /// The requirements of each task.
     pub requirements: TaskRequirements,
-    /// How many.
+    /// The number of tasks.
     pub tasks: u32,
-    /// Work that has to be done before.
+    /// Jobs that must be done before this one starts.
     pub awaits: Vec<JobKey>,
 }
 
 /// Why a run failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The step; empty: the run as a whole.
+    /// The path of the failed step or subworkflow; empty if the failure belongs to
+    /// the run as a whole.
     pub step: String,
-    /// The reason, for people.
+    /// The reason, as text for users.
     pub reason: String,
 }
 
+/// The state of one member of a started step.
 #[derive(Debug)]
-enum Part {
-    /// `when` said no.
+enum MemberState {
+    /// Not run: its `when` condition is false.
     Skipped,
-    /// A task.
+    /// A task that is not done: its job, and its index in the job.
     Task { key: JobKey, index: u32 },
-    /// A workflow in the workflow.
-    Flow,
-    /// It is over.
-    Over(Object),
+    /// A nested workflow that is not done.
+    Workflow,
+    /// Done, with its outputs.
+    Done(Object),
 }
 
+/// The state of a step.
 #[derive(Debug)]
-enum State {
+enum StepState {
     Waiting,
-    Begun {
+    Started {
         shape: Vec<usize>,
-        /// None: it began before its inputs were there.
+        /// `None` if the step started before its inputs were known.
         members: Option<Vec<Member>>,
-        parts: Vec<Part>,
+        member_states: Vec<MemberState>,
     },
     Done(BTreeMap<String, Arc<Value>>),
 }
 
+/// A workflow of a run: the main one, or one that a member of a step runs.
 #[derive(Debug)]
-struct Flow {
+struct WorkflowInstance {
     path: String,
     workflow: Arc<Workflow>,
     inputs: Object,
-    states: Vec<State>,
-    /// The flow, step and member that it is.
+    states: Vec<StepState>,
+    /// The indices of the parent workflow, of its step and of the step's member
+    /// that this workflow runs for.
     parent: Option<(usize, usize, usize)>,
-    over: bool,
+    done: bool,
 }
 
-/// One run.
+/// The evaluation state of one run.
 #[derive(Debug)]
 pub struct Run {
     engine: Engine,
-    flows: Vec<Flow>,
-    texts: BTreeMap<String, String>,
+    workflows: Vec<WorkflowInstance>,
+    file_contents: BTreeMap<String, String>,
     files_to_read: BTreeSet<String>,
     failure: Option<Failure>,
     outputs: Option<Value>,
 }
 
 impl Run {
-    /// Begins a run.
+    /// Starts a run. [`Self::advance`] returns its first jobs.
     ///
     /// # Errors
-    /// The inputs don't fit.
+    /// An input is missing or does not match its declared type.
     pub fn new(process: &Process, given: &Value, engine: Engine) -> Result<Self, Fault> {
         let workflow = match process {
             Process::Workflow(workflow) => workflow.clone(),
-            other => alone(other),
+            other => single_step_workflow(other),
         };
         let map = given.as_object().cloned().unwrap_or_default();
         let given: Object = map.into_iter().map(|(n, v)| (n, Arc::new(v))).collect();
@@ -115,87 +123,96 @@
         let inputs = values::process_inputs(common, &given, &|_| None, &common.cursor)?;
         let mut run = Self {
             engine,
-            flows: Vec::new(),
-            texts: BTreeMap::new(),
+            workflows: Vec::new(),
+            file_contents: BTreeMap::new(),
             files_to_read: BTreeSet::new(),
             failure: None,
             outputs: None,
         };
-        run.open(String::new(), workflow, inputs, None);
+        run.start_workflow(String::new(), workflow, inputs, None);
         Ok(run)
     }
 
-    fn open(
+    fn start_workflow(
         &mut self,
         path: String,
         workflow: Arc<Workflow>,
         inputs: Object,
         parent: Option<(usize, usize, usize)>,
     ) {
-        let states = workflow.steps.iter().map(|_| State::Waiting).collect();
-        self.flows.push(Flow {
+        let states = workflow.steps.iter().map(|_| StepState::Waiting).collect();
+        self.workflows.push(WorkflowInstance {
             path,
             workflow,
             inputs,
             states,
             parent,
-            over: false,
+            done: false,
         });
     }
 
-    /// Why it failed, if it did.
+    /// The first failure of the run.
     pub fn failure(&self) -> Option<&Failure> {
         self.failure.as_ref()
     }
 
-    /// What came out, once it is complete.
+    /// The outputs of the run, once it is complete.
     pub fn outputs(&self) -> Option<&Value> {
         self.outputs.as_ref()
     }
 
-    /// Files whose beginnings are needed to go on.
+    /// Locations of the files whose contents the run waits for.
     pub fn files_to_read(&self) -> impl Iterator<Item = &String> {
         self.files_to_read.iter()
     }
 
-    /// The beginning of a file; none: there is no such file.
+    /// Supplies the first part of the contents of a file. `None` means that the
+    /// file can't be read, which fails the run.
     pub fn file_read(&mut self, location: &str, text: Option<String>) {
         self.files_to_read.remove(location);
         match text {
             Some(text) => {
-                self.texts.insert(location.to_owned(), text);
+                self.file_contents.insert(location.to_owned(), text);
             }
-            None => self.fails("", format!("{location} can't be read")),
+            None => self.fail("", format!("{location} can't be read")),
         }
     }
 
-    fn fails(&mut self, step: &str, reason: String) {
-        // The first reason stands.
+    fn fail(&mut self, step: &str, reason: String) {
+        // Only the first failure is kept.
         let step = step.to_owned();
         self.failure.get_or_insert(Failure { step, reason });
     }
 
-    /// Steps that have not begun, and what they wait for.
+    /// The paths of the steps that have not started, each with a text for users on
+    /// what it waits for.
     pub fn waiting_steps(&self) -> impl Iterator<Item = (String, String)> {
-        self.flows.iter().enumerate().flat_map(move |(f, flow)| {
-            let waits = flow.workflow.steps.iter().zip(&flow.states);
-            let waits = waits.filter(|(_, state)| matches!(state, State::Waiting));
-            waits.map(move |(step, _)| (self.path(f, step), self.waits_for(f, step)))
-        })
+        self.workflows
+            .iter()
+            .enumerate()
+            .flat_map(move |(w, instance)| {
+                let waits = instance.workflow.steps.iter().zip(&instance.states);
+                let waits = waits.filter(|(_, state)| matches!(state, StepState::Waiting));
+                waits.map(move |(step, _)| (self.step_path(w, step), self.describe_wait(w, step)))
+            })
     }
 
-    fn waits_for(&self, f: usize, step: &Step) -> String {
-        let flow = &self.flows[f];
+    fn describe_wait(&self, w: usize, step: &Step) -> String {
+        let instance = &self.workflows[w];
         let before = step.inputs.iter().flat_map(|i| &i.link.sources);
         let before = before.filter_map(|source| match source {
             Source::Step(name, _) => Some(name),
             Source::Input(_) => None,
         });
-        let open = |name: &&String| {
-            let s = flow.workflow.steps.iter().position(|s| s.name == **name);
-            s.is_some_and(|s| !matches!(flow.states[s], State::Done(_)))
+        let is_open = |name: &&String| {
+            let s = instance
+                .workflow
+                .steps
+                .iter()
+                .position(|s| s.name == **name);
+            s.is_some_and(|s| !matches!(instance.states[s], StepState::Done(_)))
         };
-        let before: BTreeSet<&str> = before.filter(open).map(String::as_str).collect();
+        let before: BTreeSet<&str> = before.filter(is_open).map(String::as_str).collect();
         let before: Vec<_> = before.into_iter().collect();
         let why = match &step.run {
             _ if step.when.is_some() => "whether it runs",
@@ -209,128 +226,143 @@
         }
     }
 
-    /// A job will never be done.
+    /// Fails the run because a job was refused or cancelled.
     pub fn job_failed(&mut self, key: &JobKey, reason: String) {
-        self.fails(&key.step, reason);
+        self.fail(&key.step, reason);
     }
 
-    /// Goes on as far as it can and returns what is to be submitted.
+    /// Evaluates the run as far as possible and returns the jobs to submit; none
+    /// if the run fails.
     pub fn advance(&mut self) -> Vec<JobRequest> {
-        let mut work = Vec::new();
-        let mut moved = true;
-        while moved && self.failure.is_none() && self.outputs.is_none() {
-            moved = false;
-            for f in 0..self.flows.len() {
-                if self.flows[f].over {
+        let mut requests = Vec::new();
+        let mut progressed = true;
+        while progressed && self.failure.is_none() && self.outputs.is_none() {
+            progressed = false;
+            for w in 0..self.workflows.len() {
+                if self.workflows[w].done {
                     continue;
                 }
-                for s in 0..self.flows[f].states.len() {
-                    moved |= self.step(f, s, &mut work);
+                for s in 0..self.workflows[w].states.len() {
+                    progressed |= self.advance_step(w, s, &mut requests);
                     if self.failure.is_some() {
                         return Vec::new();
                     }
                 }
-                moved |= self.close(f);
+                progressed |= self.complete_workflow(w);
             }
         }
-        work
+        requests
     }
 
-    /// Moves a step on; true if it moved.
-    fn step(&mut self, f: usize, s: usize, work: &mut Vec<JobRequest>) -> bool {
-        let workflow = self.flows[f].workflow.clone();
+    /// Starts or completes a step if it is ready; true if its state changed.
+    fn advance_step(&mut self, w: usize, s: usize, requests: &mut Vec<JobRequest>) -> bool {
+        let workflow = self.workflows[w].workflow.clone();
         let step = &workflow.steps[s];
-        match &self.flows[f].states[s] {
-            State::Waiting => {
-                if self.wants_texts(f, step) {
+        match &self.workflows[w].states[s] {
+            StepState::Waiting => {
+                if self.needs_file_contents(w, step) {
                     return false;
                 }
-                match self.members(f, step) {
-                    Ok(Some(members)) => self.begin(f, s, step, members, work),
-                    Ok(None) => self.begin_early(f, s, step, work),
+                match self.members(w, step) {
+                    Ok(Some(members)) => self.start_step(w, s, step, members, requests),
+                    Ok(None) => self.start_step_early(w, s, step, requests),
                     Err(fault) => {
-                        let path = self.path(f, step);
-                        self.fails(&path, fault.to_string());
+                        let path = self.step_path(w, step);
+                        self.fail(&path, fault.to_string());
                         false
                     }
                 }
             }
-            State::Begun { shape, parts, .. } => {
-                if !parts
+            StepState::Started {
+                shape,
+                member_states,
+                ..
+            } => {
+                if !member_states
                     .iter()
-                    .all(|p| matches!(p, Part::Over(_) | Part::Skipped))
+                    .all(|m| matches!(m, MemberState::Done(_) | MemberState::Skipped))
                 {
                     return false;
                 }
-                let outputs = gather(step, shape, parts);
-                self.flows[f].states[s] = State::Done(outputs);
+                let outputs = gather_outputs(step, shape, member_states);
+                self.workflows[w].states[s] = StepState::Done(outputs);
                 true
             }
-            State::Done(_) => false,
+            StepState::Done(_) => false,
         }
     }
 
-    fn path(&self, f: usize, step: &Step) -> String {
-        match self.flows[f].path.as_str() {
+    fn step_path(&self, w: usize, step: &Step) -> String {
+        match self.workflows[w].path.as_str() {
             "" => step.name.clone(),
             path => format!("{path}.{}", step.name),
         }
     }
 
-    fn value(&self, f: usize, source: &Source) -> Option<Arc<Value>> {
-        let flow = &self.flows[f];
+    fn source_value(&self, w: usize, source: &Source) -> Option<Arc<Value>> {
+        let instance = &self.workflows[w];
         match source {
-            Source::Input(name) => Some(flow.inputs.get(name).cloned().unwrap_or_default()),
+            Source::Input(name) => Some(instance.inputs.get(name).cloned().unwrap_or_default()),
             Source::Step(name, output) => {
-                let s = flow.workflow.steps.iter().position(|s| s.name == *name)?;
-                match &flow.states[s] {
-                    State::Done(outputs) => Some(outputs.get(output).cloned().unwrap_or_default()),
+                let s = instance
+                    .workflow
+                    .steps
+                    .iter()
+                    .position(|s| s.name == *name)?;
+                match &instance.states[s] {
+                    StepState::Done(outputs) => {
+                        Some(outputs.get(output).cloned().unwrap_or_default())
+                    }
                     _ => None,
                 }
             }
         }
     }
 
-    fn wants_texts(&mut self, f: usize, step: &Step) -> bool {
-        let files_to_read = values::files_to_load(step, &|source| self.value(f, source));
+    /// Whether a step needs file contents that have not been read; adds those files
+    /// to the list of files to read.
+    fn needs_file_contents(&mut self, w: usize, step: &Step) -> bool {
+        let files_to_read = values::files_to_load(step, &|source| self.source_value(w, source));
         let missing: Vec<_> = files_to_read
             .into_iter()
-            .filter(|w| !self.texts.contains_key(w))
+            .filter(|location| !self.file_contents.contains_key(location))
             .collect();
         let any = !missing.is_empty();
         self.files_to_read.extend(missing);
         any
     }
 
-    fn members(&self, f: usize, step: &Step) -> Result<Option<values::Members>, Fault> {
-        let contents = |location: &str| self.texts.get(location).cloned();
-        let of = |source: &Source| self.value(f, source);
+    fn members(&self, w: usize, step: &Step) -> Result<Option<values::Members>, Fault> {
+        let contents = |location: &str| self.file_contents.get(location).cloned();
+        let of = |source: &Source| self.source_value(w, source);
         values::members(step, &of, &contents, &self.engine)
     }
 
-    fn begin(
+    fn start_step(
         &mut self,
-        f: usize,
+        w: usize,
         s: usize,
         step: &Step,
         members: values::Members,
-        work: &mut Vec<JobRequest>,
+        requests: &mut Vec<JobRequest>,
     ) -> bool {
-        let path = self.path(f, step);
+        let path = self.step_path(w, step);
         let scattered = !members.shape.is_empty();
-        let mut parts = Vec::with_capacity(members.members.len());
+        let mut member_states = Vec::with_capacity(members.members.len());
         let mut groups: Vec<(TaskRequirements, u32)> = Vec::new();
         for (m, member) in members.members.iter().enumerate() {
             if !member.should_run {
-                parts.push(Part::Skipped);
+                member_states.push(MemberState::Skipped);
                 continue;
             }
-            let part = match &step.run {
+            let state = match &step.run {
                 Process::Tool(tool) => {
                     let requirements = task_requirements(tool, Some(&member.inputs), &self.engine);
                     requirements.map(|requirements| {
-                        let requirements = requirements.expect("told with inputs");
-                        // Members in a row mostly need the same.
+                        let requirements =
+                            requirements.expect("requirements are known when the inputs are");
+                        // Consecutive members mostly have the same requirements, so the
+                        // search begins at the newest group.
                         let group = match groups.iter().rposition(|g| g.0 == requirements) {
                             Some(group) => group,
                             None => {
@@ -339,7 +371,7 @@
                             }
                         };
                         groups[group].1 += 1;
-                        Part::Task {
+                        MemberState::Task {
                             key: JobKey {
                                 step: path.clone(),
                                 group: group as u32,
@@ -356,11 +388,14 @@
                         &member.inputs,
                         &self.engine,
                     );
-                    made.map(Part::Over)
+                    made.map(MemberState::Done)
                 }
                 Process::Workflow(inner) => {
-                    if self.flows.len() >= MAX_FLOWS {
-                        self.fails(&path, format!("more than {MAX_FLOWS} workflows in one run"));
+                    if self.workflows.len() >= MAX_WORKFLOWS {
+                        self.fail(
+                            &path,
+                            format!("the run has more than {MAX_WORKFLOWS} workflows"),
+                        );
                         return false;
                     }
                     let inner_path = match scattered {
@@ -368,20 +403,20 @@
                         false => path.clone(),
                     };
                     let inputs = member.inputs.clone();
-                    self.open(inner_path, inner.clone(), inputs, Some((f, s, m)));
-                    Ok(Part::Flow)
+                    self.start_workflow(inner_path, inner.clone(), inputs, Some((w, s, m)));
+                    Ok(MemberState::Workflow)
                 }
             };
-            match part {
-                Ok(part) => parts.push(part),
+            match state {
+                Ok(state) => member_states.push(state),
                 Err(fault) => {
-                    self.fails(&path, fault.to_string());
+                    self.fail(&path, fault.to_string());
                     return false;
                 }
             }
         }
         for (group, (requirements, tasks)) in groups.into_iter().enumerate() {
-            work.push(JobRequest {
+            requests.push(JobRequest {
                 key: JobKey {
                     step: path.clone(),
                     group: group as u32,
@@ -391,17 +426,23 @@
                 awaits: Vec::new(),
             });
         }
-        self.flows[f].states[s] = State::Begun {
+        self.workflows[w].states[s] = StepState::Started {
             shape: members.shape,
             members: Some(members.members),
-            parts,
+            member_states,
         };
         true
     }
 
-    /// Begins a step whose inputs are made by work that is under way, if what
-    /// it needs and how many members it has is known.
-    fn begin_early(&mut self, f: usize, s: usize, step: &Step, work: &mut Vec<JobRequest>) -> bool {
+    /// Starts a step whose inputs are produced by jobs that are not done, if its
+    /// requirements and its number of members are known. True if it started.
+    fn start_step_early(
+        &mut self,
+        w: usize,
+        s: usize,
+        step: &Step,
+        requests: &mut Vec<JobRequest>,
+    ) -> bool {
         let Process::Tool(tool) = &step.run else {
             return false;
         };
@@ -409,41 +450,42 @@
             Ok(Some(requirements)) if can_submit_early(step) => requirements,
             _ => return false,
         };
-        let Some(shape) = self.early_shape(f, step) else {
+        let Some(shape) = self.expected_shape(w, step) else {
             return false;
         };
-        let Some(awaits) = self.awaited(f, step) else {
+        let Some(awaits) = self.awaited_jobs(w, step) else {
             return false;
         };
         let key = JobKey {
-            step: self.path(f, step),
+            step: self.step_path(w, step),
             group: 0,
         };
         let count: usize = shape.iter().product();
         if count == 0 || count > values::MAX_SCATTER_MEMBERS {
             return false;
         }
-        let parts = (0..count as u32).map(|index| Part::Task {
+        let member_states = (0..count as u32).map(|index| MemberState::Task {
             key: key.clone(),
             index,
         });
-        let parts = parts.collect();
-        work.push(JobRequest {
+        let member_states = member_states.collect();
+        requests.push(JobRequest {
             key,
             requirements,
             tasks: count as u32,
             awaits,
         });
-        self.flows[f].states[s] = State::Begun {
+        self.workflows[w].states[s] = StepState::Started {
             shape,
             members: None,
-            parts,
+            member_states,
         };
         true
     }
 
-    /// How many members a step will have, as far as that is certain.
-    fn early_shape(&self, f: usize, step: &Step) -> Option<Vec<usize>> {
+    /// The scatter dimensions of a step, if they are certain before all its inputs
+    /// are known.
+    fn expected_shape(&self, w: usize, step: &Step) -> Option<Vec<usize>> {
         if step.scatter.is_empty() {
             return Some(Vec::new());
         }
@@ -457,9 +499,9 @@
             if link.effective_merge().is_some() || link.pick.is_some() || input.default.is_some() {
                 return None;
             }
-            lengths.push(match self.value(f, source) {
+            lengths.push(match self.source_value(w, source) {
                 Some(value) => value.as_array()?.len(),
-                None => self.length_of(f, source)?,
+                None => self.expected_length(w, source)?,
             });
         }
         match step.scatter_method {
@@ -476,58 +518,71 @@
         }
     }
 
-    /// How long the list will be that a step under way makes.
-    fn length_of(&self, f: usize, source: &Source) -> Option<usize> {
+    /// The length of the list that a started step will produce, if it is known.
+    fn expected_length(&self, w: usize, source: &Source) -> Option<usize> {
         let Source::Step(name, _) = source else {
             return None;
         };
-        let flow = &self.flows[f];
-        let s = flow.workflow.steps.iter().position(|s| s.name == *name)?;
-        match &flow.states[s] {
-            State::Begun { shape, .. } => shape.first().copied(),
+        let instance = &self.workflows[w];
+        let s = instance
+            .workflow
+            .steps
+            .iter()
+            .position(|s| s.name == *name)?;
+        match &instance.states[s] {
+            StepState::Started { shape, .. } => shape.first().copied(),
             _ => None,
         }
     }
 
-    /// The work that makes the inputs of a step; none: some of it is not known.
-    fn awaited(&self, f: usize, step: &Step) -> Option<Vec<JobKey>> {
-        let flow = &self.flows[f];
+    /// The jobs that produce the inputs of a step; `None` if some of them are not
+    /// known yet.
+    fn awaited_jobs(&self, w: usize, step: &Step) -> Option<Vec<JobKey>> {
+        let instance = &self.workflows[w];
         let mut keys = BTreeSet::new();
         for source in step.inputs.iter().flat_map(|i| &i.link.sources) {
             let Source::Step(name, _) = source else {
                 continue;
             };
-            let s = flow.workflow.steps.iter().position(|s| s.name == *name)?;
-            match &flow.states[s] {
-                State::Done(_) => {}
-                State::Begun { parts, .. } => {
-                    for part in parts {
-                        match part {
-                            Part::Task { key, .. } => {
+            let s = instance
+                .workflow
+                .steps
+                .iter()
+                .position(|s| s.name == *name)?;
+            match &instance.states[s] {
+                StepState::Done(_) => {}
+                StepState::Started { member_states, .. } => {
+                    for state in member_states {
+                        match state {
+                            MemberState::Task { key, .. } => {
                                 keys.insert(key.clone());
                             }
-                            Part::Flow => return None,
-                            Part::Over(_) | Part::Skipped => {}
+                            MemberState::Workflow => return None,
+                            MemberState::Done(_) | MemberState::Skipped => {}
                         }
                     }
                 }
-                State::Waiting => return None,
+                StepState::Waiting => return None,
             }
         }
         Some(keys.into_iter().collect())
     }
 
-    /// A workflow whose steps are all done is over.
-    fn close(&mut self, f: usize) -> bool {
-        let flow = &self.flows[f];
-        if !flow.states.iter().all(|s| matches!(s, State::Done(_))) {
+    /// Completes a workflow whose steps are all done; true if it completed.
+    fn complete_workflow(&mut self, w: usize) -> bool {
+        let instance = &self.workflows[w];
+        if !instance
+            .states
+            .iter()
+            .all(|s| matches!(s, StepState::Done(_)))
+        {
             return false;
         }
-        let common = &flow.workflow.common;
+        let common = &instance.workflow.common;
         let mut outputs = Map::new();
         for output in &common.outputs {
             let Some(link) = &output.link else { continue };
-            let value = values::link_value(link, &|source| self.value(f, source));
+            let value = values::link_value(link, &|source| self.source_value(w, source));
             match value {
                 Ok(value) => {
                     let value = value.map(|v| (*v).clone()).unwrap_or_default();
@@ -535,8 +590,8 @@
                 }
                 Err(e) => {
                     let fault = output.cursor.fault(e).to_string();
-                    let path = flow.path.clone();
-                    self.fails(&path, fault);
+                    let path = instance.path.clone();
+                    self.fail(&path, fault);
                     return false;
                 }
             }
@@ -545,40 +600,40 @@
         let object = match values::check_outputs(common, outputs.clone()) {
             Ok(object) => object,
             Err(fault) => {
-                let path = flow.path.clone();
-                self.fails(&path, fault.to_string());
+                let path = instance.path.clone();
+                self.fail(&path, fault.to_string());
                 return false;
             }
         };
-        let parent = flow.parent;
-        self.flows[f].over = true;
+        let parent = instance.parent;
+        self.workflows[w].done = true;
         match parent {
             None => self.outputs = Some(outputs),
-            Some((f, s, m)) => {
-                if let State::Begun { parts, .. } = &mut self.flows[f].states[s] {
-                    parts[m] = Part::Over(object);
+            Some((w, s, m)) => {
+                if let StepState::Started { member_states, .. } = &mut self.workflows[w].states[s] {
+                    member_states[m] = MemberState::Done(object);
                 }
             }
         }
         true
     }
 
-    /// A job is done: what its tasks left behind, in order.
+    /// Takes the results of a job that is done, in the order of its tasks.
     pub fn job_done(&mut self, key: &JobKey, results: &[TaskResult]) {
-        for f in 0..self.flows.len() {
-            for s in 0..self.flows[f].states.len() {
-                let workflow = self.flows[f].workflow.clone();
+        for w in 0..self.workflows.len() {
+            for s in 0..self.workflows[w].states.len() {
+                let workflow = self.workflows[w].workflow.clone();
                 let step = &workflow.steps[s];
-                if self.path(f, step) == key.step && matches!(step.run, Process::Tool(_)) {
-                    return self.step_ended(f, s, step, key, results);
+                if self.step_path(w, step) == key.step && matches!(step.run, Process::Tool(_)) {
+                    return self.step_job_done(w, s, step, key, results);
                 }
             }
         }
     }
 
-    fn step_ended(
+    fn step_job_done(
         &mut self,
-        f: usize,
+        w: usize,
         s: usize,
         step: &Step,
         key: &JobKey,
@@ -587,41 +642,48 @@
         let Process::Tool(tool) = &step.run else {
             return;
         };
-        if let State::Begun { members: None, .. } = &self.flows[f].states[s] {
-            // What it awaited is done, so its inputs are there now.
-            match self.members(f, step) {
+        if let StepState::Started { members: None, .. } = &self.workflows[w].states[s] {
+            // The jobs that this one awaited are done, so its inputs are known.
+            match self.members(w, step) {
                 Ok(Some(known)) => {
-                    if let State::Begun { members, parts, .. } = &mut self.flows[f].states[s] {
-                        if known.members.len() != parts.len() {
-                            let reason = "its inputs are not as many as was foreseen".to_owned();
-                            return self.fails(&key.step, reason);
+                    if let StepState::Started {
+                        members,
+                        member_states,
+                        ..
+                    } = &mut self.workflows[w].states[s]
+                    {
+                        if known.members.len() != member_states.len() {
+                            let reason =
+                                "the number of members differs from the number of tasks submitted"
+                                    .to_owned();
+                            return self.fail(&key.step, reason);
                         }
                         *members = Some(known.members);
                     }
                 }
                 Ok(None) => {
-                    let reason = "it was done before what it awaits".to_owned();
-                    return self.fails(&key.step, reason);
+                    let reason = "its job was done before the jobs that it awaits".to_owned();
+                    return self.fail(&key.step, reason);
                 }
-                Err(fault) => return self.fails(&key.step, fault.to_string()),
+                Err(fault) => return self.fail(&key.step, fault.to_string()),
             }
         }
-        let State::Begun {
+        let StepState::Started {
             members: Some(members),
-            parts,
+            member_states,
             ..
-        } = &mut self.flows[f].states[s]
+        } = &mut self.workflows[w].states[s]
         else {
             return;
         };
-        for (m, part) in parts.iter_mut().enumerate() {
-            let Part::Task { key: of, index } = &*part else {
+        for (m, state) in member_states.iter_mut().enumerate() {
+            let MemberState::Task { key: of, index } = &*state else {
                 continue;
             };
             if of != key {
                 continue;
             }
-            let place = match members.len() {
+            let prefix = match members.len() {
                 1 => String::new(),
                 _ => format!("member {m}: "),
             };
@@ -637,21 +699,27 @@
                     );
                     made.map_err(|e| e.to_string())
                 }
-                None => Err("it left no result behind".to_owned()),
+                None => Err("the task has no result".to_owned()),
             };
             match made {
-                Ok(outputs) => *part = Part::Over(outputs),
-                Err(reason) => return self.fails(&key.step, format!("{place}{reason}")),
+                Ok(outputs) => *state = MemberState::Done(outputs),
+                Err(reason) => return self.fail(&key.step, format!("{prefix}{reason}")),
             }
         }
     }
 }
 
-/// What comes out of all members of a step.
-fn gather(step: &Step, shape: &[usize], parts: &[Part]) -> BTreeMap<String, Arc<Value>> {
+/// Combines the outputs of all members of a step.
+fn gather_outputs(
+    step: &Step,
+    shape: &[usize],
+    member_states: &[MemberState],
+) -> BTreeMap<String, Arc<Value>> {
     let outputs = step.outputs.iter().map(|name| {
-        let each = parts.iter().map(|part| match part {
-            Part::Over(object) => object.get(name).map(|v| (**v).clone()).unwrap_or_default(),
+        let each = member_states.iter().map(|state| match state {
+            MemberState::Done(object) => {
+                object.get(name).map(|v| (**v).clone()).unwrap_or_default()
+            }
             _ => Value::Null,
         });
         let value = values::gather_outputs(shape, step.scatter_method, each.collect());
@@ -660,8 +728,8 @@
     outputs.collect()
 }
 
-/// A process that is no workflow, as the only step of one.
-fn alone(process: &Process) -> Arc<Workflow> {
+/// Wraps a process that is not a workflow as the only step of a workflow.
+fn single_step_workflow(process: &Process) -> Arc<Workflow> {
     use oliveshift_cwl::document::{Common, Link, Output, StepInput};
     let common = process.common();
     let link = |source| Link {
--- a/crates/workflow/src/job.rs
+++ b/crates/workflow/src/job.rs
@@ -1,4 +1,5 @@
-//! A step as a native job, with what staff would say of it.
+//! Builds a native job from a workflow step: its resources, and its placement
+//! options from the hints of the step or from defaults.
 
 use std::collections::BTreeMap;
 
@@ -16,12 +17,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// What is taken for tasks of whom nothing is said, in seconds.
-const ESTIMATE_S: f64 = 60.0;
-/// The same for images, in GB.
-const IMAGE_GB: f64 = 1.0;
+/// Estimated run time in seconds of a task whose step gives no estimate.
+const DEFAULT_ESTIMATE_S: f64 = 60.0;
+/// Image size in GB of a task whose step gives no size.
+const DEFAULT_IMAGE_GB: f64 = 1.0;
 
-/// What the members of a job have in common.
+/// The resources, image and placement that all tasks of a job share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskRequirements {
     cores: f64,
@@ -31,32 +32,32 @@
 }
 
 impl TaskRequirements {
-    /// Processors.
+    /// CPUs per task.
     pub fn cpus(&self) -> f64 {
         self.cores
     }
 
-    /// Memory, in GB.
+    /// Memory per task, in GB; one GB is taken as 1024 MiB.
     pub fn memory_gb(&self) -> f64 {
         self.ram_mib / 1024.0
     }
 
-    /// The image.
+    /// The container image; `none` if the tool names no image.
     pub fn image(&self) -> &str {
         &self.image
     }
 
-    /// How it is placed and ordered.
+    /// Placement and priority options.
     pub fn placement(&self) -> &Placement {
         &self.placement
     }
 }
 
-/// What a member of a step needs. Without inputs only what depends on none of
-/// them can be told; `None` otherwise.
+/// Computes the requirements of one member of a step. Returns `None` if `inputs`
+/// is `None` and the resources depend on the inputs.
 ///
 /// # Errors
-/// An expression throws, or gives no number.
+/// A resource expression throws, or its value is not a number above zero.
 pub fn task_requirements(
     tool: &Tool,
     inputs: Option<&Object>,
@@ -81,23 +82,24 @@
     }))
 }
 
-/// What a run says of itself, for steps that don't.
+/// The options of a run for steps that do not set their own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Defaults {
-    /// The team that pays.
+    /// The team that is charged.
     pub team: String,
-    /// The class of work.
+    /// The job class.
     pub class: String,
 }
 
-/// The job of a group of members; `gone_s` is how long ago the run was begun.
+/// Builds the job for a group of members. `elapsed_s` is the time since the run
+/// started, in seconds.
 pub fn job_spec(
     id: JobId,
     requirements: &TaskRequirements,
     tasks: u32,
     awaits: Vec<JobId>,
     defaults: &Defaults,
-    gone_s: f64,
+    elapsed_s: f64,
 ) -> JobSpec {
     let TaskRequirements {
         cores,
@@ -105,11 +107,12 @@
         placement,
         ..
     } = requirements;
-    let text = |given: &Option<String>, other: &String| given.as_ref().unwrap_or(other).clone();
+    let or_default =
+        |given: &Option<String>, default: &String| given.as_ref().unwrap_or(default).clone();
     JobSpec {
         id,
-        class: text(&placement.class, &defaults.class),
-        team: text(&placement.team, &defaults.team),
+        class: or_default(&placement.class, &defaults.class),
+        team: or_default(&placement.team, &defaults.team),
         shape: Shape::Array,
         priority: match placement.urgency.as_deref() {
             Some("low") => Priority::Low,
@@ -121,31 +124,36 @@
         gpus: placement.gpus.unwrap_or(0.0),
         memory_gb: requirements.memory_gb(),
         image: image.clone(),
-        image_gb: placement.image_gb.unwrap_or(IMAGE_GB),
+        image_gb: placement.image_gb.unwrap_or(DEFAULT_IMAGE_GB),
         types: placement.types.clone(),
         zone: placement.zone.clone(),
         one_zone: false,
         spread: false,
         spot: placement.spot.unwrap_or(false),
-        estimate_s: placement.estimate_s.unwrap_or(ESTIMATE_S),
+        estimate_s: placement.estimate_s.unwrap_or(DEFAULT_ESTIMATE_S),
         checkpoint_s: 0.0,
         save_s: 0.0,
-        // From the run's start, as the partner counts; jobs count from theirs.
-        deadline_s: placement.deadline_s.map(|d| (d - gone_s).max(1.0).round()),
+        // Clients give deadlines relative to the start of the run, but a job's
+        // deadline is relative to its submission.
+        deadline_s: placement
+            .deadline_s
+            .map(|d| (d - elapsed_s).max(1.0).round()),
         awaits,
     }
 }
 
-/// What a task has left behind, as its agent puts it into the object store.
+/// The result of a task, as its agent writes it to the object store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskResult {
     /// The exit code.
     #[serde(rename = "code")]
     pub exit_code: i64,
-    /// Files and directories: path, whether a directory, bytes, location.
+    /// Files and directories in the output directory: path, whether it is a
+    /// directory, size in bytes, location.
     #[serde(rename = "left")]
     pub files: Vec<(String, bool, u64, String)>,
-    /// The beginnings of those that outputs are made from.
+    /// By path, the first part of the contents of each file that an output is
+    /// evaluated from.
     pub texts: BTreeMap<String, String>,
 }
 
@@ -163,12 +171,12 @@
 
     fn read_text(&self, path: &str) -> Result<String, String> {
         let text = self.texts.get(path).cloned();
-        text.ok_or_else(|| "its contents were not kept".to_owned())
+        text.ok_or_else(|| "the task result does not hold the contents of this file".to_owned())
     }
 }
 
-/// Whether a step's members can be counted and its needs told before its
-/// inputs are there.
+/// Whether a step permits its job to be submitted before the step's inputs are
+/// known: it has no `when` condition and none of its inputs loads file contents.
 pub fn can_submit_early(step: &Step) -> bool {
     step.when.is_none() && step.inputs.iter().all(|i| !i.load_contents)
 }
--- a/crates/workflow/src/lib.rs
+++ b/crates/workflow/src/lib.rs
@@ -1,7 +1,7 @@
 //! Runs of CWL workflows on oliveshift, as a state machine without I/O.
 //!
-//! [`flow`] is one run without its surroundings, [`active`] one with its jobs
-//! and records, [`service`] an instance that drives many of them.
+//! [`flow`] evaluates the steps of one run, [`active`] adds the run's jobs and
+//! stored records, and [`service`] is one service instance that drives many runs.
 
 pub mod active;
 pub mod api;
--- a/crates/workflow/src/plan.rs
+++ b/crates/workflow/src/plan.rs
@@ -1,4 +1,4 @@
-//! What would be submitted for a document with these inputs, for people.
+//! Dry run: lists the jobs that a document would submit with given inputs.
 
 use oliveshift_cwl::{Engine, Fault, document::Process};
 use serde::Serialize;
@@ -6,53 +6,55 @@
 
 use crate::flow::Run;
 
-/// What becomes of a document at once, and what depends on values.
+/// The jobs of a document that are known from its inputs, and the steps whose
+/// jobs depend on values that other steps produce.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Plan {
-    /// Its name.
+    /// The id of the document's main process.
     pub name: String,
-    /// Jobs that go in at once.
+    /// Jobs that can be submitted at the start of the run.
     pub jobs: Vec<PlannedJob>,
-    /// Steps whose jobs are known later.
+    /// Steps whose jobs are not known before other steps complete or files are read.
     #[serde(rename = "later")]
     pub deferred_steps: Vec<DeferredStep>,
 }
 
-/// A job.
+/// A job that would be submitted.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PlannedJob {
-    /// The step.
+    /// The path of its step.
     pub step: String,
-    /// How many tasks.
+    /// The number of tasks.
     pub tasks: u32,
-    /// Processors of each.
+    /// CPUs per task.
     pub cpus: f64,
-    /// Memory of each, in GB.
+    /// Memory per task, in GB.
     pub memory_gb: f64,
-    /// The image.
+    /// The container image; `none` if the tool names no image.
     pub image: String,
-    /// The team that pays; none: the run's.
+    /// The team that is charged; `None` if the step uses the default of the run.
     pub team: Option<String>,
-    /// Its urgency.
+    /// The priority: `low`, `normal` or `high`.
     pub urgency: String,
-    /// Steps whose jobs it awaits.
+    /// Steps whose jobs must be done before this one starts.
     pub awaits: Vec<String>,
 }
 
-/// A step whose job is known later.
+/// A step whose jobs are not known yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DeferredStep {
-    /// The step.
+    /// The path of the step.
     pub step: String,
-    /// What it waits for.
+    /// What is not known yet and which steps decide it, as text for users.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// Plans a document.
+/// Lists the jobs that a run of the process with these inputs would submit.
 ///
 /// # Errors
-/// The inputs don't fit, or a step of which all is known has a fault.
+/// The inputs don't match the declared parameters, or a step whose inputs are
+/// known can't be evaluated.
 pub fn plan(process: &Process, inputs: &Value) -> Result<Plan, String> {
     let text = |fault: Fault| fault.to_string();
     let mut run = Run::new(process, inputs, Engine::default()).map_err(text)?;
