--- a/crates/workflow/examples/measure.rs
+++ b/crates/workflow/examples/measure.rs
@@ -1,5 +1,6 @@
-//! Measures the workflow service: documents planned a second, memory of open
-//! runs, writes and requests of a crowd of runs. The figures of docs/cwl.md.
+//! Measures the workflow service: time to load and plan a document, memory of open
+//! runs, and writes and requests of many runs submitted at once. Prints the
+//! figures of docs/cwl.md.
 //!
 //!     cargo run --release -p oliveshift-workflow --example measure -- 2000
 
@@ -25,44 +26,44 @@
 
 use support::{answer_store_call, example, task_result};
 
-const S: Duration = Duration::from_secs(1);
+const SECOND: Duration = Duration::from_secs(1);
 
 /// Resident memory of this process, in KiB.
-fn resident() -> u64 {
+fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let number = line.and_then(|l| l.split_whitespace().next());
     number.and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn show(what: &str, micros: &Histogram<u64>) {
+fn print_latencies(what: &str, latencies_us: &Histogram<u64>) {
     println!(
-        "{what}: mean {:.0} us, p50 {}, p99 {}, max {} us, {} times",
-        micros.mean(),
-        micros.value_at_quantile(0.5),
-        micros.value_at_quantile(0.99),
-        micros.max(),
-        micros.len()
+        "{what}: mean {:.0} us, p50 {}, p99 {}, max {} us, {} samples",
+        latencies_us.mean(),
+        latencies_us.value_at_quantile(0.5),
+        latencies_us.value_at_quantile(0.99),
+        latencies_us.max(),
+        latencies_us.len()
     );
 }
 
-fn planning() {
+fn measure_planning() {
     for name in ["sheet-to-portal", "waveform-to-catalog"] {
         let bundle = example(name);
-        let mut micros = Histogram::<u64>::new(3).expect("a histogram");
+        let mut latencies_us = Histogram::<u64>::new(3).expect("a histogram");
         for _ in 0..300 {
-            let begun = Instant::now();
-            let process = load::load(&bundle, &bundle.main).expect("good");
-            plan(&process, &bundle.inputs).expect("good");
-            micros
-                .record(begun.elapsed().as_micros() as u64)
-                .expect("in range");
+            let start = Instant::now();
+            let process = load::load(&bundle, &bundle.main).expect("a valid example");
+            plan(&process, &bundle.inputs).expect("a valid example");
+            latencies_us
+                .record(start.elapsed().as_micros() as u64)
+                .expect("a latency within the range");
         }
-        show(&format!("{name} read and planned"), &micros);
+        print_latencies(&format!("{name} loaded and planned"), &latencies_us);
     }
 }
 
-fn memory(count: u64) {
+fn measure_memory(count: u64) {
     let bundle = example("waveform-to-catalog");
     let record = RunRecord {
         state: RunState::Running,
@@ -72,35 +73,36 @@
         outputs: 0,
         failure: None,
     };
-    let process = load::load(&bundle, &bundle.main).expect("good");
-    let before = resident();
+    let process = load::load(&bundle, &bundle.main).expect("a valid example");
+    let before = resident_kib();
     let runs: Vec<ActiveRun> = (0..count)
         .map(|number| {
             let id = RunId { range: 0, number };
-            let whole = StoredRun::new(record.clone(), bundle.clone());
-            let run = ActiveRun::new(id, &process, whole, 8192, number);
-            let mut run = run.expect("good");
+            let stored = StoredRun::new(record.clone(), bundle.clone());
+            let run = ActiveRun::new(id, &process, stored, 8192, number);
+            let mut run = run.expect("a run that can start");
             run.next_actions(Duration::ZERO, 0, 4, true);
             run
         })
         .collect();
-    let each = resident().saturating_sub(before) as f64 / count as f64;
-    println!("{} open runs: {each:.1} KiB each", runs.len());
+    let each = resident_kib().saturating_sub(before) as f64 / count as f64;
+    println!("{} open runs: {each:.1} KiB per run", runs.len());
 }
 
-/// A crowd of runs, handed in as fast as they are taken.
-fn crowd(count: usize) {
+/// Submits many runs as fast as the service accepts them and simulates them to
+/// their end.
+fn measure_many_runs(count: usize) {
     let settings = Settings {
         name: "wf-0".into(),
         ranges: 8,
-        lease: S * 10,
+        lease: SECOND * 10,
         calls_per_s: 100.0,
         store_per_s: 100.0,
         writes_per_s: 200.0,
         max_runs: count,
         value_bytes: 8192,
         txn_ops: 20,
-        retention: S * 100_000,
+        retention: SECOND * 100_000,
     };
     let mut service = Service::new(settings, 1);
     let mut state = StateService::new(StateLimits {
@@ -110,45 +112,45 @@
     });
     let bundle = example("waveform-to-catalog");
     let mut jobs: BTreeMap<JobId, (String, u32, Duration)> = BTreeMap::new();
-    let mut micros = Histogram::<u64>::new(3).expect("a histogram");
-    let (mut begun, mut asked, mut writes, mut submits, mut polls) = (0, 0, 0, 0, 0);
-    let mut calls: BTreeMap<u64, usize> = BTreeMap::new();
+    let mut latencies_us = Histogram::<u64>::new(3).expect("a histogram");
+    let (mut started, mut submitted, mut writes, mut submissions, mut polls) = (0, 0, 0, 0, 0);
+    let mut calls_by_second: BTreeMap<u64, usize> = BTreeMap::new();
     let mut now = Duration::ZERO;
-    let mut most = 0;
-    let wall = Instant::now();
-    while (begun < count || service.open_runs() > 0) && now < S * 7200 {
+    let mut max_open = 0;
+    let wall_start = Instant::now();
+    while (started < count || service.open_runs() > 0) && now < SECOND * 7200 {
         now += Duration::from_millis(100);
         let mut inputs = vec![Input::Tick];
-        if asked < count && asked < begun + 4 {
+        if submitted < count && submitted < started + 4 {
             inputs.push(Input::UserRequest(
-                asked as u64,
+                submitted as u64,
                 UserRequest::Submit(Box::new(bundle.clone())),
             ));
-            asked += 1;
+            submitted += 1;
         }
         while let Some(input) = inputs.pop() {
-            let at = Instant::now();
+            let start = Instant::now();
             let outputs = service.handle(now, now.as_secs(), input);
-            micros
-                .record(at.elapsed().as_micros() as u64)
-                .expect("in range");
+            latencies_us
+                .record(start.elapsed().as_micros() as u64)
+                .expect("a latency within the range");
             for output in outputs {
-                *calls.entry(now.as_secs()).or_default() += usize::from(matches!(
+                *calls_by_second.entry(now.as_secs()).or_default() += usize::from(matches!(
                     output,
                     Output::Submit(..) | Output::Poll(..) | Output::Abort(..)
                 ));
                 match output {
-                    Output::Store(call, ask) => {
-                        if let StoreCall::Txn(txn) = &ask {
+                    Output::Store(call, store_call) => {
+                        if let StoreCall::Txn(txn) = &store_call {
                             writes += txn.changes.len();
                         }
-                        let reply = answer_store_call(&mut state, now, &ask);
-                        let reply = api::store_reply(&ask, reply);
+                        let reply = answer_store_call(&mut state, now, &store_call);
+                        let reply = api::store_reply(&store_call, reply);
                         inputs.push(Input::Store(call, reply));
                     }
                     Output::Submit(call, spec) => {
-                        submits += 1;
-                        let job = (spec.class.clone(), spec.tasks, now + S * 15);
+                        submissions += 1;
+                        let job = (spec.class.clone(), spec.tasks, now + SECOND * 15);
                         jobs.insert(spec.id.clone(), job);
                         inputs.push(Input::Job(call, JobReply::Created));
                     }
@@ -169,26 +171,26 @@
                         inputs.push(Input::Results(call, Some(results)));
                     }
                     Output::Text(call, _) => inputs.push(Input::Text(call, None)),
-                    Output::Answer(_, Answer::Started(_)) => begun += 1,
-                    Output::Answer(_, Answer::RetryAfter(_)) => asked -= 1,
+                    Output::Answer(_, Answer::Started(_)) => started += 1,
+                    Output::Answer(_, Answer::RetryAfter(_)) => submitted -= 1,
                     Output::Answer(_, answer) => panic!("{answer:?}"),
                 }
             }
         }
-        most = most.max(service.open_runs());
+        max_open = max_open.max(service.open_runs());
     }
-    let busiest = calls.values().max().copied().unwrap_or(0);
+    let busiest = calls_by_second.values().max().copied().unwrap_or(0);
     println!(
-        "{begun} runs handed in at once, all over after {:.0} s of simulated time ({:.1} s in fact): \
-         at most {most} open, {:.1} changes, {:.1} submissions and {:.1} questions a run; \
+        "{started} runs submitted at once, all ended after {:.0} s of simulated time ({:.1} s of real time): \
+         at most {max_open} open, {:.1} changes, {:.1} submissions and {:.1} polls a run; \
          at most {busiest} requests to the users' API in a second, of 100 allowed",
         now.as_secs_f64(),
-        wall.elapsed().as_secs_f64(),
-        writes as f64 / begun as f64,
-        submits as f64 / begun as f64,
-        polls as f64 / begun as f64,
+        wall_start.elapsed().as_secs_f64(),
+        writes as f64 / started as f64,
+        submissions as f64 / started as f64,
+        polls as f64 / started as f64,
     );
-    show("an input handled", &micros);
+    print_latencies("handling of one input", &latencies_us);
 }
 
 fn main() {
@@ -196,7 +198,7 @@
         .nth(1)
         .and_then(|a| a.parse().ok())
         .unwrap_or(2000);
-    planning();
-    memory(count as u64);
-    crowd(count);
+    measure_planning();
+    measure_memory(count as u64);
+    measure_many_runs(count);
 }
--- a/crates/workflow/src/plan.rs
+++ b/crates/workflow/src/plan.rs
@@ -58,24 +58,24 @@
 pub fn plan(process: &Process, inputs: &Value) -> Result<Plan, String> {
     let text = |fault: Fault| fault.to_string();
     let mut run = Run::new(process, inputs, Engine::default()).map_err(text)?;
-    let work = run.advance();
+    let requests = run.advance();
     if let Some(failure) = run.failure() {
         return Err(failure.reason.clone());
     }
-    let jobs = work.into_iter().map(|work| PlannedJob {
-        step: work.key.step,
-        tasks: work.tasks,
-        cpus: work.requirements.cpus(),
-        memory_gb: work.requirements.memory_gb(),
-        image: work.requirements.image().to_owned(),
-        team: work.requirements.placement().team.clone(),
-        urgency: work
+    let jobs = requests.into_iter().map(|request| PlannedJob {
+        step: request.key.step,
+        tasks: request.tasks,
+        cpus: request.requirements.cpus(),
+        memory_gb: request.requirements.memory_gb(),
+        image: request.requirements.image().to_owned(),
+        team: request.requirements.placement().team.clone(),
+        urgency: request
             .requirements
             .placement()
             .urgency
             .clone()
             .unwrap_or("normal".into()),
-        awaits: work.awaits.into_iter().map(|key| key.step).collect(),
+        awaits: request.awaits.into_iter().map(|key| key.step).collect(),
     });
     Ok(Plan {
         name: process.common().id.clone(),
--- a/crates/workflow/tests/flow.rs
+++ b/crates/workflow/tests/flow.rs
@@ -1,5 +1,5 @@
-//! One run without its surroundings: workflows in workflows, scatters over what
-//! steps make, conditions, files that expressions read, and failures.
+//! Evaluation of one run without a service: nested workflows, scatters over lists
+//! that steps produce, conditions, files that expressions read, and failures.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -35,20 +35,21 @@
     }
 }
 
-/// What came of a run, and the jobs that it had, with how many tasks each.
-struct Played {
+/// The end of a simulated run and the jobs that it requested.
+struct Outcome {
     end: Result<Value, Failure>,
+    /// Number of tasks by job, as `step#group`.
     jobs: BTreeMap<String, u32>,
-    /// Submitted before the jobs that they await were done.
+    /// Steps whose jobs were requested before the jobs that they await were done.
     early: Vec<String>,
 }
 
-/// Plays a run: jobs are done one after the other; the task `fails` leaves
-/// nothing behind.
-fn play(text: &str, inputs: Value, fails: &str) -> Played {
+/// Simulates a run whose jobs are done one after the other. The tasks of the step
+/// `failing_step` exit with code 1.
+fn simulate(text: &str, inputs: Value, failing_step: &str) -> Outcome {
     let bundle = bundle(text, inputs);
     let process = load::load(&bundle, "w.cwl").unwrap_or_else(|e| panic!("{e}\n{text}"));
-    let mut run = Run::new(&process, &bundle.inputs, Engine::default()).expect("inputs");
+    let mut run = Run::new(&process, &bundle.inputs, Engine::default()).expect("valid inputs");
     let mut queue: VecDeque<JobRequest> = VecDeque::new();
     let (mut jobs, mut early) = (BTreeMap::new(), Vec::new());
     loop {
@@ -59,32 +60,32 @@
             run.file_read(&location, text);
             queue.extend(run.advance());
         }
-        let Some(work) = queue.pop_front() else { break };
-        let step = work.key.step.clone();
-        jobs.insert(format!("{step}#{}", work.key.group), work.tasks);
-        if !work.awaits.is_empty() {
+        let Some(job) = queue.pop_front() else { break };
+        let step = job.key.step.clone();
+        jobs.insert(format!("{step}#{}", job.key.group), job.tasks);
+        if !job.awaits.is_empty() {
             early.push(step.clone());
         }
         let result = |i: u32| TaskResult {
-            exit_code: if step == fails { 1 } else { 0 },
+            exit_code: if step == failing_step { 1 } else { 0 },
             files: vec![("said.txt".into(), false, 2, format!("store://{step}/{i}"))],
             texts: BTreeMap::new(),
         };
-        let results: Vec<_> = (0..work.tasks).map(result).collect();
-        run.job_done(&work.key, &results);
+        let results: Vec<_> = (0..job.tasks).map(result).collect();
+        run.job_done(&job.key, &results);
     }
     let end = match (run.failure(), run.outputs()) {
         (Some(failure), _) => Err(failure.clone()),
         (None, Some(outputs)) => Ok(outputs.clone()),
         (None, None) => panic!(
-            "it neither ended nor has work: {:?}",
+            "the run has neither ended nor any job to do; waiting steps: {:?}",
             run.waiting_steps().collect::<Vec<_>>()
         ),
     };
-    Played { end, jobs, early }
+    Outcome { end, jobs, early }
 }
 
-/// The locations of files, however nested.
+/// Replaces each file in a value, at any depth of lists, by its location.
 fn locations(value: &Value) -> Value {
     match value {
         Value::Array(list) => list.iter().map(locations).collect(),
@@ -125,9 +126,9 @@
       each: {run: '#inner', scatter: n, in: {n: list/list}, out: [said]}
       flat: {run: '#say', scatter: word, in: {word: list/list}, out: [said]}
 ";
-    let played = play(text, json!({"n": 3}), "");
-    let outputs = played.end.expect("it is complete");
-    // The second member's condition does not hold.
+    let outcome = simulate(text, json!({"n": 3}), "");
+    let outputs = outcome.end.expect("a complete run");
+    // The condition is false for the second member.
     let all = json!(["store://each.0.again/0", null, "store://each.2.again/0"]);
     assert_eq!(locations(&outputs["all"]), all);
     assert_eq!(
@@ -143,10 +144,10 @@
     ];
     let mut expected: BTreeMap<String, u32> = jobs.map(|j| (j.to_owned(), 1)).into();
     expected.insert("flat#0".into(), 3);
-    assert_eq!(played.jobs, expected);
-    let none = play(text, json!({"n": 0}), "");
-    let outputs = none.end.expect("it is complete");
-    assert_eq!((&outputs["all"], none.jobs.len()), (&json!([]), 0));
+    assert_eq!(outcome.jobs, expected);
+    let empty = simulate(text, json!({"n": 0}), "");
+    let outputs = empty.end.expect("a complete run");
+    assert_eq!((&outputs["all"], empty.jobs.len()), (&json!([]), 0));
 }
 
 #[test]
@@ -174,18 +175,19 @@
         out: [said]
       row: {run: '#say', scatter: word, in: {word: grid/said}, out: [said]}
 ";
-    let played = play(text, json!({"a": ["x", "y"], "b": [1, 2, 1]}), "");
-    let outputs = played.end.expect("it is complete");
-    // Members that need the same are one array: two of 1 CPU, one of 2 a row.
+    let outcome = simulate(text, json!({"a": ["x", "y"], "b": [1, 2, 1]}), "");
+    let outputs = outcome.end.expect("a complete run");
+    // Members with the same requirements are one job: in each row of the grid two
+    // members with 1 CPU and one with 2.
     let grid = json!([
         ["store://grid/0", "store://grid/0", "store://grid/1"],
         ["store://grid/2", "store://grid/1", "store://grid/3"]
     ]);
     assert_eq!(locations(&outputs["grid"]), grid);
     let jobs = [("grid#0", 4), ("grid#1", 2), ("row#0", 2)];
-    assert_eq!(played.jobs, jobs.map(|(j, n)| (j.to_owned(), n)).into());
-    // One member for each row of the grid, known before the grid is done.
-    assert_eq!(played.early, ["row"]);
+    assert_eq!(outcome.jobs, jobs.map(|(j, n)| (j.to_owned(), n)).into());
+    // One member for each row of the grid; the count is known before the grid is done.
+    assert_eq!(outcome.early, ["row"]);
     assert_eq!(
         locations(&outputs["row"]),
         json!(["store://row/0", "store://row/1"])
@@ -212,12 +214,12 @@
 ";
     let file = |location: &str| json!({"file": {"class": "File", "location": location}});
     assert_eq!(
-        play(text, file("store://x"), "").end,
+        simulate(text, file("store://x"), "").end,
         Ok(json!({"n": 7, "m": 7}))
     );
-    let failure = play(text, file("elsewhere://x"), "")
+    let failure = simulate(text, file("elsewhere://x"), "")
         .end
-        .expect_err("no such file");
+        .expect_err("the file does not exist");
     assert_eq!(failure.reason, "elsewhere://x can't be read");
 }
 
@@ -236,7 +238,7 @@
 ";
     let good = text.replace("MIDDLE", "self.location");
     let inputs = json!({"word": "hi"});
-    assert!(play(&good, inputs.clone(), "").end.is_ok());
+    assert!(simulate(&good, inputs.clone(), "").end.is_ok());
     for (text, step, reason) in [
         (good, "second", "exit code 1"),
         (
@@ -250,8 +252,10 @@
             "nothing is not defined",
         ),
     ] {
-        let fails = if reason.starts_with("exit") { step } else { "" };
-        let failure = play(&text, inputs.clone(), fails).end.expect_err(reason);
+        let failing_step = if reason.starts_with("exit") { step } else { "" };
+        let failure = simulate(&text, inputs.clone(), failing_step)
+            .end
+            .expect_err(reason);
         assert_eq!(failure.step, step, "{failure:?}");
         assert!(failure.reason.contains(reason), "{failure:?}");
     }
--- a/crates/workflow/tests/support/mod.rs
+++ b/crates/workflow/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! The examples, and what their tools leave behind.
+//! The example workflows, the results of their tools, and a simulated state service.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,9 +12,10 @@
     service::StoreCall,
 };
 
-/// What the stand-in for the state service answers.
-pub fn answer_store_call(state: &mut StateService, now: Duration, ask: &StoreCall) -> Reply {
-    let request = api::store_request(ask);
+/// Answers a store call from the simulated state service. A call that it would
+/// hold open is reported as lost.
+pub fn answer_store_call(state: &mut StateService, now: Duration, store_call: &StoreCall) -> Reply {
+    let request = api::store_request(store_call);
     let call = Call {
         id: 0,
         to: Target::State,
@@ -32,11 +33,13 @@
     }
 }
 
-/// An example that is shipped.
+/// Reads one of the examples in deploy/examples/cwl, with its inputs.
 pub fn example(name: &str) -> Bundle {
     let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/examples/cwl/");
     let mut files = BTreeMap::new();
-    let read = |path: &str| std::fs::read_to_string(format!("{dir}{path}")).expect("shipped");
+    let read = |path: &str| {
+        std::fs::read_to_string(format!("{dir}{path}")).expect("a readable example file")
+    };
     files.insert(format!("{name}.cwl"), read(&format!("{name}.cwl")));
     for tool in [
         "trace-repair",
@@ -48,7 +51,7 @@
         files.insert(path.clone(), read(&path));
     }
     let inputs = read(&format!("{name}.inputs.yaml"));
-    let inputs = oliveshift_cwl::load::values("inputs", &inputs).expect("good");
+    let inputs = oliveshift_cwl::load::values("inputs", &inputs).expect("valid example inputs");
     Bundle {
         main: format!("{name}.cwl"),
         files,
@@ -60,7 +63,8 @@
     }
 }
 
-/// What the tools of the examples leave behind.
+/// The result of a task of the examples; without output files if `exit_code` is
+/// not 0.
 pub fn task_result(class: &str, job: &JobId, index: u32, exit_code: i64) -> TaskResult {
     let names = oliveshift_testkit::tools::output_files(class);
     let files = names.iter().map(|name| {
