--- a/crates/cwl/src/document.rs
+++ b/crates/cwl/src/document.rs
@@ -618,8 +618,8 @@
             "the_only_non_null" => PickValue::Only,
             "all_non_null" => PickValue::All,
             _ => {
-                let what = "`first_non_null`, `the_only_non_null` or `all_non_null` is expected";
-                return Err(cursor.fault(what));
+                let message = "`first_non_null`, `the_only_non_null` or `all_non_null` is expected";
+                return Err(cursor.fault(message));
             }
         }),
         None => None,
--- a/crates/cwl/src/load.rs
+++ b/crates/cwl/src/load.rs
@@ -57,7 +57,7 @@
         Some((file, name)) => (file, Some(name)),
         None => (path, None),
     };
-    let file = resolve_path("", file).map_err(|what| file_fault(file, what))?;
+    let file = resolve_path("", file).map_err(|message| file_fault(file, message))?;
     let mut enclosing = Vec::new();
     loader.load_process(&file, name, &Requirements::default(), &mut enclosing)
 }
@@ -119,8 +119,7 @@
 }
 
 impl Loader<'_> {
-    /// Reads a file and resolves its imports. `referrer` is the value that names
-    /// it.
+    /// Reads a file and resolves its imports. `referrer` is the value that names it.
     fn read_file(&mut self, path: &str, referrer: Option<&Cursor>) -> Result<Node, Fault> {
         if let Some(node) = self.files.get(path) {
             return Ok(node.clone());
@@ -135,9 +134,9 @@
 
     /// Reads the text of a file, within the limits.
     fn read_text(&mut self, path: &str, referrer: Option<&Cursor>) -> Result<String, Fault> {
-        let fault = |what: String| match referrer {
-            Some(cursor) => cursor.fault(what),
-            None => file_fault(path, what),
+        let fault = |message: String| match referrer {
+            Some(cursor) => cursor.fault(message),
+            None => file_fault(path, message),
         };
         self.file_reads += 1;
         if self.file_reads > MAX_FILE_READS {
@@ -281,8 +280,9 @@
             return Err(cursor.fault("recursion: the process contains itself as a step"));
         }
         if enclosing.len() >= MAX_PROCESS_DEPTH {
-            let what = format!("processes in workflows are nested deeper than {MAX_PROCESS_DEPTH}");
-            return Err(cursor.fault(what));
+            let message =
+                format!("processes in workflows are nested deeper than {MAX_PROCESS_DEPTH}");
+            return Err(cursor.fault(message));
         }
         enclosing.push(identity);
         let process = self.read_process(cursor, file, id, outer, enclosing);
@@ -419,10 +419,10 @@
                 return Err(cursor.fault("`outputSource` is missing"));
             };
             types.resolve_sources(link, &cursor)?;
-            let source_type = types.link_type(link);
-            if !source_type.may_match(&output.kind) {
+            let value_type = types.link_type(link);
+            if !value_type.may_match(&output.kind) {
                 return Err(cursor.fault(format!(
-                    "{} is expected, but the source gives {source_type}",
+                    "{} is expected, but the value has the type {value_type}",
                     output.kind
                 )));
             }
@@ -680,23 +680,23 @@
     fn check_step(&self, step: &Step) -> Result<(), Fault> {
         let parameters = &step.run.common().inputs;
         for input in &step.inputs {
-            let mut source_type = self.link_type(&input.link);
+            let mut value_type = self.link_type(&input.link);
             let given = !input.link.sources.is_empty();
             if let Some(default) = &input.default {
-                source_type = match given {
-                    true => without_null(source_type),
+                value_type = match given {
+                    true => without_null(value_type),
                     false => type_of_default(default),
                 };
             }
             let scattered = step.scatter.contains(&input.name);
             if scattered {
-                source_type = match scattered_item_type(&source_type) {
+                value_type = match scattered_item_type(&value_type) {
                     Some(items) => items,
                     None => {
-                        let what = format!(
-                            "scatter: an array is expected, but the source gives {source_type}"
+                        let message = format!(
+                            "scatter: an array is expected, but the value has the type {value_type}"
                         );
-                        return Err(input.cursor.fault(what));
+                        return Err(input.cursor.fault(message));
                     }
                 };
             }
@@ -709,24 +709,24 @@
                 continue;
             };
             let accepts_null = parameter.kind.is_optional() || parameter.default.is_some();
-            let fits = source_type.may_match(&parameter.kind)
-                || (accepts_null && source_type.is_optional());
+            let fits =
+                value_type.may_match(&parameter.kind) || (accepts_null && value_type.is_optional());
             if !fits {
-                let what = format!(
-                    "{} is expected, but the source gives {source_type}",
+                let message = format!(
+                    "{} is expected, but the value has the type {value_type}",
                     parameter.kind
                 );
-                return Err(input.cursor.fault(what));
+                return Err(input.cursor.fault(message));
             }
         }
         for parameter in parameters {
             let given = step.inputs.iter().any(|i| i.name == parameter.name);
             if !given && !parameter.kind.is_optional() && parameter.default.is_none() {
-                let what = format!(
+                let message = format!(
                     "the input `{}` of the step's process is missing",
                     parameter.name
                 );
-                return Err(step.cursor.fault(what));
+                return Err(step.cursor.fault(message));
             }
         }
         Ok(())
@@ -793,11 +793,11 @@
         });
         let Some(ready) = ready else {
             let names: Vec<_> = steps.iter().map(|s| s.name.as_str()).collect();
-            let what = format!(
+            let message = format!(
                 "steps form a dependency cycle or depend on one: {}",
                 names.join(", ")
             );
-            return Err(steps[0].cursor.fault(what));
+            return Err(steps[0].cursor.fault(message));
         };
         let step = steps.remove(ready);
         ordered_names.insert(step.name.clone());
--- a/crates/cwl/src/requirements.rs
+++ b/crates/cwl/src/requirements.rs
@@ -314,8 +314,8 @@
     match value.as_f64() {
         Some(x) if x > 0.0 && x.is_finite() => Ok(x),
         _ => {
-            let what = format!("a number above zero is expected, not {value}");
-            Err(given.cursor().fault(what))
+            let message = format!("a number above zero is expected, not {value}");
+            Err(given.cursor().fault(message))
         }
     }
 }
@@ -446,9 +446,9 @@
         "NetworkAccess" => {
             let access = fields.require("networkAccess")?;
             if !is_hint && !access.bool()? {
-                let what =
+                let message =
                     "network access can't be disabled: tasks use the network of their machine";
-                return Err(access.fault(what));
+                return Err(access.fault(message));
             }
             ("NetworkAccess", Requirement::NoEffect)
         }
--- a/crates/cwl/src/types.rs
+++ b/crates/cwl/src/types.rs
@@ -139,8 +139,10 @@
                         field.allow_descriptive_fields();
                         field.get("name");
                         field.get("inputBinding");
-                        for what in ["outputBinding", "secondaryFiles", "streamable", "format"] {
-                            if let Some(cursor) = field.get(what) {
+                        for unsupported in
+                            ["outputBinding", "secondaryFiles", "streamable", "format"]
+                        {
+                            if let Some(cursor) = field.get(unsupported) {
                                 return Err(
                                     cursor.fault("not supported for the fields of a record")
                                 );
--- a/crates/cwl/tests/documents.rs
+++ b/crates/cwl/tests/documents.rs
@@ -155,7 +155,7 @@
         ),
         (
             FLOW.replace("{a: a}", "{a: n}"),
-            "w.cwl:9: steps.one.in.a: string is expected, but the source gives int",
+            "w.cwl:9: steps.one.in.a: string is expected, but the value has the type int",
         ),
         (
             FLOW.replace("{a: a}", "{}"),
@@ -167,7 +167,7 @@
         ),
         (
             FLOW.replace("{a: a}\n", "{a: a}\n    scatter: a\n"),
-            "steps.one.in.a: scatter: an array is expected, but the source gives string",
+            "steps.one.in.a: scatter: an array is expected, but the value has the type string",
         ),
         (
             FLOW.replace("{a: a}\n", "{a: a}\n    scatter: b\n"),
@@ -276,8 +276,8 @@
 }
 
 /// Guards against panics and endless loops on malformed documents. Parts of valid documents
-/// are deleted, duplicated, inserted or overwritten at random; each result must load or be
-/// refused with a located fault.
+/// are deleted, duplicated or overwritten and syntax fragments inserted at random; each result
+/// must load or be refused with a located fault.
 #[test]
 fn malformed_documents_load_or_are_refused() {
     let mut rng = fastrand::Rng::with_seed(15);
