--- a/crates/cwl/src/engine.rs
+++ b/crates/cwl/src/engine.rs
@@ -1,10 +1,10 @@
-//! JavaScript, bounded.
+//! Evaluation of JavaScript with limits on memory, work and time.
 //!
-//! Each expression gets a world of its own: what one leaves behind another one
-//! must not find, or the same document would mean something else after a
-//! restart. Work is bounded by counting, not by a clock, so that all instances
-//! of the service agree on which expression is too much; a clock is only the
-//! second net, for what the engine does without counting.
+//! Each evaluation has its own runtime. State that one expression left for
+//! another would be lost by a restart, and the same document would then give
+//! other results. Work is limited by a count rather than by a clock, so that all
+//! instances of the service reject the same expressions. The timeout is a
+//! fallback for work that the engine does not count.
 
 use std::time::{Duration, Instant};
 
@@ -13,18 +13,19 @@
 
 use crate::expr::Scope;
 
-/// What an expression may use.
+/// Limits of one evaluation.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Memory, in bytes.
     pub memory_bytes: usize,
-    /// Stack, in bytes; bounds recursion.
+    /// Stack, in bytes; limits recursion.
     pub stack_bytes: usize,
-    /// Work, in times that the engine looks up: one is some 10,000 steps.
+    /// Work, in calls of the interrupt handler; the engine calls it about once
+    /// in 10,000 steps.
     pub max_interrupt_checks: u32,
-    /// Time, whatever it does.
+    /// Elapsed time, checked in each call of the interrupt handler.
     pub timeout: Duration,
-    /// The largest result, in bytes of JSON.
+    /// Size of the result as JSON, in bytes.
     pub result_bytes: usize,
 }
 
@@ -40,19 +41,19 @@
     }
 }
 
-/// Evaluates JavaScript.
+/// Evaluates JavaScript expressions.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Engine {
-    /// The bounds of each evaluation.
+    /// The limits of each evaluation.
     pub limits: Limits,
 }
 
 impl Engine {
-    /// Evaluates a function body, after a library that it may use.
+    /// Evaluates a function body after the sources of a library that it may use.
     ///
     /// # Errors
-    /// It throws, is no JavaScript, goes beyond a limit, or returns what is no
-    /// value; in words.
+    /// If the code throws, is not valid JavaScript, exceeds a limit, or returns
+    /// something that JSON can't hold; as a text for the user.
     pub fn evaluate(
         &self,
         library: &[String],
@@ -62,27 +63,27 @@
         let runtime = Runtime::new().map_err(|e| e.to_string())?;
         runtime.set_memory_limit(self.limits.memory_bytes);
         runtime.set_max_stack_size(self.limits.stack_bytes);
-        let (mut interrupt_checks, most) = (0, self.limits.max_interrupt_checks);
-        let (begun, timeout) = (Instant::now(), self.limits.timeout);
+        let (mut interrupt_checks, max_checks) = (0, self.limits.max_interrupt_checks);
+        let (started, timeout) = (Instant::now(), self.limits.timeout);
         runtime.set_interrupt_handler(Some(Box::new(move || {
             interrupt_checks += 1;
-            interrupt_checks > most || begun.elapsed() > timeout
+            interrupt_checks > max_checks || started.elapsed() > timeout
         })));
         let context = Context::full(&runtime).map_err(|e| e.to_string())?;
         context.with(|ctx| {
             let text = self.run(&ctx, library, body, scope).map_err(|e| {
-                // The engine ends what is too much by an exception of its own.
-                // The lines after the first are its own.
+                // The engine throws an exception when the interrupt handler stops
+                // the code. The lines after the first are a stack trace.
                 let why = e.trim().trim_start_matches("Error: ");
                 match why.contains("interrupted") {
-                    true => "it does not come to an end: more work than allowed".to_owned(),
+                    true => "evaluation exceeds the limit of work or time".to_owned(),
                     false => why.lines().next().unwrap_or_default().to_owned(),
                 }
             })?;
             match text {
                 None => Ok(Value::Null),
                 Some(text) if text.len() > self.limits.result_bytes => Err(format!(
-                    "its result is larger than {} bytes",
+                    "the result is larger than {} bytes",
                     self.limits.result_bytes
                 )),
                 Some(text) => serde_json::from_str(&text).map_err(|e| e.to_string()),
@@ -117,7 +118,7 @@
         let result = ctx.eval::<rquickjs::Value<'_>, _>(source).catch(ctx);
         let result = result.map_err(|e| e.to_string())?;
         if result.is_function() {
-            return Err("it returns a function".into());
+            return Err("the code returns a function, which is not a JSON value".into());
         }
         let text = ctx.json_stringify(result).catch(ctx);
         let text = text.map_err(|e| e.to_string())?;
@@ -125,12 +126,12 @@
         text.transpose()
     }
 
-    /// Whether a function body is JavaScript at all, without running it.
+    /// Checks the syntax of a function body without running it.
     ///
     /// # Errors
-    /// Why not.
+    /// The syntax error that the engine reports.
     pub fn check_syntax(&self, body: &str) -> Result<(), String> {
-        // Never called, so only what is wrong with the text is found.
+        // The function is never called, so only its syntax is checked.
         let body = format!("return function() {{\n{body}\n}} && null;");
         self.evaluate(&[], &body, &Scope::default()).map(|_| ())
     }
@@ -152,7 +153,7 @@
         );
         assert_eq!(js("return undefined;"), Ok(Value::Null));
         let cases = [
-            ("for (;;) {}", "does not come to an end"),
+            ("for (;;) {}", "exceeds the limit of work or time"),
             ("function f() { return f() + 1; } return f();", "call stack"),
             (
                 "var a = []; for (;;) a.push(new Array(1000).join('x') + a.length);",
@@ -165,7 +166,7 @@
             ("return (;", "unexpected token"),
             (
                 "return /(a+)+$/.test(new Array(60).join('a') + 'b');",
-                "does not come to an end",
+                "exceeds the limit of work or time",
             ),
             ("return new Array(5 << 20).join('x');", "larger than"),
         ];
--- a/crates/cwl/src/expr.rs
+++ b/crates/cwl/src/expr.rs
@@ -1,4 +1,4 @@
-//! Texts with parameter references and expressions in them.
+//! Parameter references and expressions in texts of a document.
 
 use std::sync::Arc;
 
@@ -7,10 +7,11 @@
 
 use crate::{cursor::Cursor, engine::Engine, fault::Fault, yaml::Data};
 
-/// Values by name. The members of a scatter share what they have in common.
+/// Values by name. The map is persistent, so the members of a scatter share
+/// the entries that they have in common.
 pub type Object = RedBlackTreeMapSync<String, Arc<Value>>;
 
-/// What an expression sees.
+/// The variables that an expression can use.
 #[derive(Clone, Debug, Default)]
 pub struct Scope<'a> {
     /// `inputs`.
@@ -19,51 +20,54 @@
     pub self_value: Value,
     /// `runtime`.
     pub runtime: Value,
-    /// What `expressionLib` gives; none: JavaScript is not asked for.
+    /// The sources of `expressionLib`; `None` if the document does not require
+    /// JavaScript.
     pub library: Option<&'a [String]>,
 }
 
 impl Scope<'_> {
-    /// `inputs` as one value.
+    /// `inputs` as one JSON object.
     pub fn inputs_value(&self) -> Value {
         let parts = self.inputs.iter();
         parts.map(|(n, v)| (n.clone(), (**v).clone())).collect()
     }
 }
 
-/// A step of a parameter reference.
+/// A segment of a parameter reference.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Part {
+enum Segment {
     Name(String),
     Index(usize),
 }
 
-/// A piece of a text.
+/// A literal, a reference or an expression in a text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Piece {
-    Plain(String),
-    Reference(Vec<Part>),
-    /// `$(...)` that is more than a reference.
+    Literal(String),
+    Reference(Vec<Segment>),
+    /// `$(...)` that is not a plain reference.
     Expression(String),
-    /// `${...}`.
+    /// `${...}`, a function body.
     Body(String),
 }
 
-/// A text, or a value that is none, taken as it is.
+/// A text with references and expressions, or a value of another type, which
+/// evaluates to itself.
 #[derive(Clone, Debug)]
 pub struct Template {
     pieces: Vec<Piece>,
-    /// What is no text.
+    /// The value, if it is not a text.
     value: Option<Value>,
     cursor: Cursor,
 }
 
 impl Template {
-    /// Reads what is at this place.
+    /// Parses the value at the cursor. `js` tells whether the document requires
+    /// JavaScript.
     ///
     /// # Errors
-    /// An expression without its end, or JavaScript that is none, or where none
-    /// is asked for (`js` is false).
+    /// If an expression is not closed, is not valid JavaScript, or needs
+    /// JavaScript where `js` is false.
     pub fn parse(cursor: &Cursor, js: bool) -> Result<Self, Fault> {
         let mut template = Self {
             pieces: Vec::new(),
@@ -92,28 +96,28 @@
         Ok(template)
     }
 
-    /// Whether it is the same whatever the values are.
+    /// Whether it has no references and no expressions.
     pub fn is_constant(&self) -> bool {
-        self.pieces.iter().all(|p| matches!(p, Piece::Plain(_)))
+        self.pieces.iter().all(|p| matches!(p, Piece::Literal(_)))
     }
 
-    /// Whether it takes the engine to know its value.
+    /// Whether evaluating it runs the JavaScript engine.
     pub fn uses_javascript(&self) -> bool {
         let code = |p: &Piece| matches!(p, Piece::Expression(_) | Piece::Body(_));
         self.pieces.iter().any(code)
     }
 
-    /// The place that it was read from.
+    /// The place in the document that it was parsed from.
     pub fn cursor(&self) -> &Cursor {
         &self.cursor
     }
 
-    /// Its value. A text that is one expression is that expression's value;
-    /// otherwise it is text.
+    /// Evaluates it. A text that is a single reference or expression has the
+    /// value of that; every other text gives a string.
     ///
     /// # Errors
-    /// A reference to what is not there, or what an expression throws, with the
-    /// place of the text.
+    /// If a reference names a missing value or an expression fails; the fault
+    /// holds the place of the text.
     pub fn eval(&self, scope: &Scope<'_>, engine: &Engine) -> Result<Value, Fault> {
         if let Some(value) = &self.value {
             return Ok(value.clone());
@@ -121,8 +125,8 @@
         let mut text = String::new();
         for piece in &self.pieces {
             let value = match piece {
-                Piece::Plain(plain) => {
-                    text += plain;
+                Piece::Literal(literal) => {
+                    text += literal;
                     continue;
                 }
                 Piece::Reference(parts) => resolve_reference(parts, scope),
@@ -143,7 +147,7 @@
 }
 
 fn function_body(expression: &str) -> String {
-    // The line's end closes a comment.
+    // The line break ends a `//` comment at the end of the expression.
     format!("return (\n{expression}\n);")
 }
 
@@ -152,9 +156,10 @@
     engine.evaluate(library, body, scope)
 }
 
-/// Cuts a text into its pieces.
+/// Splits a text into literals, references and expressions.
 fn split(text: &str) -> Result<Vec<Piece>, String> {
-    // Blanks around a single expression don't make it a text.
+    // White space around a single expression is ignored, so that the value keeps
+    // its type.
     let trimmed = text.trim();
     if let Some((piece, rest)) = leading_expression(trimmed)?
         && rest.is_empty()
@@ -162,33 +167,33 @@
         return Ok(vec![piece]);
     }
     let mut pieces = Vec::new();
-    let mut plain = String::new();
+    let mut literal = String::new();
     let mut rest = text;
     while let Some(c) = rest.chars().next() {
         if c == '\\' && (rest[1..].starts_with("$(") || rest[1..].starts_with("${")) {
-            plain += &rest[1..3];
+            literal += &rest[1..3];
             rest = &rest[3..];
         } else if c == '\\' && rest[1..].starts_with('\\') {
-            plain.push('\\');
+            literal.push('\\');
             rest = &rest[2..];
         } else if let Some((piece, after)) = leading_expression(rest)? {
-            if !plain.is_empty() {
-                pieces.push(Piece::Plain(std::mem::take(&mut plain)));
+            if !literal.is_empty() {
+                pieces.push(Piece::Literal(std::mem::take(&mut literal)));
             }
             pieces.push(piece);
             rest = after;
         } else {
-            plain.push(c);
+            literal.push(c);
             rest = &rest[c.len_utf8()..];
         }
     }
-    if !plain.is_empty() || pieces.is_empty() {
-        pieces.push(Piece::Plain(plain));
+    if !literal.is_empty() || pieces.is_empty() {
+        pieces.push(Piece::Literal(literal));
     }
     Ok(pieces)
 }
 
-/// An expression that the text begins with, and the rest.
+/// The reference or expression that the text begins with, and the text after it.
 fn leading_expression(text: &str) -> Result<Option<(Piece, &str)>, String> {
     let body = match text.get(..2) {
         Some("$(") => false,
@@ -211,8 +216,8 @@
     Ok(Some((piece, rest)))
 }
 
-/// Where the bracket that the text begins with is closed, in bytes. Brackets in
-/// quotes don't count.
+/// The byte offset of the bracket that closes the one at the start of the text;
+/// `None` if there is none. Brackets in quotes don't count.
 fn closing_bracket(text: &str) -> Option<usize> {
     let mut open = Vec::new();
     let mut quote = None;
@@ -244,8 +249,9 @@
     None
 }
 
-/// Reads `inputs.sheet['a b'][0].path`.
-fn parse_reference(text: &str) -> Option<Vec<Part>> {
+/// Parses a parameter reference such as `inputs.sheet['a b'][0].path`; `None` if
+/// the text is something else.
+fn parse_reference(text: &str) -> Option<Vec<Segment>> {
     let is_symbol = |c: char| c.is_alphanumeric() || c == '_';
     let symbol = |text: &str| text.find(|c| !is_symbol(c)).unwrap_or(text.len());
     let text = text.trim();
@@ -254,7 +260,7 @@
     if !["inputs", "self", "runtime", "null"].contains(&first) {
         return None;
     }
-    let mut parts = vec![Part::Name(first.to_owned())];
+    let mut parts = vec![Segment::Name(first.to_owned())];
     let mut rest = &text[end..];
     while !rest.is_empty() {
         if let Some(after) = rest.strip_prefix('.') {
@@ -262,7 +268,7 @@
             if end == 0 {
                 return None;
             }
-            parts.push(Part::Name(after[..end].to_owned()));
+            parts.push(Segment::Name(after[..end].to_owned()));
             rest = &after[end..];
         } else {
             let after = rest.strip_prefix('[')?;
@@ -271,14 +277,14 @@
                 let end = after[1..].find(quote)? + 1;
                 let name = &after[1..end];
                 if name.contains('\\') {
-                    // An escape; the engine knows what it means.
+                    // Escape sequences are left to the JavaScript engine.
                     return None;
                 }
-                parts.push(Part::Name(name.to_owned()));
+                parts.push(Segment::Name(name.to_owned()));
                 rest = after[end + 1..].strip_prefix(']')?;
             } else {
                 let end = after.find(']')?;
-                parts.push(Part::Index(after[..end].parse().ok()?));
+                parts.push(Segment::Index(after[..end].parse().ok()?));
                 rest = &after[end + 1..];
             }
         }
@@ -286,30 +292,30 @@
     Some(parts)
 }
 
-/// What a reference stands for.
-fn resolve_reference(parts: &[Part], scope: &Scope<'_>) -> Result<Value, String> {
+/// The value that a parameter reference names.
+fn resolve_reference(parts: &[Segment], scope: &Scope<'_>) -> Result<Value, String> {
     let mut parts = parts.iter();
     let missing = |name: &str| format!("there is no `{name}`");
     let (mut value, mut path) = match parts.next() {
-        Some(Part::Name(first)) if first == "inputs" => match parts.next() {
+        Some(Segment::Name(first)) if first == "inputs" => match parts.next() {
             None => return Ok(scope.inputs_value()),
-            Some(Part::Name(name)) => match scope.inputs.get(name) {
+            Some(Segment::Name(name)) => match scope.inputs.get(name) {
                 Some(value) => (&**value, format!("inputs.{name}")),
                 None => return Err(missing(&format!("inputs.{name}"))),
             },
-            Some(Part::Index(_)) => return Err("`inputs` has names, not numbers".into()),
+            Some(Segment::Index(_)) => return Err("`inputs` has names, not indexes".into()),
         },
-        Some(Part::Name(first)) if first == "self" => (&scope.self_value, "self".to_owned()),
-        Some(Part::Name(first)) if first == "runtime" => (&scope.runtime, "runtime".to_owned()),
+        Some(Segment::Name(first)) if first == "self" => (&scope.self_value, "self".to_owned()),
+        Some(Segment::Name(first)) if first == "runtime" => (&scope.runtime, "runtime".to_owned()),
         _ => (&Value::Null, "null".to_owned()),
     };
     let mut length = None;
     for part in parts {
         if length.is_some() {
-            return Err(format!("`{path}` is a number"));
+            return Err(format!("`{path}` is a number and has no fields"));
         }
         match part {
-            Part::Name(name) => {
+            Segment::Name(name) => {
                 path = format!("{path}.{name}");
                 match value {
                     Value::Object(map) => {
@@ -319,7 +325,7 @@
                     _ => return Err(missing(&path)),
                 }
             }
-            Part::Index(i) => {
+            Segment::Index(i) => {
                 path = format!("{path}[{i}]");
                 value = value.get(i).ok_or_else(|| missing(&path))?;
             }
