--- a/crates/cwl/src/command.rs
+++ b/crates/cwl/src/command.rs
@@ -1,4 +1,4 @@
-//! Command lines, and what a tool leaves behind.
+//! Building the command line of a tool and collecting its outputs.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -16,63 +16,63 @@
     values::{basename, check_outputs},
 };
 
-/// The most words of a command line.
+/// Largest number of words of a command line.
 const MAX_COMMAND_WORDS: usize = 100_000;
-/// How much of a file expressions may see, in bytes.
+/// Number of bytes at the start of a file that expressions can read.
 pub const MAX_CONTENTS_BYTES: usize = 64 << 10;
-/// The file by which a tool gives its outputs itself.
+/// A tool that writes this file gives its outputs as JSON instead of by `outputBinding`.
 const OUTPUT_JSON_FILE: &str = "cwl.output.json";
 
-/// What a task has to do.
+/// The command that a task runs, and what it needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommandLine {
     /// The program and its arguments.
     pub argv: Vec<String>,
-    /// What its standard input comes from.
+    /// The file that standard input is read from.
     pub stdin: Option<String>,
-    /// What its standard output goes to.
+    /// The file that standard output is written to.
     pub stdout: Option<String>,
-    /// The same for its standard error.
+    /// The file that standard error is written to.
     pub stderr: Option<String>,
-    /// Variables of the environment.
+    /// Environment variables.
     pub environment: Vec<(String, String)>,
-    /// What has to be there beforehand.
+    /// Files and directories to stage before the command starts.
     pub staged: Vec<Staged>,
     /// Processors.
     pub cores: f64,
     /// Memory, in MiB.
     pub ram_mib: f64,
-    /// How long it may run, in seconds; none: as long as it likes.
+    /// Time limit in seconds; `None` means no limit.
     pub time_limit_s: Option<f64>,
 }
 
-/// A file or directory that has to be there beforehand.
+/// A file or directory that is staged before the command starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Staged {
-    /// Where, below the working directory.
+    /// Path relative to the working directory.
     pub path: String,
-    /// What.
+    /// Where its contents come from.
     pub source: StagedSource,
     /// Whether the tool may change it.
     pub writable: bool,
 }
 
-/// What is put somewhere.
+/// Where a staged file or directory comes from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StagedSource {
-    /// What the object store has there.
+    /// A location in the object store.
     Location(String),
-    /// A text.
+    /// The text of the file.
     Text(String),
     /// An empty directory.
     Directory,
 }
 
-/// Works out what a task has to do; `inputs` are those that a process has
-/// taken.
+/// Builds the command line of a tool. `inputs` must come from
+/// [`process_inputs`](crate::values::process_inputs).
 ///
 /// # Errors
-/// An expression throws, or gives what is no word.
+/// If an expression fails or gives an invalid value.
 pub fn build_command_line(
     tool: &Tool,
     inputs: &Object,
@@ -97,7 +97,7 @@
             Value::Null => Ok(None),
             other => Err(template
                 .cursor()
-                .fault(format!("a file's name is expected, not {other}"))),
+                .fault(format!("a file name is expected, not {other}"))),
         }
     };
     let stdin = text(&tool.stdin)?;
@@ -126,7 +126,7 @@
     })
 }
 
-/// What a tool's expressions see, and what it was worked out with.
+/// The scope of a tool's expressions, the staged input files and the resources.
 struct PreparedInputs<'a> {
     scope: Scope<'a>,
     staged: Vec<Staged>,
@@ -134,7 +134,7 @@
     ram_mib: f64,
 }
 
-/// Gives the files that go in their places, and finds out what the tool needs.
+/// Stages the input files and evaluates the resource requirements.
 fn prepare_inputs<'a>(
     tool: &'a Tool,
     inputs: &Object,
@@ -164,7 +164,7 @@
     })
 }
 
-/// The files that standard output and error go to.
+/// The names of the files for standard output and standard error.
 fn stream_files(
     tool: &Tool,
     scope: &Scope<'_>,
@@ -177,7 +177,7 @@
                 Value::String(name) if is_relative_path(&name) => Ok(Some(name)),
                 other => Err(template
                     .cursor()
-                    .fault(format!("`{other}` is no file's name"))),
+                    .fault(format!("a relative file name is expected, not {other}"))),
             };
         }
         let used = tool.common.outputs.iter().any(|o| o.kind == *stream);
@@ -189,7 +189,8 @@
     ))
 }
 
-/// Whether it names something in the working directory and nothing outside.
+/// Whether the path is relative and without NUL and `.`, `..` or empty components,
+/// so that it names something inside the working directory.
 fn is_relative_path(path: &str) -> bool {
     !path.is_empty()
         && !path.starts_with('/')
@@ -199,7 +200,7 @@
             .all(|part| !part.is_empty() && part != "." && part != "..")
 }
 
-/// Gives the files of a value their paths.
+/// Stages the files and directories of a value below `dir` and sets their paths.
 fn stage(value: &mut Value, dir: &str, staged: &mut Vec<Staged>) {
     match value {
         Value::Array(list) => {
@@ -246,7 +247,7 @@
     }
     map.insert("path".into(), path.into());
     map.insert("basename".into(), name.clone().into());
-    // What comes with a file lies beside it.
+    // Secondary files are staged in the same directory as their file.
     if let Some(Value::Array(related)) = map.get_mut("secondaryFiles") {
         for file in related {
             stage_related(file, dir, staged);
@@ -260,7 +261,7 @@
     }
 }
 
-/// What a file or directory is put in place from.
+/// The source that a file or directory is staged from.
 fn source_of(map: &Map<String, Value>, is_dir: bool) -> StagedSource {
     let text = |name: &str| map.get(name).and_then(Value::as_str).map(str::to_owned);
     match (text("location"), text("contents")) {
@@ -278,7 +279,7 @@
     }
 }
 
-/// What `InitialWorkDirRequirement` asks for.
+/// Stages the entries of `InitialWorkDirRequirement`.
 fn stage_work_dir(
     dir: &WorkDir,
     scope: &Scope<'_>,
@@ -303,7 +304,7 @@
                 {
                     return Err(template
                         .cursor()
-                        .fault(format!("`{name}` is no file's name")));
+                        .fault(format!("a relative file name is expected, not `{name}`")));
                 }
                 let name = name.map(|(name, _)| name);
                 stage_value(&value, name, *writable, staged)
@@ -328,7 +329,7 @@
         Value::Null => Ok(()),
         Value::Array(list) => {
             if name.is_some() && list.len() > 1 {
-                return Err("several files for one name".into());
+                return Err("several files for one `entryname`".into());
             }
             list.iter()
                 .try_for_each(|v| stage_value(v, name.clone(), writable, staged))
@@ -337,7 +338,7 @@
             let path = name.unwrap_or_else(|| basename(value).to_owned());
             let source = source_of(map, class_of(value) == Some("Directory"));
             if !is_relative_path(&path) {
-                return Err(format!("`{path}` is no file's name"));
+                return Err(format!("a relative file name is expected, not `{path}`"));
             }
             staged.push(Staged {
                 path,
@@ -346,7 +347,7 @@
             });
             Ok(())
         }
-        // `entryname` and `entry` as an expression gives them.
+        // A `Dirent` (`entryname` and `entry`) as the result of an expression.
         Value::Object(map) if map.contains_key("entry") => {
             let name = map.get("entryname").and_then(Value::as_str);
             let writable = map.get("writable").and_then(Value::as_bool);
@@ -356,7 +357,7 @@
         }
         other => {
             let Some(path) = name else {
-                return Err("a text needs an `entryname`".into());
+                return Err("a text entry needs an `entryname`".into());
             };
             staged.push(Staged {
                 path,
@@ -385,15 +386,16 @@
     }
 }
 
-/// Where words go: positions from the outside in, with indexes and names
-/// between. Numbers come before names.
+/// An element of the sort key of a binding. A key holds, from the outermost
+/// binding inwards, each position followed by an index or a name. Numbers sort
+/// before names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SortKey {
     Number(i64),
     Name(String),
 }
 
-/// The words of a command line in their order.
+/// The words of a command line, sorted by the keys of their bindings.
 fn command_words(tool: &Tool, scope: &Scope<'_>, engine: &Engine) -> Result<Vec<Word>, Fault> {
     let mut parts: Vec<(Vec<SortKey>, Vec<Word>)> = Vec::new();
     for (i, argument) in tool.arguments.iter().enumerate() {
@@ -426,7 +428,7 @@
     });
     let words: Vec<_> = command.chain(parts.into_iter().flat_map(|p| p.1)).collect();
     if words.len() > MAX_COMMAND_WORDS {
-        let what = format!("a command line of more than {MAX_COMMAND_WORDS} words");
+        let what = format!("the command line has more than {MAX_COMMAND_WORDS} words");
         return Err(tool.common.cursor.fault(what));
     }
     Ok(words)
@@ -454,7 +456,7 @@
         }
         let joined = binding.separator.is_some() || binding.value_from.is_some();
         if joined && value.is_array() {
-            // They are words of this binding already.
+            // This binding already gives the words of the items.
             return Ok(());
         }
     } else {
@@ -490,7 +492,8 @@
     Ok(())
 }
 
-/// The items of an array that is bound as a whole are words of their own.
+/// Gives the items of a bound array without `valueFrom` a plain binding, unless
+/// they have a binding of their own.
 fn inherit_binding(outer: &BoundType, part: &mut BoundType) {
     if let Some(binding) = &outer.binding
         && part.binding.is_none()
@@ -506,7 +509,8 @@
         && binding.separator.is_none()
         && binding.value_from.is_none()
     {
-        // `string[]?` is an array too, whose prefix has been given already.
+        // For an array in a union, such as `string[]?`, the binding of the union
+        // has already given the prefix.
         item.binding = Some(Binding::word(binding.quote));
     }
 }
@@ -534,7 +538,8 @@
     }
 }
 
-/// The words that a value adds by itself.
+/// The words that a binding gives for a value, without those from the bindings of
+/// its items and fields.
 fn words_of_binding(
     binding: &Binding,
     value: &Value,
@@ -591,7 +596,7 @@
     words.into_iter().map(|text| Word { text, quote }).collect()
 }
 
-/// A value as a word: numbers without exponents, files by their paths.
+/// A value as a command-line word: numbers without exponents, files as their paths.
 fn to_word(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
@@ -607,50 +612,51 @@
     }
 }
 
-/// Something in the directory that a tool has run in.
+/// A file or directory in the output directory of a tool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutputEntry {
-    /// Its path, relative to the directory.
+    /// Path relative to the output directory.
     pub path: String,
     /// Whether it is a directory.
     pub is_dir: bool,
-    /// Its size in bytes.
+    /// Size in bytes.
     pub size: u64,
-    /// Where it can be had from now on.
+    /// Location from which it can be read after the task has ended.
     pub location: String,
 }
 
-/// The directory that a tool has run in.
+/// The output directory of a tool, which is the directory that it ran in.
 pub trait OutputDir {
-    /// All that is in it, at any depth.
+    /// All files and directories in it, at any depth.
     fn list(&self) -> Vec<OutputEntry>;
-    /// The beginning of a file, at most [`MAX_CONTENTS_BYTES`].
+    /// The beginning of a file, at most [`MAX_CONTENTS_BYTES`] bytes.
     ///
     /// # Errors
-    /// It can't be read, or is no text.
+    /// If the file can't be read or is not text.
     fn read_text(&self, path: &str) -> Result<String, String>;
 }
 
-/// Why a tool has no outputs.
+/// Why a tool gave no outputs.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
-    /// It may work if it is tried again.
-    #[error("exit code {0}, which the tool calls temporary")]
+    /// A temporary failure; a retry may succeed.
+    #[error("exit code {0}, one of the tool's `temporaryFailCodes`")]
     Temporary(i64),
-    /// It won't.
+    /// A permanent failure; a retry would fail too.
     #[error("exit code {0}")]
     Permanent(i64),
-    /// What it left is not what was promised.
+    /// The outputs don't match the declared ones, or an expression failed.
     #[error("{0}")]
     Output(#[from] Fault),
 }
 
-/// Whether an exit code means success.
+/// Checks that an exit code means success.
 ///
 /// # Errors
-/// It does not.
+/// If the exit code means a temporary or permanent failure.
 pub fn check_exit_code(tool: &Tool, code: i64) -> Result<(), Failure> {
-    // The tool's own word counts before the custom that 0 is success.
+    // The codes that the tool declares take precedence over the convention that 0
+    // means success.
     if tool.success_codes.contains(&code) {
         Ok(())
     } else if tool.temporary_fail_codes.contains(&code) {
@@ -665,8 +671,8 @@
 /// Collects the outputs of a tool that has ended.
 ///
 /// # Errors
-/// The exit code says that it failed, or outputs are missing or of the wrong
-/// type.
+/// If the exit code means failure, an expression fails, or outputs are missing or
+/// of the wrong type.
 pub fn collect_outputs(
     tool: &Tool,
     inputs: &Object,
@@ -727,26 +733,27 @@
         let cursor = &self.output.cursor;
         if let Some(name) = stream {
             let file = self.by_path.get(name);
-            let file = file.ok_or_else(|| cursor.fault(format!("`{name}` was not left behind")))?;
+            let file = file
+                .ok_or_else(|| cursor.fault(format!("`{name}` is not in the output directory")))?;
             return self.file(file);
         }
-        let Some(found) = &self.output.output_binding else {
+        let Some(binding) = &self.output.output_binding else {
             return match self.output.kind.is_optional() {
                 true => Ok(Value::Null),
                 false => {
-                    Err(cursor.fault("no `outputBinding`, and the tool left no cwl.output.json"))
+                    Err(cursor.fault("no `outputBinding`, and the tool wrote no cwl.output.json"))
                 }
             };
         };
-        let globs = self.globs(found)?;
+        let globs = self.globs(binding)?;
         let patterns = || {
             let patterns: Vec<_> = globs.iter().map(|(_, p)| p.as_str()).collect();
             patterns.join(", ")
         };
         let matching = self.matching(&globs)?;
-        let one = found.eval.is_none() && !wants_array(&self.output.kind);
+        let is_single = binding.eval.is_none() && !wants_array(&self.output.kind);
         match matching.len() {
-            _ if !one => {}
+            _ if !is_single => {}
             0 if self.output.kind.is_optional() => return Ok(Value::Null),
             0 => return Err(cursor.fault(format!("no file matches {}", patterns()))),
             1 => {}
@@ -758,7 +765,7 @@
         let mut files = Vec::new();
         for entry in matching {
             let mut file = self.file(entry)?;
-            if found.load_contents && !entry.is_dir {
+            if binding.load_contents && !entry.is_dir {
                 let text = self.dir.read_text(&entry.path);
                 let text = text.map_err(|e| cursor.fault(format!("{}: {e}", entry.path)))?;
                 if let Value::Object(map) = &mut file {
@@ -767,8 +774,8 @@
             }
             files.push(file);
         }
-        if let Some(eval) = &found.eval {
-            let self_value = match found.glob.is_empty() {
+        if let Some(eval) = &binding.eval {
+            let self_value = match binding.glob.is_empty() {
                 true => Value::Null,
                 false => files.into(),
             };
@@ -778,16 +785,16 @@
             };
             return eval.eval(&scope, self.engine);
         }
-        match one {
+        match is_single {
             true => Ok(files.pop().unwrap_or_default()),
             false => Ok(files.into()),
         }
     }
 
-    /// The patterns of an output, each with where it stands.
-    fn globs<'f>(&self, found: &'f OutputBinding) -> Result<Vec<(&'f Template, String)>, Fault> {
+    /// The glob patterns of an output, each with the template that gives it.
+    fn globs<'f>(&self, binding: &'f OutputBinding) -> Result<Vec<(&'f Template, String)>, Fault> {
         let mut globs = Vec::new();
-        for template in &found.glob {
+        for template in &binding.glob {
             match template.eval(self.scope, self.engine)? {
                 Value::Array(list) => {
                     globs.extend(list.iter().map(|pattern| (template, to_word(pattern))));
@@ -803,7 +810,7 @@
         for (template, pattern) in globs {
             let pattern = pattern.trim_start_matches("./").trim_end_matches('/');
             if pattern.starts_with('/') || pattern.split('/').any(|p| p == "..") {
-                let what = format!("`{pattern}` leads out of the working directory");
+                let what = format!("the pattern `{pattern}` leads out of the working directory");
                 return Err(template.cursor().fault(what));
             }
             let glob = GlobBuilder::new(pattern).literal_separator(true).build();
@@ -820,7 +827,7 @@
         Ok(files)
     }
 
-    /// A file as a value, with what comes with it.
+    /// A file as a JSON value with its secondary files.
     fn file(&self, entry: &OutputEntry) -> Result<Value, Fault> {
         let mut value = file_value(entry);
         let mut related = Vec::new();
@@ -833,7 +840,8 @@
             match self.by_path.get(path.as_str()) {
                 Some(file) => related.push(file_value(file)),
                 None if secondary.required => {
-                    let what = format!("the secondary file `{path}` was not left behind");
+                    let what =
+                        format!("the secondary file `{path}` is not in the output directory");
                     return Err(self.output.cursor.fault(what));
                 }
                 None => {}
@@ -872,7 +880,7 @@
     }
 }
 
-/// Files that a tool names by path become files that can be had elsewhere.
+/// Replaces the paths in the JSON that a tool wrote by the locations of the files.
 fn resolve_paths(value: &mut Value, by_path: &BTreeMap<&str, &OutputEntry>) -> Result<(), String> {
     match value {
         Value::Array(list) => list.iter_mut().try_for_each(|v| resolve_paths(v, by_path)),
@@ -887,8 +895,9 @@
                     .and_then(Value::as_str);
                 let path = path.unwrap_or_default().trim_start_matches("./").to_owned();
                 let entry = by_path.get(path.as_str());
-                let entry =
-                    entry.ok_or(format!("{OUTPUT_JSON_FILE}: `{path}` was not left behind"))?;
+                let entry = entry.ok_or(format!(
+                    "{OUTPUT_JSON_FILE}: `{path}` is not in the output directory"
+                ))?;
                 if let Value::Object(found) = file_value(entry) {
                     map.remove("path");
                     map.extend(found);
--- a/crates/cwl/src/values.rs
+++ b/crates/cwl/src/values.rs
@@ -1,4 +1,4 @@
-//! What goes into the members of a step, and what comes out of them together.
+//! The inputs of a step's members (its runs), and the outputs gathered from them.
 
 use std::sync::Arc;
 
@@ -16,36 +16,36 @@
     types::class_of,
 };
 
-/// The most members of a scatter.
+/// Largest number of members of a scatter.
 pub const MAX_SCATTER_MEMBERS: usize = 100_000;
 
-/// The most evaluations of JavaScript for all members of a step. Some take a
-/// quarter of a millisecond; whoever evaluates does nothing else meanwhile, and
-/// is taken for dead after some seconds.
+/// Largest number of JavaScript evaluations for all members of a step. One can
+/// take a quarter of a millisecond. The evaluating instance does nothing else
+/// meanwhile, and other instances treat it as failed after some seconds of silence.
 pub const MAX_STEP_EVALUATIONS: usize = 10_000;
 
-/// One run of a step.
+/// One run of a step; a scattered step has one for each combination of inputs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// What goes into its process.
+    /// The inputs of its process.
     pub inputs: Object,
-    /// Whether it is run; if not, all that comes out of it is null.
+    /// Whether it runs (`when`); if not, all its outputs are null.
     pub should_run: bool,
 }
 
 /// All runs of a step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Members {
-    /// How many there are in each direction; empty: the step is not scattered.
+    /// The number of members in each dimension; empty if the step is not scattered.
     pub shape: Vec<usize>,
-    /// In order, the last direction first.
+    /// The members in order; the last dimension varies fastest.
     pub members: Vec<Member>,
 }
 
-/// The value that comes over a link; none: it is not known yet.
+/// The value of a link from its sources; `None` if one of them is not known yet.
 ///
 /// # Errors
-/// `pickValue` finds none, or not only one.
+/// If `pickValue` finds only nulls, or more than one value where one is expected.
 pub fn link_value(
     link: &Link,
     source_value: &dyn Fn(&Source) -> Option<Arc<Value>>,
@@ -85,26 +85,27 @@
     let Some(pick) = pick else {
         return Ok(Arc::new(list.into()));
     };
-    let mut there = list.into_iter().filter(|v| !v.is_null());
+    let mut non_null = list.into_iter().filter(|v| !v.is_null());
     match pick {
-        PickValue::All => Ok(Arc::new(there.collect())),
-        PickValue::First => there
+        PickValue::All => Ok(Arc::new(non_null.collect())),
+        PickValue::First => non_null
             .next()
             .map(Arc::new)
-            .ok_or_else(|| "pickValue: all of them are null".to_owned()),
-        PickValue::Only => match (there.next(), there.next()) {
+            .ok_or_else(|| "pickValue: all values are null".to_owned()),
+        PickValue::Only => match (non_null.next(), non_null.next()) {
             (Some(only), None) => Ok(Arc::new(only)),
-            (None, _) => Err("pickValue: all of them are null".into()),
-            (Some(_), Some(_)) => Err("pickValue: more than one is not null".into()),
+            (None, _) => Err("pickValue: all values are null".into()),
+            (Some(_), Some(_)) => Err("pickValue: more than one value is not null".into()),
         },
     }
 }
 
-/// The runs of a step; none: what goes in is not known yet. `contents` gives
-/// the beginning of a file for those inputs that ask for it.
+/// The members of a step; `None` if an input is not known yet. `contents` gives
+/// the beginning of a file for inputs with `loadContents`.
 ///
 /// # Errors
-/// What goes in does not fit, with its place.
+/// If an input is invalid, a limit is exceeded or an expression fails; the fault
+/// holds the place.
 pub fn members(
     step: &Step,
     source_value: &dyn Fn(&Source) -> Option<Arc<Value>>,
@@ -143,7 +144,7 @@
     Ok(Some(members))
 }
 
-/// How often each member of a step takes the engine.
+/// The number of JavaScript evaluations for each member of a step.
 fn evaluations_per_member(step: &Step) -> usize {
     let code =
         |template: Option<&Template>| usize::from(template.is_some_and(Template::uses_javascript));
@@ -164,7 +165,7 @@
     inputs.sum::<usize>() + code(step.when.as_ref()) + own
 }
 
-/// The inputs of each member, before `valueFrom`.
+/// The shape of a scatter and the inputs of each member before `valueFrom`.
 fn scatter_inputs(step: &Step, base: &Object) -> Result<(Vec<usize>, Vec<Object>), Fault> {
     if step.scatter.is_empty() {
         return Ok((Vec::new(), vec![base.clone()]));
@@ -173,7 +174,7 @@
     for name in &step.scatter {
         let value = base.get(name).cloned().unwrap_or_default();
         let Value::Array(list) = &*value else {
-            let what = format!("scatter: `{name}` is no array");
+            let what = format!("scatter: `{name}` is not an array");
             return Err(step.cursor.fault(what));
         };
         let list = list.iter().cloned().map(Arc::new).collect();
@@ -201,7 +202,7 @@
     let mut objects = Vec::with_capacity(count);
     for i in 0..count {
         let mut object = base.clone();
-        // The last list goes fastest.
+        // The last list varies fastest.
         let mut rest = i;
         for (name, list) in lists.iter().rev() {
             let at = match step.scatter_method {
@@ -239,7 +240,7 @@
     for input in &step.inputs {
         if let Some(template) = &input.value_from {
             let own = object.get(&input.name).map(|v| (**v).clone());
-            // All see what came in, none what another one makes of it.
+            // Each `valueFrom` sees the inputs from before any `valueFrom`.
             let scope = scope(own.unwrap_or_default(), object.clone());
             let value = template.eval(&scope, engine)?;
             made.insert_mut(input.name.clone(), Arc::new(value));
@@ -267,11 +268,11 @@
     })
 }
 
-/// What a process makes of what is given to it: defaults, checks, and the
-/// beginnings of files.
+/// The inputs of a process from the given values: applies defaults, checks types
+/// and secondary files, and loads the contents of files with `loadContents`.
 ///
 /// # Errors
-/// Something is missing or of the wrong type.
+/// If a value, a secondary file or contents are missing, or a type does not match.
 pub fn process_inputs(
     common: &Common,
     given: &Object,
@@ -313,11 +314,11 @@
 
 fn has_secondary(file: &Value, wanted: &SecondaryFile) -> bool {
     let name = wanted.name_for(basename(file));
-    let there = file.get("secondaryFiles").and_then(Value::as_array);
-    there.is_some_and(|list| list.iter().any(|f| basename(f) == name))
+    let secondary = file.get("secondaryFiles").and_then(Value::as_array);
+    secondary.is_some_and(|list| list.iter().any(|f| basename(f) == name))
 }
 
-/// The files of a value that are not in a directory or beside a file.
+/// The files of a value, without those in directories and without secondary files.
 pub fn top_level_files(value: &Value) -> Vec<&Value> {
     match value {
         Value::Array(list) => list.iter().flat_map(top_level_files).collect(),
@@ -329,7 +330,7 @@
     }
 }
 
-/// The name of a file or directory, without where it is.
+/// The name of a file or directory without its parent directories.
 pub fn basename(file: &Value) -> &str {
     let text = |name: &str| file.get(name).and_then(Value::as_str);
     if let Some(name) = text("basename") {
@@ -362,7 +363,7 @@
             let location = map.get("location").and_then(Value::as_str);
             let location = location.unwrap_or_default().to_owned();
             let Some(text) = contents(&location) else {
-                return Err(format!("the contents of {location} can't be had"));
+                return Err(format!("the contents of {location} are not available"));
             };
             map.insert("contents".into(), text.into());
             Ok(())
@@ -371,7 +372,7 @@
     }
 }
 
-/// Files whose beginnings a step's inputs ask for, by location, as far as their
+/// Locations of the files whose contents a step's inputs load, as far as their
 /// values are known.
 pub fn files_to_load(
     step: &Step,
@@ -399,7 +400,7 @@
     wanted
 }
 
-/// What comes out of all members of a step under one name.
+/// The value of one output of a step, from the values of all its members.
 pub fn gather_outputs(shape: &[usize], method: ScatterMethod, each: Vec<Value>) -> Value {
     match (shape, method) {
         ([], _) => each.into_iter().next().unwrap_or_default(),
@@ -415,10 +416,10 @@
     }
 }
 
-/// The outputs of an expression, or of a tool that gave them as JSON.
+/// Checks outputs given as one JSON object against the declared outputs.
 ///
 /// # Errors
-/// It is no map, or something is missing, or of the wrong type.
+/// If it is not an object, or an output is missing, unknown or of the wrong type.
 pub fn check_outputs(common: &Common, given: Value) -> Result<Object, Fault> {
     let Value::Object(mut map) = given else {
         let what = format!("a map of outputs is expected, not {given}");
@@ -440,10 +441,10 @@
     }
 }
 
-/// Runs an expression tool.
+/// Runs an expression tool and checks its outputs.
 ///
 /// # Errors
-/// It throws, or what it gives does not fit.
+/// If the expression fails or its outputs don't match the declared ones.
 pub fn run_expression(
     common: &Common,
     template: &Template,
--- a/crates/cwl/tests/meaning.rs
+++ b/crates/cwl/tests/meaning.rs
@@ -1,4 +1,5 @@
-//! What documents mean, compared with slow plain models.
+//! Command lines, staged files, outputs, scatter, links and type checks. Random
+//! command lines and scatters are compared with simple reference models.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -51,8 +52,8 @@
 fn argv(text: &str, given: Value) -> Vec<String> {
     let tool = tool(text);
     let inputs = process_inputs(&tool, given).expect("inputs");
-    let made = command::build_command_line(&tool, &inputs, &Engine::default());
-    made.unwrap_or_else(|e| panic!("{e}\n{text}")).argv
+    let command_line = command::build_command_line(&tool, &inputs, &Engine::default());
+    command_line.unwrap_or_else(|e| panic!("{e}\n{text}")).argv
 }
 
 #[test]
@@ -167,8 +168,8 @@
     }
 }
 
-/// What a drawn input is: its type, its binding, a value, and the words that
-/// the standard says it adds, spelled out case by case.
+/// A random input: its declaration, value and position, and the words that it adds
+/// by the CWL standard, written out for each kind of input.
 struct DrawnInput {
     name: String,
     text: String,
@@ -253,7 +254,7 @@
             "baseCommand: x\narguments: [{}]\ninputs:\n{text}outputs: []\n",
             listed.join(", ")
         );
-        // Position by position: arguments in their order, then inputs by name.
+        // For each position: arguments in their order, then inputs by name.
         drawn.sort_by(|a, b| a.name.cmp(&b.name));
         let mut expected = vec!["x".to_owned()];
         for position in -2..3 {
@@ -290,27 +291,39 @@
     assert_eq!(missing, "f: the secondary file `a.dat.idx` is missing");
     file["secondaryFiles"] = json!([{"class": "File", "location": "store://d/a.dat.idx"}]);
     let inputs = process_inputs(&tool, json!({"n": 3, "f": file})).expect("good");
-    let made = command::build_command_line(&tool, &inputs, &Engine::default()).expect("a command");
-    let staged: BTreeMap<_, _> = made.staged.iter().map(|s| (s.path.as_str(), s)).collect();
-    let put = |path: &str| &staged[path].source;
+    let command_line =
+        command::build_command_line(&tool, &inputs, &Engine::default()).expect("a command");
+    let staged: BTreeMap<_, _> = command_line
+        .staged
+        .iter()
+        .map(|s| (s.path.as_str(), s))
+        .collect();
+    let staged_source = |path: &str| &staged[path].source;
     assert_eq!(
-        put("in/0/a.dat"),
+        staged_source("in/0/a.dat"),
         &StagedSource::Location("store://d/a.dat".into())
     );
     assert_eq!(
-        put("in/0/a.dat.idx"),
+        staged_source("in/0/a.dat.idx"),
         &StagedSource::Location("store://d/a.dat.idx".into())
     );
-    assert_eq!(put("run.ini"), &StagedSource::Text("n=3".into()));
+    assert_eq!(staged_source("run.ini"), &StagedSource::Text("n=3".into()));
     assert_eq!(
-        put("a.dat"),
+        staged_source("a.dat"),
         &StagedSource::Location("store://d/a.dat".into())
     );
     assert!(staged["run.ini"].writable && !staged["a.dat"].writable);
-    assert_eq!(made.stdin.as_deref(), Some("in/0/a.dat"));
-    assert_eq!(made.environment, [("LEVEL".to_owned(), "4".to_owned())]);
+    assert_eq!(command_line.stdin.as_deref(), Some("in/0/a.dat"));
+    assert_eq!(
+        command_line.environment,
+        [("LEVEL".to_owned(), "4".to_owned())]
+    );
     assert_eq!(
-        (made.cores, made.ram_mib, made.time_limit_s),
+        (
+            command_line.cores,
+            command_line.ram_mib,
+            command_line.time_limit_s
+        ),
         (3.0, 512.0, Some(30.0))
     );
     for bad in ["../x", "/etc/x", "a/../../x", ""] {
@@ -318,13 +331,17 @@
             "baseCommand: x\ninputs: []\noutputs: []\nrequirements: {{InitialWorkDirRequirement: {{listing: [{{entryname: '{bad}', entry: y}}]}}}}\n"
         );
         let tool = self::tool(&text);
-        let made = command::build_command_line(&tool, &Object::default(), &Engine::default());
-        let fault = made.expect_err(bad).to_string();
-        assert!(fault.contains("is no file's name"), "{fault}");
+        let command_line =
+            command::build_command_line(&tool, &Object::default(), &Engine::default());
+        let fault = command_line.expect_err(bad).to_string();
+        assert!(
+            fault.contains("a relative file name is expected"),
+            "{fault}"
+        );
     }
 }
 
-/// A directory in memory.
+/// An output directory in memory.
 struct MemoryDir(BTreeMap<&'static str, &'static str>);
 
 impl OutputDir for MemoryDir {
@@ -400,7 +417,10 @@
     dir.0.insert("b.txt", "");
     fails(&dir, "2 files match *.txt, one is expected");
     dir.0.remove("a.txt");
-    fails(&dir, "the secondary file `b.txt.idx` was not left behind");
+    fails(
+        &dir,
+        "the secondary file `b.txt.idx` is not in the output directory",
+    );
     dir.0.remove("b.txt");
     fails(&dir, "no file matches *.txt");
     dir.0.insert("cwl.output.json", r#"{"one": {"class": "File", "path": "z.b"}, "many": [], "count": 1, "said": {"class": "File", "path": "n"}}"#);
@@ -410,7 +430,7 @@
         "cwl.output.json",
         r#"{"one": {"class": "File", "path": "../secret"}}"#,
     );
-    fails(&dir, "`../secret` was not left behind");
+    fails(&dir, "`../secret` is not in the output directory");
     dir.0.insert("cwl.output.json", r#"{"count": "many"}"#);
     fails(&dir, "File is expected, not nothing");
 }
@@ -439,17 +459,17 @@
 
 fn run(step: &str, given: &Value) -> Result<Members, String> {
     let flow = flow(step);
-    let of = |source: &Source| match source {
+    let source_value = |source: &Source| match source {
         Source::Input(name) => Some(Arc::new(given[name].clone())),
         Source::Step(..) => None,
     };
-    let members = values::members(&flow.steps[0], &of, &|_| None, &Engine::default());
+    let members = values::members(&flow.steps[0], &source_value, &|_| None, &Engine::default());
     members
         .map(|m| m.expect("all is known"))
         .map_err(|f| f.message)
 }
 
-/// Scatter compared with nested loops.
+/// Compares each scatter method with nested loops.
 #[test]
 fn random_scatters_match_nested_loops() {
     let mut rng = fastrand::Rng::with_seed(23);
@@ -569,11 +589,11 @@
     let cases = [
         (
             "    in: {a: {source: [n], pickValue: first_non_null}}\n",
-            "all of them are null",
+            "all values are null",
         ),
         (
             "    in: {a: {source: [a, b], pickValue: the_only_non_null}}\n",
-            "more than one is not null",
+            "more than one value is not null",
         ),
         (
             "    in: {a: a}\n    when: $(inputs.a)\n",
@@ -601,7 +621,8 @@
 fn evaluations_are_bounded() {
     let list: Vec<usize> = (0..4000).collect();
     let given = json!({"a": list, "b": [], "c": [], "n": null});
-    // The tool itself is an expression, so each member is evaluated twice.
+    // With `valueFrom`, `when` and the expression tool itself, each of the 4000 members
+    // takes three evaluations.
     let step = "    in: {a: {source: a, valueFrom: $(self + 1)}}\n    scatter: a\n    when: $(inputs.a < 0)\n";
     let error = run(step, &given).expect_err("too many");
     assert_eq!(error, "scatter: more than 10000 evaluations of JavaScript");
