--- a/crates/workflow/src/ranges.rs
+++ b/crates/workflow/src/ranges.rs
@@ -210,7 +210,7 @@
         }
     }
 
-    fn is_ours(&self, record: &RangeRecord) -> bool {
+    fn is_own_claim(&self, record: &RangeRecord) -> bool {
         record.holder == self.name && record.start == self.start
     }
 
@@ -219,7 +219,7 @@
         let seen_ranges = std::mem::take(&mut self.seen_ranges);
         self.held = seen_ranges
             .iter()
-            .filter(|(_, (record, _))| self.is_ours(record))
+            .filter(|(_, (record, _))| self.is_own_claim(record))
             .map(|(range, (_, version))| (*range, *version))
             .collect();
         let live_instances = self.members.len().max(1) as u32;
@@ -232,7 +232,7 @@
                     // A restarted instance with the same name has another start number and does
                     // not hold the earlier claims.
                     let live = self.members.get(&record.holder) == Some(&record.start);
-                    (!live && !self.is_ours(record), *version)
+                    (!live && !self.is_own_claim(record), *version)
                 }
             };
             if free && self.held.len() + self.claims_to_write.len() < fair_share {
--- a/crates/workflow/tests/runs.rs
+++ b/crates/workflow/tests/runs.rs
@@ -618,8 +618,9 @@
                 && job.worked
                 && starts > *failed + S * 3
             {
-                self.violations
-                    .push(format!("{run} {step}: job started after the run failed"));
+                self.violations.push(format!(
+                    "{run} {step}: job started more than 3 s after the run failed"
+                ));
             }
         }
         for id in &self.started_runs {
@@ -642,10 +643,13 @@
                 RunState::Complete if failed => self
                     .violations
                     .push(format!("{id}: complete, but a step failed")),
-                RunState::ExecutorError if !failed => {
-                    self.violations.push(format!("{id}: {:?}", end.failure))
-                }
-                RunState::SystemError => self.violations.push(format!("{id}: {:?}", end.failure)),
+                RunState::ExecutorError if !failed => self
+                    .violations
+                    .push(format!("{id}: failed, but no step did: {:?}", end.failure)),
+                RunState::SystemError => self.violations.push(format!(
+                    "{id}: ended with a system error: {:?}",
+                    end.failure
+                )),
                 _ => {}
             }
         }
