--- a/crates/core/src/upgrade.rs
+++ b/crates/core/src/upgrade.rs
@@ -266,7 +266,7 @@
                 self.upgrade.initializing &= matches!(outcome, Outcome::Done(_));
                 if let Outcome::Done(_) = outcome {
                     log::info!(
-                        "format record written: all controllers write records of level {} from now on",
+                        "all write in the form of level {} from now on",
                         self.supported_level.0
                     );
                 }
