--- a/crates/core/src/failed_placements.rs
+++ b/crates/core/src/failed_placements.rs
@@ -58,7 +58,7 @@
     use super::*;
 
     #[test]
-    fn a_search_is_repeated_when_its_block_changes_or_after_a_while() {
+    fn failed_placement_is_retried_after_a_capacity_gain_or_a_delay() {
         let ms = Duration::from_millis;
         let job: JobId = "j-000001".parse().expect("an id");
         let other: JobId = "j-000002".parse().expect("an id");
--- a/crates/core/src/starvation/tests.rs
+++ b/crates/core/src/starvation/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_oldest_goes_first_and_no_more_often_than_the_share_pays_for() {
+fn turns_go_to_the_longest_waiting_job_as_far_as_the_share_allows() {
     let ms = Duration::from_millis;
     let mut starvation = Starvation::default();
     let all = || vec![candidate("j-1", 70.0, 99.0), candidate("j-2", 90.0, 99.0)];
@@ -53,7 +53,7 @@
 /// Guards against ordering by age: an old job was first again after each of its short
 /// tasks.
 #[test]
-fn who_has_been_without_a_task_for_longest_goes_first() {
+fn job_longest_without_a_task_gets_the_turn() {
     let s = Duration::from_secs;
     let mut starvation = Starvation::default();
     update(&mut starvation, s(100), &[("j-1", 0, 0), ("j-2", 1, 0)]);
@@ -74,7 +74,7 @@
 /// A job that lost its task with a machine keeps its waiting time, but a job whose tasks
 /// always fail must not come first each time.
 #[test]
-fn a_task_that_was_lost_is_no_service() {
+fn job_with_a_lost_task_stays_starved_but_moves_back_in_order() {
     let s = Duration::from_secs;
     let mut starvation = Starvation::default();
     update(&mut starvation, s(100), &[("j-1", 1, 3), ("j-2", 0, 0)]);
@@ -92,7 +92,7 @@
 /// Guards against turns that were lost but still charged when no machine had capacity for a
 /// moment.
 #[test]
-fn a_turn_lasts_until_its_task_is_out() {
+fn unused_turn_lasts_for_its_duration_and_costs_nothing() {
     let ms = Duration::from_millis;
     let mut starvation = Starvation::default();
     let one = || vec![candidate("j-1", 70.0, 99.0)];
@@ -146,7 +146,7 @@
 /// Guards against a job that fits no machine keeping the turn: the other jobs of its team
 /// waited as long as it did.
 #[test]
-fn a_turn_that_can_not_be_used_goes_to_the_next() {
+fn unused_turn_passes_to_the_next_job() {
     let ms = Duration::from_millis;
     let mut starvation = Starvation::default();
     let all = || vec![candidate("j-1", 70.0, 99.0), candidate("j-2", 90.0, 99.0)];
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -279,7 +279,7 @@
     }
 
     #[test]
-    fn rents_what_is_missing_and_no_more() {
+    fn rents_only_missing_machines_of_the_cheapest_type_per_task() {
         let types = [kind("s", 4.0, 0.3), kind("l", 16.0, 1.1)];
         let offer = |kind: &str, zone: &str, spot| Offer {
             kind: kind.into(),
@@ -319,7 +319,7 @@
     /// 20 times the usual load this took a third of the processor time of all controllers,
     /// and the portal lost its leases.
     #[test]
-    fn machines_without_room_are_not_looked_at_again() {
+    fn full_machines_are_not_examined_again() {
         let types = [kind("s", 4.0, 0.3)];
         let mut free_capacity = FreeCapacity::default();
         for index in 0..1000 {
--- a/crates/policy/src/score.rs
+++ b/crates/policy/src/score.rs
@@ -216,7 +216,7 @@
     }
 
     #[test]
-    fn follows_the_papers_numbers() {
+    fn score_matches_the_lrscheduler_paper() {
         let of = |m: &Candidate| score(&TASK, m, &paper_weights());
         // Low and balanced load: the gate is open.
         assert_eq!(of(&machine(16.0, 8.0, 32.0, 2.0)), Some(250.0));
@@ -231,14 +231,14 @@
     }
 
     #[test]
-    fn ties_go_to_the_first() {
+    fn first_machine_wins_ties() {
         let m = machine(16.0, 0.0, 0.0, 0.0);
         let best_candidate = best(&TASK, [("a", &m), ("b", &m)], &Weights::default());
         assert_eq!(best_candidate.map(|t| t.0), Some("a"));
     }
 
     #[test]
-    fn keeps_ordinary_and_large_room_for_those_who_need_it() {
+    fn keeps_ordinary_and_large_machines_free_if_others_suffice() {
         let weights = Weights::default();
         let ordinary = machine(16.0, 0.0, 0.0, 0.0);
         let spot = Candidate {
