--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -9,7 +9,7 @@
 };
 use oliveshift_wire::{
     JobId,
-    cloud::{Listed, MachineList, MachinePhase, Rent},
+    cloud::{ListedMachine, MachineList, MachinePhase, RentRequest},
     job::JobSpec,
     settings::Settings,
 };
@@ -56,9 +56,9 @@
     list_at: Duration,
     listing: bool,
     /// The pages of the list that have been read so far.
-    page: Vec<Listed>,
+    page: Vec<ListedMachine>,
     /// The last complete machine list, and when the last of its pages was requested.
-    list: BTreeMap<String, Listed>,
+    list: BTreeMap<String, ListedMachine>,
     list_requested_at: Option<Duration>,
     /// Machines rented by this controller that are not in the list yet.
     unlisted: BTreeMap<String, (Offer, Duration)>,
@@ -90,10 +90,10 @@
 
 impl Fleet {
     pub fn new(settings: &Settings) -> Self {
-        let nodes = settings.peers_and_me() as f64;
+        let nodes = settings.controller_count() as f64;
         // Followers call the cloud rarely, so the leader may use most of the limit.
         let share = if nodes > 1.0 { 0.7 } else { 0.95 };
-        let limits = &settings.params.cloud;
+        let limits = &settings.deployment.cloud;
         Self {
             budget: Budget::new(limits.rps * share, 1.0),
             types_at: Duration::ZERO,
@@ -289,7 +289,7 @@
     /// How long work that may use spot machines waits for them before on-demand machines
     /// are rented for it: less if an aim limits the wait.
     pub(crate) fn max_spot_wait_s(&self, spec: &JobSpec) -> f64 {
-        let aims = self.settings.params.aims_of(&spec.class);
+        let aims = self.settings.deployment.objectives_of(&spec.class);
         let waits = aims.filter(|a| a.kind == "wait");
         let within = waits.filter_map(|a| a.within_s).reduce(f64::min);
         let most = self.tuning.max_spot_wait_boots * self.shortest_boot_s();
@@ -305,9 +305,9 @@
     /// on-demand capacity is freed by preemption, and a reserve of it would cost money
     /// all the time.
     fn reserve(&self) -> Vec<CapacityRequest> {
-        let zones = &self.settings.params.zones;
+        let zones = &self.settings.deployment.zones;
         let mut capacity_requests = Vec::new();
-        for aim in &self.settings.params.objectives {
+        for aim in &self.settings.deployment.objectives {
             let within = aim.within_s.filter(|_| aim.kind == "wait");
             let (Some(class), Some(within)) = (&aim.class, within) else {
                 continue;
@@ -324,7 +324,7 @@
                 continue;
             }
             capacity_requests.push(CapacityRequest {
-                need: spec.amounts(),
+                need: spec.resources(),
                 tasks: spec.tasks,
                 spot: spec.spot,
                 spot_only: spec.spot,
@@ -397,7 +397,7 @@
     /// Adds the whole capacity of a machine that is not up yet.
     fn add_whole(&self, stock: &mut FreeCapacity, offer: &Offer) {
         if let Some(kind) = self.machine_types.get(&offer.kind) {
-            stock.add_machine(&offer.kind, &offer.zone, offer.spot, kind.amounts());
+            stock.add_machine(&offer.kind, &offer.zone, offer.spot, kind.resources());
         }
     }
 
@@ -482,7 +482,7 @@
                 offer.zone,
                 if offer.spot { "spot" } else { "on-demand" }
             );
-            let rent = Rent {
+            let rent = RentRequest {
                 request: request.clone(),
                 kind: offer.kind.clone(),
                 zone: offer.zone.clone(),
@@ -496,7 +496,12 @@
         }
     }
 
-    pub(crate) fn rent_answered(&mut self, rent: Rent, names: Option<Vec<String>>, refused: bool) {
+    pub(crate) fn rent_answered(
+        &mut self,
+        rent: RentRequest,
+        names: Option<Vec<String>>,
+        refused: bool,
+    ) {
         let now = self.now;
         let Some((offer, ..)) = self.fleet.pending_rentals.get(&rent.request).cloned() else {
             return;
@@ -695,7 +700,7 @@
     }
 }
 
-fn offer_of(machine: &Listed) -> Offer {
+fn offer_of(machine: &ListedMachine) -> Offer {
     Offer {
         kind: machine.kind.clone(),
         zone: machine.zone.clone(),
--- a/crates/cwl/src/engine.rs
+++ b/crates/cwl/src/engine.rs
@@ -1,10 +1,10 @@
-//! JavaScript, bounded.
+//! Evaluation of JavaScript with limits on memory, work and time.
 //!
-//! Each expression gets a world of its own: what one leaves behind another one
-//! must not find, or the same document would mean something else after a
-//! restart. Work is bounded by counting, not by a clock, so that all instances
-//! of the service agree on which expression is too much; a clock is only the
-//! second net, for what the engine does without counting.
+//! Each evaluation has its own runtime. State that one expression left for
+//! another would be lost by a restart, and the same document would then give
+//! other results. Work is limited by a count rather than by a clock, so that all
+//! instances of the service reject the same expressions. The timeout is a
+//! fallback for work that the engine does not count.
 
 use std::time::{Duration, Instant};
 
@@ -13,72 +13,78 @@
 
 use crate::expr::Scope;
 
-/// What an expression may use.
+/// Limits of one evaluation.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Memory, in bytes.
-    pub memory: usize,
-    /// Stack, in bytes; bounds recursion.
-    pub stack: usize,
-    /// Work, in times that the engine looks up: one is some 10,000 steps.
-    pub looks: u32,
-    /// Time, whatever it does.
-    pub time: Duration,
-    /// The largest result, in bytes of JSON.
-    pub result: usize,
+    pub memory_bytes: usize,
+    /// Stack, in bytes; limits recursion.
+    pub stack_bytes: usize,
+    /// Work, in calls of the interrupt handler; the engine calls it about once
+    /// in 10,000 steps.
+    pub max_interrupt_checks: u32,
+    /// Elapsed time, checked in each call of the interrupt handler.
+    pub timeout: Duration,
+    /// Size of the result as JSON, in bytes.
+    pub result_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            memory: 32 << 20,
-            stack: 192 << 10,
-            looks: 1_000,
-            time: Duration::from_secs(5),
-            result: 4 << 20,
+            memory_bytes: 32 << 20,
+            stack_bytes: 192 << 10,
+            max_interrupt_checks: 1_000,
+            timeout: Duration::from_secs(5),
+            result_bytes: 4 << 20,
         }
     }
 }
 
-/// Evaluates JavaScript.
+/// Evaluates JavaScript expressions.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Engine {
-    /// The bounds of each evaluation.
+    /// The limits of each evaluation.
     pub limits: Limits,
 }
 
 impl Engine {
-    /// Evaluates a function body, after a library that it may use.
+    /// Evaluates a function body after the sources of a library that it may use.
     ///
     /// # Errors
-    /// It throws, is no JavaScript, goes beyond a limit, or returns what is no
-    /// value; in words.
-    pub fn call(&self, library: &[String], body: &str, scope: &Scope<'_>) -> Result<Value, String> {
+    /// If the code throws, is not valid JavaScript, exceeds a limit, or returns
+    /// something that JSON can't hold; as a text for the user.
+    pub fn evaluate(
+        &self,
+        library: &[String],
+        body: &str,
+        scope: &Scope<'_>,
+    ) -> Result<Value, String> {
         let runtime = Runtime::new().map_err(|e| e.to_string())?;
-        runtime.set_memory_limit(self.limits.memory);
-        runtime.set_max_stack_size(self.limits.stack);
-        let (mut looks, most) = (0, self.limits.looks);
-        let (begun, time) = (Instant::now(), self.limits.time);
+        runtime.set_memory_limit(self.limits.memory_bytes);
+        runtime.set_max_stack_size(self.limits.stack_bytes);
+        let (mut interrupt_checks, max_checks) = (0, self.limits.max_interrupt_checks);
+        let (started, timeout) = (Instant::now(), self.limits.timeout);
         runtime.set_interrupt_handler(Some(Box::new(move || {
-            looks += 1;
-            looks > most || begun.elapsed() > time
+            interrupt_checks += 1;
+            interrupt_checks > max_checks || started.elapsed() > timeout
         })));
         let context = Context::full(&runtime).map_err(|e| e.to_string())?;
         context.with(|ctx| {
             let text = self.run(&ctx, library, body, scope).map_err(|e| {
-                // The engine ends what is too much by an exception of its own.
-                // The lines after the first are its own.
+                // The engine throws an exception when the interrupt handler stops
+                // the code. The lines after the first are a stack trace.
                 let why = e.trim().trim_start_matches("Error: ");
                 match why.contains("interrupted") {
-                    true => "it does not come to an end: more work than allowed".to_owned(),
+                    true => "evaluation exceeds the limit of work or time".to_owned(),
                     false => why.lines().next().unwrap_or_default().to_owned(),
                 }
             })?;
             match text {
                 None => Ok(Value::Null),
-                Some(text) if text.len() > self.limits.result => Err(format!(
-                    "its result is larger than {} bytes",
-                    self.limits.result
+                Some(text) if text.len() > self.limits.result_bytes => Err(format!(
+                    "the result is larger than {} bytes",
+                    self.limits.result_bytes
                 )),
                 Some(text) => serde_json::from_str(&text).map_err(|e| e.to_string()),
             }
@@ -95,7 +101,7 @@
         let globals = ctx.globals();
         let values = [
             ("inputs", scope.inputs_value()),
-            ("self", scope.own.clone()),
+            ("self", scope.self_value.clone()),
             ("runtime", scope.runtime.clone()),
         ];
         for (name, value) in values {
@@ -112,7 +118,7 @@
         let result = ctx.eval::<rquickjs::Value<'_>, _>(source).catch(ctx);
         let result = result.map_err(|e| e.to_string())?;
         if result.is_function() {
-            return Err("it returns a function".into());
+            return Err("the code returns a function, which is not a JSON value".into());
         }
         let text = ctx.json_stringify(result).catch(ctx);
         let text = text.map_err(|e| e.to_string())?;
@@ -120,14 +126,14 @@
         text.transpose()
     }
 
-    /// Whether a function body is JavaScript at all, without running it.
+    /// Checks the syntax of a function body without running it.
     ///
     /// # Errors
-    /// Why not.
-    pub fn parses(&self, body: &str) -> Result<(), String> {
-        // Never called, so only what is wrong with the text is found.
+    /// The syntax error that the engine reports.
+    pub fn check_syntax(&self, body: &str) -> Result<(), String> {
+        // The function is never called, so only its syntax is checked.
         let body = format!("return function() {{\n{body}\n}} && null;");
-        self.call(&[], &body, &Scope::default()).map(|_| ())
+        self.evaluate(&[], &body, &Scope::default()).map(|_| ())
     }
 }
 
@@ -136,7 +142,7 @@
     use super::*;
 
     fn js(body: &str) -> Result<Value, String> {
-        Engine::default().call(&[], body, &Scope::default())
+        Engine::default().evaluate(&[], body, &Scope::default())
     }
 
     #[test]
@@ -147,7 +153,7 @@
         );
         assert_eq!(js("return undefined;"), Ok(Value::Null));
         let cases = [
-            ("for (;;) {}", "does not come to an end"),
+            ("for (;;) {}", "exceeds the limit of work or time"),
             ("function f() { return f() + 1; } return f();", "call stack"),
             (
                 "var a = []; for (;;) a.push(new Array(1000).join('x') + a.length);",
@@ -160,7 +166,7 @@
             ("return (;", "unexpected token"),
             (
                 "return /(a+)+$/.test(new Array(60).join('a') + 'b');",
-                "does not come to an end",
+                "exceeds the limit of work or time",
             ),
             ("return new Array(5 << 20).join('x');", "larger than"),
         ];
@@ -171,13 +177,13 @@
     }
 
     #[test]
-    fn nothing_is_left_behind() {
+    fn evaluations_share_no_state() {
         let engine = Engine::default();
         let library = ["var n = 0; function next() { n += 1; return n; }".to_owned()];
         for _ in 0..3 {
             let scope = Scope::default();
             assert_eq!(
-                engine.call(&library, "return next();", &scope),
+                engine.evaluate(&library, "return next();", &scope),
                 Ok(1.into())
             );
         }
@@ -187,8 +193,8 @@
     }
 
     #[test]
-    fn text_that_is_no_javascript_is_found_without_running_it() {
-        assert_eq!(Engine::default().parses("throw 1;"), Ok(()));
-        assert!(Engine::default().parses("return 1 +;").is_err());
+    fn syntax_is_checked_without_running_the_code() {
+        assert_eq!(Engine::default().check_syntax("throw 1;"), Ok(()));
+        assert!(Engine::default().check_syntax("return 1 +;").is_err());
     }
 }
--- a/crates/cwl/src/load.rs
+++ b/crates/cwl/src/load.rs
@@ -1,5 +1,5 @@
-//! Documents become processes: files are brought together, and what does not
-//! fit is found before anything runs.
+//! Loads documents: resolves imports, builds processes, and checks links and types before
+//! anything runs.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,85 +7,89 @@
 };
 
 use crate::{
+    cursor::{Cursor, local_name},
     document::{
-        Binding, Common, ExpressionTool, Link, Merge, Method, Pick, Process, Source, Step,
-        StepInput, Tool, Workflow, binding, link, outputs, parameters,
+        Binding, Common, ExpressionTool, Link, LinkMerge, PickValue, Process, ScatterMethod,
+        Source, Step, StepInput, Tool, Workflow, binding, link, outputs, parameters,
     },
     expr::Template,
     fault::Fault,
-    needs::Needs,
-    spot::{Spot, local},
+    requirements::Requirements,
     types::Type,
     yaml::{self, Data, MAX_DEPTH, Node},
 };
 
-/// The version of CWL that is understood.
+/// The supported version of CWL.
 pub const VERSION: &str = "v1.2";
-/// The most files of one document, each time that one is brought in.
-const MAX_FILES: usize = 256;
-/// The most bytes of all of them.
-const MAX_ALL_BYTES: usize = 16 << 20;
-/// The deepest nesting of workflows in workflows.
-const MAX_NESTED: usize = 16;
-/// The most values of a document, what is imported counted each time.
+/// Maximum number of file reads for one document. A file imported several times counts each
+/// time.
+const MAX_FILE_READS: usize = 256;
+/// Maximum total size of the files read for one document.
+const MAX_TOTAL_BYTES: usize = 16 << 20;
+/// Maximum nesting depth of processes in workflows.
+const MAX_PROCESS_DEPTH: usize = 16;
+/// Maximum number of values in a document. Imported values count at each import.
 const MAX_VALUES: usize = 500_000;
 
-/// Gives the text of files.
+/// Provides the texts of files.
 pub trait Resolver {
-    /// The text of a file, by its path relative to where documents are, with
-    /// `/` and without `.` and `..`.
+    /// Reads a file. The path is relative to the documents' directory, with `/` as separator
+    /// and without `.` and `..`.
     ///
     /// # Errors
-    /// Why there is none, in words.
+    /// A description of why the file can't be read.
     fn read(&self, path: &str) -> Result<String, String>;
 }
 
-/// Reads a document: a file, or one process of it, `file.cwl#name`.
+/// Loads a process: that of a file, or one of several as `file.cwl#name`.
 ///
 /// # Errors
-/// The first fault that is found.
+/// The first fault found.
 pub fn load(resolver: &dyn Resolver, path: &str) -> Result<Process, Fault> {
     let mut loader = Loader {
         resolver,
         files: BTreeMap::new(),
-        values: 0,
-        reads: 0,
-        bytes: 0,
+        value_count: 0,
+        file_reads: 0,
+        total_bytes: 0,
     };
     let (file, name) = match path.split_once('#') {
         Some((file, name)) => (file, Some(name)),
         None => (path, None),
     };
-    let file = join("", file).map_err(|what| nowhere(file, what))?;
-    let mut running = Vec::new();
-    loader.process(&file, name, &Needs::default(), &mut running)
+    let file = resolve_path("", file).map_err(|message| file_fault(file, message))?;
+    let mut enclosing = Vec::new();
+    loader.load_process(&file, name, &Requirements::default(), &mut enclosing)
 }
 
-/// Reads the values that go into a process: a YAML or JSON file.
+/// Parses the input values of a process from the text of a YAML or JSON file.
 ///
 /// # Errors
-/// It is none, or no map.
+/// The text is not valid, or is not a map.
 pub fn values(file: &str, text: &str) -> Result<Node, Fault> {
     let node = yaml::parse(file, text)?;
     match node.data {
         Data::Map(_) => Ok(node),
-        _ => Err(Spot::top(node).fault("inputs are a map from names to values")),
+        _ => Err(Cursor::top(node).fault("inputs must be a map from names to values")),
     }
 }
 
-fn nowhere(file: &str, what: String) -> Fault {
+/// A fault of a file as a whole.
+fn file_fault(file: &str, message: String) -> Fault {
     Fault {
         file: file.to_owned(),
         line: 1,
         path: String::new(),
-        what,
+        message,
     }
 }
 
-/// The path of a file that another one names.
-fn join(from: &str, name: &str) -> Result<String, String> {
+/// Resolves a relative path `name` that the file `from` refers to.
+fn resolve_path(from: &str, name: &str) -> Result<String, String> {
     if name.contains("://") || name.starts_with('/') || name.contains('\\') {
-        return Err(format!("`{name}`: only files by relative path are read"));
+        return Err(format!(
+            "`{name}`: only relative paths to files are supported"
+        ));
     }
     let mut parts: Vec<&str> = from.split('/').collect();
     parts.pop();
@@ -94,7 +98,7 @@
             "" | "." => {}
             ".." => {
                 if parts.pop().is_none() {
-                    return Err(format!("`{name}` leads out of the documents' directory"));
+                    return Err(format!("`{name}` is outside the documents' directory"));
                 }
             }
             part => parts.push(part),
@@ -103,71 +107,76 @@
     Ok(parts.join("/"))
 }
 
+/// The state of loading one document.
 struct Loader<'a> {
     resolver: &'a dyn Resolver,
+    /// Files that were read, with their imports resolved, by path.
     files: BTreeMap<String, Node>,
-    values: usize,
-    reads: usize,
-    bytes: usize,
+    /// Values visited while resolving imports.
+    value_count: usize,
+    file_reads: usize,
+    total_bytes: usize,
 }
 
 impl Loader<'_> {
-    /// A file with all that it imports.
-    fn file(&mut self, path: &str, by: Option<&Spot>) -> Result<Node, Fault> {
+    /// Reads a file and resolves its imports. `referrer` is the value that names it.
+    fn read_file(&mut self, path: &str, referrer: Option<&Cursor>) -> Result<Node, Fault> {
         if let Some(node) = self.files.get(path) {
             return Ok(node.clone());
         }
-        let text = self.text(path, by)?;
+        let text = self.read_text(path, referrer)?;
         let node = yaml::parse(path, &text)?;
         let mut open = vec![path.to_owned()];
-        let node = self.bring_in(&Spot::top(node), &mut open, 0)?;
+        let node = self.resolve_imports(&Cursor::top(node), &mut open, 0)?;
         self.files.insert(path.to_owned(), node.clone());
         Ok(node)
     }
 
-    fn text(&mut self, path: &str, by: Option<&Spot>) -> Result<String, Fault> {
-        let fault = |what: String| match by {
-            Some(spot) => spot.fault(what),
-            None => nowhere(path, what),
+    /// Reads the text of a file, within the limits.
+    fn read_text(&mut self, path: &str, referrer: Option<&Cursor>) -> Result<String, Fault> {
+        let fault = |message: String| match referrer {
+            Some(cursor) => cursor.fault(message),
+            None => file_fault(path, message),
         };
-        self.reads += 1;
-        if self.reads > MAX_FILES {
-            return Err(fault(format!("more than {MAX_FILES} files")));
+        self.file_reads += 1;
+        if self.file_reads > MAX_FILE_READS {
+            return Err(fault(format!("more than {MAX_FILE_READS} files")));
         }
         let text = self.resolver.read(path);
         let text = text.map_err(|e| fault(format!("{path}: {e}")))?;
-        if text.len() > yaml::MAX_BYTES {
+        if text.len() > yaml::MAX_FILE_BYTES {
             return Err(fault(format!(
                 "{path}: larger than {} bytes",
-                yaml::MAX_BYTES
+                yaml::MAX_FILE_BYTES
             )));
         }
-        self.bytes += text.len();
-        if self.bytes > MAX_ALL_BYTES {
+        self.total_bytes += text.len();
+        if self.total_bytes > MAX_TOTAL_BYTES {
             return Err(fault(format!(
-                "more than {MAX_ALL_BYTES} bytes in all files"
+                "more than {MAX_TOTAL_BYTES} bytes in all files"
             )));
         }
         Ok(text)
     }
 
-    /// Puts the contents of files where `$import` and `$include` name them.
-    fn bring_in(
+    /// Replaces `$import` and `$include` by the contents of the files that they name. `open`
+    /// holds the files whose imports are being resolved, to detect cycles.
+    fn resolve_imports(
         &mut self,
-        spot: &Spot,
+        cursor: &Cursor,
         open: &mut Vec<String>,
         depth: usize,
     ) -> Result<Node, Fault> {
-        self.values += 1;
-        if depth > MAX_DEPTH || self.values > MAX_VALUES {
-            return Err(spot.fault("too deep or too large with what it imports"));
+        self.value_count += 1;
+        if depth > MAX_DEPTH || self.value_count > MAX_VALUES {
+            return Err(cursor.fault("nested too deeply or too many values, imports included"));
         }
-        let data = match &spot.node.data {
+        let data = match &cursor.node.data {
             Data::List(list) => {
                 let mut all = Vec::with_capacity(list.len());
                 for (i, node) in list.iter().enumerate() {
-                    let spot = spot.below(&i.to_string(), node.clone());
-                    all.push(self.bring_in(&spot, open, depth + 1)?);
+                    let cursor = cursor.below(&i.to_string(), node.clone());
+                    all.push(self.resolve_imports(&cursor, open, depth + 1)?);
                 }
                 Data::List(Arc::new(all))
             }
@@ -175,195 +184,209 @@
                 if let [(name, node)] = map.as_slice()
                     && (&**name == "$import" || &**name == "$include")
                 {
-                    return self.imported(&spot.below(name, node.clone()), open, depth);
+                    return self.read_import(&cursor.below(name, node.clone()), open, depth);
                 }
                 let mut all = Vec::with_capacity(map.len());
                 for (name, node) in map.iter() {
-                    let spot = spot.below(name, node.clone());
-                    all.push((name.clone(), self.bring_in(&spot, open, depth + 1)?));
+                    let cursor = cursor.below(name, node.clone());
+                    all.push((
+                        name.clone(),
+                        self.resolve_imports(&cursor, open, depth + 1)?,
+                    ));
                 }
                 Data::Map(Arc::new(all))
             }
             data => data.clone(),
         };
         Ok(Node {
-            at: spot.node.at.clone(),
+            location: cursor.node.location.clone(),
             data,
         })
     }
 
-    fn imported(
+    /// The contents of the file that an `$import` or `$include` names.
+    fn read_import(
         &mut self,
-        spot: &Spot,
+        cursor: &Cursor,
         open: &mut Vec<String>,
         depth: usize,
     ) -> Result<Node, Fault> {
-        let name = spot.text()?;
-        let path = join(&spot.node.at.file, name).map_err(|e| spot.fault(e))?;
-        if spot.path.ends_with("$include") {
-            let text = self.text(&path, Some(spot))?;
+        let name = cursor.text()?;
+        let path = resolve_path(&cursor.node.location.file, name).map_err(|e| cursor.fault(e))?;
+        if cursor.path.ends_with("$include") {
+            let text = self.read_text(&path, Some(cursor))?;
             return Ok(Node {
-                at: spot.node.at.clone(),
+                location: cursor.node.location.clone(),
                 data: Data::Text(text.into()),
             });
         }
         if open.contains(&path) {
-            return Err(spot.fault(format!("{path} imports itself")));
+            return Err(cursor.fault(format!("{path} imports itself")));
         }
-        let text = self.text(&path, Some(spot))?;
+        let text = self.read_text(&path, Some(cursor))?;
         let node = yaml::parse(&path, &text)?;
         open.push(path);
-        let node = self.bring_in(&Spot::top(node), open, depth + 1);
+        let node = self.resolve_imports(&Cursor::top(node), open, depth + 1);
         open.pop();
         node
     }
 
-    /// A process of a file; `running` are those that it is a part of.
-    fn process(
+    /// Loads a process of a file. `enclosing` holds the processes that contain it, to detect
+    /// recursion.
+    fn load_process(
         &mut self,
         file: &str,
         name: Option<&str>,
-        outer: &Needs,
-        running: &mut Vec<(String, String)>,
+        outer: &Requirements,
+        enclosing: &mut Vec<(String, String)>,
     ) -> Result<Process, Fault> {
-        let top = Spot::top(self.file(file, None)?);
+        let top = Cursor::top(self.read_file(file, None)?);
         check_version(&top)?;
         let Some(graph) = top.node.get("$graph") else {
             let own = top.node.get("id").map(|id| top.below("id", id.clone()));
-            let own = own.map(|id| id.text().map(|t| local(t).to_owned()));
+            let own = own.map(|id| id.text().map(|t| local_name(t).to_owned()));
             let own = own.transpose()?.unwrap_or_default();
             if let Some(name) = name
                 && name != own
             {
                 return Err(top.fault(format!("there is no process `{name}` in this file")));
             }
-            return self.inline(&top, file, &own, outer, running);
+            return self.load_definition(&top, file, &own, outer, enclosing);
         };
         let graph = top.below("$graph", graph.clone());
         let all = graph.named("id", None)?;
         let wanted = name.unwrap_or("main");
-        let found = all.iter().find(|(id, _)| local(id) == wanted);
+        let found = all.iter().find(|(id, _)| local_name(id) == wanted);
         let found = match (found, all.as_slice()) {
             (Some(found), _) => found,
             (None, [only]) if name.is_none() => only,
             _ => return Err(graph.fault(format!("there is no process `{wanted}` in this file"))),
         };
-        let spot = found.1.clone();
-        self.inline(&spot, file, local(&found.0), outer, running)
+        let cursor = found.1.clone();
+        self.load_definition(&cursor, file, local_name(&found.0), outer, enclosing)
     }
 
-    /// A process that stands here.
-    fn inline(
+    /// Loads a process from its definition at `cursor`, with checks for recursion and depth.
+    fn load_definition(
         &mut self,
-        spot: &Spot,
+        cursor: &Cursor,
         file: &str,
         id: &str,
-        outer: &Needs,
-        running: &mut Vec<(String, String)>,
+        outer: &Requirements,
+        enclosing: &mut Vec<(String, String)>,
     ) -> Result<Process, Fault> {
-        let me = (file.to_owned(), format!("{id}:{}", spot.path));
-        if running.contains(&me) {
-            return Err(spot.fault("it is a step of itself"));
+        let identity = (file.to_owned(), format!("{id}:{}", cursor.path));
+        if enclosing.contains(&identity) {
+            return Err(cursor.fault("recursion: the process contains itself as a step"));
         }
-        if running.len() >= MAX_NESTED {
-            let what = format!("workflows in workflows, more than {MAX_NESTED} deep");
-            return Err(spot.fault(what));
+        if enclosing.len() >= MAX_PROCESS_DEPTH {
+            let message =
+                format!("processes in workflows are nested deeper than {MAX_PROCESS_DEPTH}");
+            return Err(cursor.fault(message));
         }
-        running.push(me);
-        let process = self.read(spot, file, id, outer, running);
-        running.pop();
+        enclosing.push(identity);
+        let process = self.read_process(cursor, file, id, outer, enclosing);
+        enclosing.pop();
         process
     }
 
-    fn read(
+    /// Reads the fields of a process.
+    fn read_process(
         &mut self,
-        spot: &Spot,
+        cursor: &Cursor,
         file: &str,
         id: &str,
-        outer: &Needs,
-        running: &mut Vec<(String, String)>,
+        outer: &Requirements,
+        enclosing: &mut Vec<(String, String)>,
     ) -> Result<Process, Fault> {
-        let mut fields = spot.fields()?;
-        fields.remarks();
+        let mut fields = cursor.fields()?;
+        fields.allow_descriptive_fields();
         fields.get("cwlVersion");
-        let class = fields.need("class")?;
-        let needs = Needs::of(&mut fields, outer)?;
-        let names = needs.names();
-        let js = needs.library().is_some();
+        let class = fields.require("class")?;
+        let requirements = Requirements::read(&mut fields, outer)?;
+        let names = requirements.named_types();
+        let js = requirements.library().is_some();
         let common = Common {
             id: if id.is_empty() { file } else { id }.to_owned(),
-            spot: spot.clone(),
-            inputs: parameters(Some(fields.need("inputs")?), &names, js)?,
-            outputs: outputs(Some(fields.need("outputs")?), &names, js)?,
-            needs,
+            cursor: cursor.clone(),
+            inputs: parameters(Some(fields.require("inputs")?), &names, js)?,
+            outputs: outputs(Some(fields.require("outputs")?), &names, js)?,
+            requirements,
         };
-        let template = |spot: Option<Spot>| spot.map(|s| Template::parse(&s, js)).transpose();
+        let template = |cursor: Option<Cursor>| cursor.map(|s| Template::parse(&s, js)).transpose();
         let process = match class.text()? {
             "CommandLineTool" => {
                 let command = fields.get("baseCommand");
                 let command = command.map(|c| c.texts()).transpose()?.unwrap_or_default();
                 let mut arguments = Vec::new();
-                for spot in fields
+                for cursor in fields
                     .get("arguments")
-                    .map(|a| a.one_or_list())
+                    .map(|a| a.to_list())
                     .unwrap_or_default()
                 {
-                    arguments.push(argument(&spot, js)?);
+                    arguments.push(argument(&cursor, js)?);
                 }
                 let mut codes = |name| -> Result<Vec<i64>, Fault> {
                     let list = fields.get(name).map(|c| c.ints()).transpose()?;
                     Ok(list.unwrap_or_default())
                 };
-                let success = codes("successCodes")?;
-                let temporary = codes("temporaryFailCodes")?;
-                let permanent = codes("permanentFailCodes")?;
+                let success_codes = codes("successCodes")?;
+                let temporary_fail_codes = codes("temporaryFailCodes")?;
+                let permanent_fail_codes = codes("permanentFailCodes")?;
                 Process::Tool(Arc::new(Tool {
                     command,
                     arguments,
                     stdin: template(fields.get("stdin"))?,
                     stdout: template(fields.get("stdout"))?,
                     stderr: template(fields.get("stderr"))?,
-                    success,
-                    temporary,
-                    permanent,
+                    success_codes,
+                    temporary_fail_codes,
+                    permanent_fail_codes,
                     common,
                 }))
             }
             "ExpressionTool" => {
-                let expression = Template::parse(&fields.need("expression")?, js)?;
+                let expression = Template::parse(&fields.require("expression")?, js)?;
                 Process::Expression(Arc::new(ExpressionTool { common, expression }))
             }
             "Workflow" => {
-                let steps = fields.need("steps")?;
-                let workflow = self.workflow(common, &steps, file, running)?;
+                let steps = fields.require("steps")?;
+                let workflow = self.read_workflow(common, &steps, file, enclosing)?;
                 Process::Workflow(Arc::new(workflow))
             }
             "Operation" => {
-                return Err(class.fault("an Operation only describes; it can't be run"));
+                return Err(class.fault("an Operation has no implementation and can't be run"));
             }
             other => return Err(class.fault(format!("the class `{other}` is not known"))),
         };
-        fields.end()?;
+        fields.finish()?;
         match &process {
             Process::Tool(tool) if tool.command.is_empty() && tool.arguments.is_empty() => {
-                Err(spot.fault("neither `baseCommand` nor `arguments`: nothing to run"))
+                Err(cursor.fault("neither `baseCommand` nor `arguments`: nothing to run"))
             }
             _ => Ok(process),
         }
     }
 
-    fn workflow(
+    /// Reads the steps of a workflow, then resolves and checks all links.
+    fn read_workflow(
         &mut self,
         mut common: Common,
-        spot: &Spot,
+        cursor: &Cursor,
         file: &str,
-        running: &mut Vec<(String, String)>,
+        enclosing: &mut Vec<(String, String)>,
     ) -> Result<Workflow, Fault> {
         let mut steps: Vec<Step> = Vec::new();
-        for (name, spot) in spot.named("id", None)? {
-            let step = self.step(local(&name), &spot, &common.needs, file, running)?;
+        for (name, cursor) in cursor.named("id", None)? {
+            let step = self.read_step(
+                local_name(&name),
+                &cursor,
+                &common.requirements,
+                file,
+                enclosing,
+            )?;
             if steps.iter().any(|s| s.name == step.name) {
-                return Err(spot.fault(format!("`{}` is named twice", step.name)));
+                return Err(cursor.fault(format!("`{}` is defined twice", step.name)));
             }
             steps.push(step);
         }
@@ -372,49 +395,56 @@
             .iter()
             .map(|i| (i.name.clone(), i.kind.clone()))
             .collect();
-        let made: BTreeMap<(String, String), Type> = steps
+        let step_outputs: BTreeMap<(String, String), Type> = steps
             .iter()
             .flat_map(|s| {
                 s.outputs
                     .iter()
-                    .map(|o| ((s.name.clone(), o.clone()), made(s, o)))
+                    .map(|o| ((s.name.clone(), o.clone()), output_type(s, o)))
             })
             .collect();
-        let known = Known { inputs, made };
+        let types = WorkflowTypes {
+            inputs,
+            step_outputs,
+        };
         for step in &mut steps {
             for input in &mut step.inputs {
-                known.settle(&mut input.link, &input.spot)?;
+                types.resolve_sources(&mut input.link, &input.cursor)?;
             }
-            known.check_step(step)?;
+            types.check_step(step)?;
         }
         for output in &mut common.outputs {
-            let spot = output.spot.clone();
+            let cursor = output.cursor.clone();
             let Some(link) = &mut output.link else {
-                return Err(spot.fault("`outputSource` is missing"));
+                return Err(cursor.fault("`outputSource` is missing"));
             };
-            known.settle(link, &spot)?;
-            let comes = known.comes(link);
-            if !comes.may_be(&output.kind) {
-                return Err(spot.fault(format!("{} is expected, but {comes} comes", output.kind)));
+            types.resolve_sources(link, &cursor)?;
+            let value_type = types.link_type(link);
+            if !value_type.may_match(&output.kind) {
+                return Err(cursor.fault(format!(
+                    "{} is expected, but the value has the type {value_type}",
+                    output.kind
+                )));
             }
         }
-        let steps = in_order(steps)?;
+        let steps = topological_order(steps)?;
         Ok(Workflow { common, steps })
     }
 
-    fn step(
+    /// Reads a step and loads the process that it runs.
+    fn read_step(
         &mut self,
         name: &str,
-        spot: &Spot,
-        outer: &Needs,
+        cursor: &Cursor,
+        outer: &Requirements,
         file: &str,
-        running: &mut Vec<(String, String)>,
+        enclosing: &mut Vec<(String, String)>,
     ) -> Result<Step, Fault> {
-        let mut fields = spot.fields()?;
-        fields.remarks();
-        let needs = Needs::of(&mut fields, outer)?;
-        let js = needs.library().is_some();
-        let run = fields.need("run")?;
+        let mut fields = cursor.fields()?;
+        fields.allow_descriptive_fields();
+        let requirements = Requirements::read(&mut fields, outer)?;
+        let js = requirements.library().is_some();
+        let run = fields.require("run")?;
         let process = match run.text() {
             Ok(text) => {
                 let (path, name) = match text.split_once('#') {
@@ -423,114 +453,118 @@
                 };
                 let path = match path {
                     "" => file.to_owned(),
-                    path => join(file, path).map_err(|e| run.fault(e))?,
+                    path => resolve_path(file, path).map_err(|e| run.fault(e))?,
                 };
-                self.file(&path, Some(&run))?;
-                self.process(&path, name.map(local), &needs, running)?
+                self.read_file(&path, Some(&run))?;
+                self.load_process(&path, name.map(local_name), &requirements, enclosing)?
             }
-            Err(_) => self.inline(&run, file, name, &needs, running)?,
+            Err(_) => self.load_definition(&run, file, name, &requirements, enclosing)?,
         };
         let mut inputs = Vec::new();
-        for (name, spot) in fields.need("in")?.named("id", Some("source"))? {
-            let spot = with_source(spot);
-            inputs.push(step_input(local(&name), &spot, js)?);
+        for (name, cursor) in fields.require("in")?.named("id", Some("source"))? {
+            let cursor = with_source(cursor);
+            inputs.push(step_input(local_name(&name), &cursor, js)?);
         }
         let mut outputs = Vec::new();
-        for out in fields.need("out")?.one_or_list() {
+        for out in fields.require("out")?.to_list() {
             let name = match out.node.get("id") {
                 Some(id) => out.below("id", id.clone()).text()?.to_owned(),
                 None => out.text()?.to_owned(),
             };
-            let name = local(&name).to_owned();
+            let name = local_name(&name).to_owned();
             if !process.common().outputs.iter().any(|o| o.name == name) {
-                return Err(out.fault(format!("what it runs has no output `{name}`")));
+                return Err(out.fault(format!("the step's process has no output `{name}`")));
             }
             outputs.push(name);
         }
         let scatter = fields.get("scatter").map(|s| s.texts()).transpose()?;
         let scatter: Vec<_> = scatter.unwrap_or_default();
-        let scatter: Vec<_> = scatter.iter().map(|s| local(s).to_owned()).collect();
-        let method = match fields.get("scatterMethod") {
-            Some(spot) => match spot.text()? {
-                "dotproduct" => Method::Dot,
-                "nested_crossproduct" => Method::Nested,
-                "flat_crossproduct" => Method::Flat,
-                other => return Err(spot.fault(format!("`{other}` is not known"))),
+        let scatter: Vec<_> = scatter.iter().map(|s| local_name(s).to_owned()).collect();
+        let scatter_method = match fields.get("scatterMethod") {
+            Some(cursor) => match cursor.text()? {
+                "dotproduct" => ScatterMethod::DotProduct,
+                "nested_crossproduct" => ScatterMethod::NestedCrossProduct,
+                "flat_crossproduct" => ScatterMethod::FlatCrossProduct,
+                other => return Err(cursor.fault(format!("`{other}` is not known"))),
             },
             None if scatter.len() > 1 => {
-                return Err(spot.fault("`scatterMethod` is missing: several are scattered over"));
+                return Err(cursor.fault(
+                    "`scatterMethod` is missing: it is required for several scattered inputs",
+                ));
             }
-            None => Method::Dot,
+            None => ScatterMethod::DotProduct,
         };
         for name in &scatter {
             if !inputs.iter().any(|i| i.name == *name) {
-                return Err(spot.fault(format!("scatter: there is no input `{name}`")));
+                return Err(cursor.fault(format!("scatter: the step has no input `{name}`")));
             }
         }
         let when = fields.get("when");
         let when = when.map(|w| Template::parse(&w, js)).transpose()?;
         if let Some(when) = &when
-            && when.is_plain()
+            && when.is_constant()
         {
-            return Err(when.spot().fault("an expression is expected"));
+            return Err(when.cursor().fault("an expression is expected"));
         }
-        fields.end()?;
+        fields.finish()?;
         Ok(Step {
             name: name.to_owned(),
-            spot: spot.clone(),
+            cursor: cursor.clone(),
             inputs,
             outputs,
             run: process,
             when,
             scatter,
-            method,
-            needs,
+            scatter_method,
+            requirements,
         })
     }
 }
 
-fn check_version(top: &Spot) -> Result<(), Fault> {
+/// Refuses documents of an unsupported CWL version.
+fn check_version(top: &Cursor) -> Result<(), Fault> {
     let Some(version) = top.node.get("cwlVersion") else {
         return Err(top.fault("`cwlVersion` is missing"));
     };
     let version = top.below("cwlVersion", version.clone());
     match version.text()? {
         VERSION => Ok(()),
-        other => Err(version.fault(format!("{VERSION} is understood, not {other}"))),
+        other => Err(version.fault(format!("only {VERSION} is supported, not {other}"))),
     }
 }
 
-fn argument(spot: &Spot, js: bool) -> Result<Binding, Fault> {
-    if matches!(spot.node.data, Data::Map(_)) {
-        let (binding, _) = binding(spot, js)?;
+/// Reads an entry of a tool's `arguments`.
+fn argument(cursor: &Cursor, js: bool) -> Result<Binding, Fault> {
+    if matches!(cursor.node.data, Data::Map(_)) {
+        let (binding, _) = binding(cursor, js)?;
         if binding.value_from.is_none() {
-            return Err(spot.fault("`valueFrom` is missing"));
+            return Err(cursor.fault("`valueFrom` is missing"));
         }
         return Ok(binding);
     }
-    spot.text()?;
+    cursor.text()?;
     Ok(Binding {
-        value_from: Some(Template::parse(spot, js)?),
+        value_from: Some(Template::parse(cursor, js)?),
         ..Binding::word(true)
     })
 }
 
-/// An input that is only its source, as a map.
-fn with_source(spot: Spot) -> Spot {
-    if matches!(spot.node.data, Data::Map(_)) {
-        return spot;
+/// Expands an input given by its source alone to a map with `source`.
+fn with_source(cursor: Cursor) -> Cursor {
+    if matches!(cursor.node.data, Data::Map(_)) {
+        return cursor;
     }
-    let mut node = spot.node.clone();
-    node.data = Data::Map(Arc::new(vec![("source".into(), spot.node.clone())]));
-    Spot {
+    let mut node = cursor.node.clone();
+    node.data = Data::Map(Arc::new(vec![("source".into(), cursor.node.clone())]));
+    Cursor {
         node,
-        path: spot.path,
+        path: cursor.path,
     }
 }
 
-fn step_input(name: &str, spot: &Spot, js: bool) -> Result<StepInput, Fault> {
-    let mut fields = spot.fields()?;
-    fields.remarks();
+fn step_input(name: &str, cursor: &Cursor, js: bool) -> Result<StepInput, Fault> {
+    let mut fields = cursor.fields()?;
+    fields.allow_descriptive_fields();
     let link = match fields.get("source") {
         Some(source) => link(&source, &mut fields)?,
         None => Link {
@@ -539,7 +573,7 @@
             pick: None,
         },
     };
-    let default = fields.raw("default").map(|d| d.node.to_value());
+    let default = fields.get_or_null("default").map(|d| d.node.to_value());
     let value_from = fields.get("valueFrom");
     let value_from = value_from.map(|v| Template::parse(&v, js)).transpose()?;
     let load = fields.get("loadContents").map(|l| l.bool()).transpose()?;
@@ -548,28 +582,29 @@
     {
         return Err(how.fault("only `no_listing` is supported"));
     }
-    fields.end()?;
+    fields.finish()?;
     Ok(StepInput {
         name: name.to_owned(),
         link,
         default: default.filter(|d| !d.is_null()),
         value_from,
         load_contents: load.unwrap_or(false),
-        spot: spot.clone(),
+        cursor: cursor.clone(),
     })
 }
 
-/// The type of what a step makes, all members of a scatter together.
-fn made(step: &Step, output: &str) -> Type {
+/// The type of a step's output, with the arrays that scatter adds and with null if the step
+/// has a condition.
+fn output_type(step: &Step, output: &str) -> Type {
     let outputs = &step.run.common().outputs;
     let kind = outputs.iter().find(|o| o.name == output);
     let mut kind = kind.map_or(Type::Any, |o| o.kind.clone());
     if step.when.is_some() && !kind.is_optional() {
         kind = Type::Union(vec![Type::Null, kind]);
     }
-    let depth = match (step.scatter.len(), step.method) {
+    let depth = match (step.scatter.len(), step.scatter_method) {
         (0, _) => 0,
-        (n, Method::Nested) => n,
+        (n, ScatterMethod::NestedCrossProduct) => n,
         _ => 1,
     };
     for _ in 0..depth {
@@ -578,15 +613,16 @@
     kind
 }
 
-/// What has a value in a workflow.
-struct Known {
+/// The types of a workflow's possible sources: its inputs, and the outputs of its steps by
+/// the names of step and output.
+struct WorkflowTypes {
     inputs: BTreeMap<String, Type>,
-    made: BTreeMap<(String, String), Type>,
+    step_outputs: BTreeMap<(String, String), Type>,
 }
 
-impl Known {
-    /// Finds out what the names of a link mean.
-    fn settle(&self, link: &mut Link, spot: &Spot) -> Result<(), Fault> {
+impl WorkflowTypes {
+    /// Replaces the names in a link by the workflow inputs and step outputs that they refer to.
+    fn resolve_sources(&self, link: &mut Link, cursor: &Cursor) -> Result<(), Fault> {
         for source in &mut link.sources {
             let Source::Input(name) = source else {
                 continue;
@@ -598,29 +634,35 @@
                 _ => None,
             };
             *source = match step {
-                Some(step) if self.made.contains_key(&step) => Source::Step(step.0, step.1),
-                _ if self.inputs.contains_key(local(name)) => Source::Input(local(name).to_owned()),
-                _ => return Err(spot.fault(format!("`{name}` is no input and no step's output"))),
+                Some(step) if self.step_outputs.contains_key(&step) => Source::Step(step.0, step.1),
+                _ if self.inputs.contains_key(local_name(name)) => {
+                    Source::Input(local_name(name).to_owned())
+                }
+                _ => {
+                    return Err(cursor.fault(format!(
+                        "`{name}` is neither a workflow input nor a step output"
+                    )));
+                }
             };
         }
         Ok(())
     }
 
-    fn of(&self, source: &Source) -> Type {
+    fn source_type(&self, source: &Source) -> Type {
         let kind = match source {
             Source::Input(name) => self.inputs.get(name),
-            Source::Step(step, out) => self.made.get(&(step.clone(), out.clone())),
+            Source::Step(step, out) => self.step_outputs.get(&(step.clone(), out.clone())),
         };
         kind.cloned().unwrap_or(Type::Any)
     }
 
-    /// The type of what comes over a link.
-    fn comes(&self, link: &Link) -> Type {
-        let mut types: Vec<_> = link.sources.iter().map(|s| self.of(s)).collect();
-        let each = match link.merges() {
+    /// The type of the value that a link gives.
+    fn link_type(&self, link: &Link) -> Type {
+        let mut types: Vec<_> = link.sources.iter().map(|s| self.source_type(s)).collect();
+        let each = match link.effective_merge() {
             None if link.pick.is_none() => return types.pop().unwrap_or(Type::Null),
-            Some(Merge::Nested) => types,
-            Some(Merge::Flattened) | None => types.into_iter().map(into_items).collect(),
+            Some(LinkMerge::Nested) => types,
+            Some(LinkMerge::Flattened) | None => types.into_iter().map(into_items).collect(),
         };
         let each = match link.pick {
             Some(_) => each.into_iter().map(without_null).collect(),
@@ -628,60 +670,71 @@
         };
         let one = Type::Union(each);
         match link.pick {
-            Some(Pick::First | Pick::Only) => one,
-            Some(Pick::All) | None => Type::Array(Box::new(one)),
+            Some(PickValue::First | PickValue::Only) => one,
+            Some(PickValue::All) | None => Type::Array(Box::new(one)),
         }
     }
 
-    /// Whether what comes fits what the process takes.
+    /// Checks that the types of a step's inputs match those of its process, and that no
+    /// required input is missing.
     fn check_step(&self, step: &Step) -> Result<(), Fault> {
-        let takes = &step.run.common().inputs;
+        let parameters = &step.run.common().inputs;
         for input in &step.inputs {
-            let mut comes = self.comes(&input.link);
+            let mut value_type = self.link_type(&input.link);
             let given = !input.link.sources.is_empty();
             if let Some(default) = &input.default {
-                comes = match given {
-                    true => without_null(comes),
-                    false => continue_with(default),
+                value_type = match given {
+                    true => without_null(value_type),
+                    false => type_of_default(default),
                 };
             }
             let scattered = step.scatter.contains(&input.name);
             if scattered {
-                comes = match into_array(&comes) {
+                value_type = match scattered_item_type(&value_type) {
                     Some(items) => items,
                     None => {
-                        let what = format!("scatter: an array is expected, but {comes} comes");
-                        return Err(input.spot.fault(what));
+                        let message = format!(
+                            "scatter: an array is expected, but the value has the type {value_type}"
+                        );
+                        return Err(input.cursor.fault(message));
                     }
                 };
             }
-            // What an expression makes is known when it has been evaluated.
+            // The type of an expression's result is known only after its evaluation.
             if input.value_from.is_some() {
                 continue;
             }
-            let Some(takes) = takes.iter().find(|p| p.name == input.name) else {
-                // Not for the process, but for expressions of the step.
+            let Some(parameter) = parameters.iter().find(|p| p.name == input.name) else {
+                // The process has no such input; only expressions of the step use it.
                 continue;
             };
-            let takes_null = takes.kind.is_optional() || takes.default.is_some();
-            let fits = comes.may_be(&takes.kind) || (takes_null && comes.is_optional());
+            let accepts_null = parameter.kind.is_optional() || parameter.default.is_some();
+            let fits =
+                value_type.may_match(&parameter.kind) || (accepts_null && value_type.is_optional());
             if !fits {
-                let what = format!("{} is expected, but {comes} comes", takes.kind);
-                return Err(input.spot.fault(what));
+                let message = format!(
+                    "{} is expected, but the value has the type {value_type}",
+                    parameter.kind
+                );
+                return Err(input.cursor.fault(message));
             }
         }
-        for takes in takes {
-            let given = step.inputs.iter().any(|i| i.name == takes.name);
-            if !given && !takes.kind.is_optional() && takes.default.is_none() {
-                let what = format!("the input `{}` of what it runs is missing", takes.name);
-                return Err(step.spot.fault(what));
+        for parameter in parameters {
+            let given = step.inputs.iter().any(|i| i.name == parameter.name);
+            if !given && !parameter.kind.is_optional() && parameter.default.is_none() {
+                let message = format!(
+                    "the input `{}` of the step's process is missing",
+                    parameter.name
+                );
+                return Err(step.cursor.fault(message));
             }
         }
         Ok(())
     }
 }
 
-fn continue_with(default: &serde_json::Value) -> Type {
+/// The type of a default value.
+fn type_of_default(default: &serde_json::Value) -> Type {
     use serde_json::Value;
     match default {
         Value::Bool(_) => Type::Boolean,
@@ -693,6 +746,7 @@
     }
 }
 
+/// The items' type of an array, or the type itself.
 fn into_items(kind: Type) -> Type {
     match kind {
         Type::Array(items) => *items,
@@ -700,15 +754,17 @@
     }
 }
 
-fn into_array(kind: &Type) -> Option<Type> {
+/// The type of the items to scatter over, if the type may be an array.
+fn scattered_item_type(kind: &Type) -> Option<Type> {
     match kind {
         Type::Array(items) => Some((**items).clone()),
         Type::Any => Some(Type::Any),
-        Type::Union(types) => types.iter().find_map(into_array),
+        Type::Union(types) => types.iter().find_map(scattered_item_type),
         _ => None,
     }
 }
 
+/// The type without null among its alternatives.
 fn without_null(kind: Type) -> Type {
     match kind {
         Type::Union(types) => {
@@ -722,10 +778,10 @@
     }
 }
 
-/// Puts steps behind those that they depend on.
-fn in_order(mut steps: Vec<Step>) -> Result<Vec<Step>, Fault> {
+/// Sorts steps so that each follows the steps that it depends on.
+fn topological_order(mut steps: Vec<Step>) -> Result<Vec<Step>, Fault> {
     let mut ordered: Vec<Step> = Vec::new();
-    let mut done: BTreeSet<String> = BTreeSet::new();
+    let mut ordered_names: BTreeSet<String> = BTreeSet::new();
     while !steps.is_empty() {
         let ready = steps.iter().position(|step| {
             let sources = step.inputs.iter().flat_map(|i| &i.link.sources);
@@ -733,15 +789,18 @@
                 Source::Step(name, _) => Some(name),
                 Source::Input(_) => None,
             });
-            steps.all(|name| done.contains(name))
+            steps.all(|name| ordered_names.contains(name))
         });
         let Some(ready) = ready else {
             let names: Vec<_> = steps.iter().map(|s| s.name.as_str()).collect();
-            let what = format!("steps wait for each other: {}", names.join(", "));
-            return Err(steps[0].spot.fault(what));
+            let message = format!(
+                "steps form a dependency cycle or depend on one: {}",
+                names.join(", ")
+            );
+            return Err(steps[0].cursor.fault(message));
         };
         let step = steps.remove(ready);
-        done.insert(step.name.clone());
+        ordered_names.insert(step.name.clone());
         ordered.push(step);
     }
     Ok(ordered)
--- a/crates/cwl/tests/meaning.rs
+++ b/crates/cwl/tests/meaning.rs
@@ -1,22 +1,23 @@
-//! What documents mean, compared with slow plain models.
+//! Command lines, staged files, outputs, scatter, links and type checks. Random
+//! command lines and scatters are compared with simple reference models.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use oliveshift_cwl::{
     Engine,
-    command::{self, Failure, Left, OutDir, Put},
-    document::{Method, Process, Source, Tool},
+    command::{self, Failure, OutputDir, OutputEntry, StagedSource},
+    cursor::Cursor,
+    document::{Process, ScatterMethod, Source, Tool},
     expr::Object,
     load::{self, Resolver},
-    spot::Spot,
     values::{self, Members},
     yaml,
 };
 use serde_json::{Value, json};
 
-struct One(String);
+struct SingleDocument(String);
 
-impl Resolver for One {
+impl Resolver for SingleDocument {
     fn read(&self, path: &str) -> Result<String, String> {
         match path {
             "w.cwl" => Ok(self.0.clone()),
@@ -26,7 +27,7 @@
 }
 
 fn process(text: &str) -> Process {
-    let one = One(format!("cwlVersion: v1.2\n{text}"));
+    let one = SingleDocument(format!("cwlVersion: v1.2\n{text}"));
     load::load(&one, "w.cwl").unwrap_or_else(|e| panic!("{e}\n{text}"))
 }
 
@@ -42,16 +43,17 @@
     map.into_iter().map(|(n, v)| (n, Arc::new(v))).collect()
 }
 
-fn taken(tool: &Tool, given: Value) -> Result<Object, String> {
-    let taken = values::taken(&tool.common, &object(given), &|_| None, &tool.common.spot);
-    taken.map_err(|f| f.what)
+fn process_inputs(tool: &Tool, given: Value) -> Result<Object, String> {
+    let inputs =
+        values::process_inputs(&tool.common, &object(given), &|_| None, &tool.common.cursor);
+    inputs.map_err(|f| f.message)
 }
 
 fn argv(text: &str, given: Value) -> Vec<String> {
     let tool = tool(text);
-    let inputs = taken(&tool, given).expect("inputs");
-    let made = command::command(&tool, &inputs, &Engine::default());
-    made.unwrap_or_else(|e| panic!("{e}\n{text}")).argv
+    let inputs = process_inputs(&tool, given).expect("inputs");
+    let command_line = command::build_command_line(&tool, &inputs, &Engine::default());
+    command_line.unwrap_or_else(|e| panic!("{e}\n{text}")).argv
 }
 
 #[test]
@@ -166,9 +168,9 @@
     }
 }
 
-/// What a drawn input is: its type, its binding, a value, and the words that
-/// the standard says it adds, spelled out case by case.
-struct Drawn {
+/// A random input: its declaration, value and position, and the words that it adds
+/// by the CWL standard, written out for each kind of input.
+struct DrawnInput {
     name: String,
     text: String,
     value: Value,
@@ -176,7 +178,7 @@
     words: Vec<String>,
 }
 
-fn draw(rng: &mut fastrand::Rng, name: &str) -> Drawn {
+fn draw(rng: &mut fastrand::Rng, name: &str) -> DrawnInput {
     let position = rng.i64(-2..3);
     let prefix = rng.bool().then(|| format!("-{name}"));
     let separate = rng.bool();
@@ -220,7 +222,7 @@
         "  {name}: {{type: {kind}, inputBinding: {{position: {position}, separate: {separate}{}{more}}}}}\n",
         before.unwrap_or_default()
     );
-    Drawn {
+    DrawnInput {
         name: name.to_owned(),
         text,
         value,
@@ -230,7 +232,7 @@
 }
 
 #[test]
-fn drawn_command_lines_are_the_models() {
+fn random_command_lines_match_the_model() {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut words = 0;
     for _ in 0..400 {
@@ -252,7 +254,7 @@
             "baseCommand: x\narguments: [{}]\ninputs:\n{text}outputs: []\n",
             listed.join(", ")
         );
-        // Position by position: arguments in their order, then inputs by name.
+        // For each position: arguments in their order, then inputs by name.
         drawn.sort_by(|a, b| a.name.cmp(&b.name));
         let mut expected = vec!["x".to_owned()];
         for position in -2..3 {
@@ -268,7 +270,7 @@
 }
 
 #[test]
-fn what_is_put_in_place() {
+fn inputs_and_requirements_become_a_command_line() {
     let text = "baseCommand: x
 outputs: []
 requirements:
@@ -285,25 +287,43 @@
 ";
     let tool = tool(text);
     let mut file = json!({"class": "File", "location": "store://d/a.dat"});
-    let missing = taken(&tool, json!({"n": 3, "f": file})).expect_err("no index");
+    let missing = process_inputs(&tool, json!({"n": 3, "f": file})).expect_err("no index");
     assert_eq!(missing, "f: the secondary file `a.dat.idx` is missing");
     file["secondaryFiles"] = json!([{"class": "File", "location": "store://d/a.dat.idx"}]);
-    let inputs = taken(&tool, json!({"n": 3, "f": file})).expect("good");
-    let made = command::command(&tool, &inputs, &Engine::default()).expect("a command");
-    let staged: BTreeMap<_, _> = made.staged.iter().map(|s| (s.path.as_str(), s)).collect();
-    let put = |path: &str| &staged[path].what;
-    assert_eq!(put("in/0/a.dat"), &Put::Location("store://d/a.dat".into()));
+    let inputs = process_inputs(&tool, json!({"n": 3, "f": file})).expect("good");
+    let command_line =
+        command::build_command_line(&tool, &inputs, &Engine::default()).expect("a command");
+    let staged: BTreeMap<_, _> = command_line
+        .staged
+        .iter()
+        .map(|s| (s.path.as_str(), s))
+        .collect();
+    let staged_source = |path: &str| &staged[path].source;
+    assert_eq!(
+        staged_source("in/0/a.dat"),
+        &StagedSource::Location("store://d/a.dat".into())
+    );
     assert_eq!(
-        put("in/0/a.dat.idx"),
-        &Put::Location("store://d/a.dat.idx".into())
+        staged_source("in/0/a.dat.idx"),
+        &StagedSource::Location("store://d/a.dat.idx".into())
+    );
+    assert_eq!(staged_source("run.ini"), &StagedSource::Text("n=3".into()));
+    assert_eq!(
+        staged_source("a.dat"),
+        &StagedSource::Location("store://d/a.dat".into())
     );
-    assert_eq!(put("run.ini"), &Put::Text("n=3".into()));
-    assert_eq!(put("a.dat"), &Put::Location("store://d/a.dat".into()));
     assert!(staged["run.ini"].writable && !staged["a.dat"].writable);
-    assert_eq!(made.stdin.as_deref(), Some("in/0/a.dat"));
-    assert_eq!(made.environment, [("LEVEL".to_owned(), "4".to_owned())]);
+    assert_eq!(command_line.stdin.as_deref(), Some("in/0/a.dat"));
     assert_eq!(
-        (made.cores, made.ram_mib, made.time_limit_s),
+        command_line.environment,
+        [("LEVEL".to_owned(), "4".to_owned())]
+    );
+    assert_eq!(
+        (
+            command_line.cores,
+            command_line.ram_mib,
+            command_line.time_limit_s
+        ),
         (3.0, 512.0, Some(30.0))
     );
     for bad in ["../x", "/etc/x", "a/../../x", ""] {
@@ -311,19 +331,23 @@
             "baseCommand: x\ninputs: []\noutputs: []\nrequirements: {{InitialWorkDirRequirement: {{listing: [{{entryname: '{bad}', entry: y}}]}}}}\n"
         );
         let tool = self::tool(&text);
-        let made = command::command(&tool, &Object::default(), &Engine::default());
-        let fault = made.expect_err(bad).to_string();
-        assert!(fault.contains("is no file's name"), "{fault}");
+        let command_line =
+            command::build_command_line(&tool, &Object::default(), &Engine::default());
+        let fault = command_line.expect_err(bad).to_string();
+        assert!(
+            fault.contains("a relative file name is expected"),
+            "{fault}"
+        );
     }
 }
 
-/// A directory in memory.
-struct Dir(BTreeMap<&'static str, &'static str>);
+/// An output directory in memory.
+struct MemoryDir(BTreeMap<&'static str, &'static str>);
 
-impl OutDir for Dir {
-    fn list(&self) -> Vec<Left> {
+impl OutputDir for MemoryDir {
+    fn list(&self) -> Vec<OutputEntry> {
         let files = self.0.iter();
-        let left = files.map(|(path, text)| Left {
+        let left = files.map(|(path, text)| OutputEntry {
             path: (*path).to_owned(),
             is_dir: false,
             size: text.len() as u64,
@@ -332,7 +356,7 @@
         left.collect()
     }
 
-    fn text(&self, path: &str) -> Result<String, String> {
+    fn read_text(&self, path: &str) -> Result<String, String> {
         self.0
             .get(path)
             .map(|t| (*t).to_owned())
@@ -341,7 +365,7 @@
 }
 
 #[test]
-fn what_a_tool_leaves_behind() {
+fn outputs_are_collected() {
     let text = "baseCommand: x
 requirements: {InlineJavascriptRequirement: {}}
 inputs: []
@@ -355,19 +379,21 @@
   said: stdout
 ";
     let tool = tool(text);
-    let collect = |dir: &Dir, code| {
-        command::collect(&tool, &Object::default(), code, dir, &Engine::default())
+    let collect = |dir: &MemoryDir, code| {
+        command::collect_outputs(&tool, &Object::default(), code, dir, &Engine::default())
     };
-    let mut dir = Dir([
-        ("a.txt", "hi"),
-        ("a.txt.idx", ""),
-        ("d/x.c", ""),
-        ("d/e/y.c", ""),
-        ("z.b", ""),
-        ("n", "41\n"),
-        ("cwl.stdout", ""),
-    ]
-    .into());
+    let mut dir = MemoryDir(
+        [
+            ("a.txt", "hi"),
+            ("a.txt.idx", ""),
+            ("d/x.c", ""),
+            ("d/e/y.c", ""),
+            ("z.b", ""),
+            ("n", "41\n"),
+            ("cwl.stdout", ""),
+        ]
+        .into(),
+    );
     let got = collect(&dir, 3).expect("outputs");
     assert_eq!(got["one"]["location"], "store://run/a.txt");
     assert_eq!(got["one"]["size"], 2);
@@ -383,15 +409,18 @@
     assert_eq!(got["said"]["basename"], "cwl.stdout");
 
     assert_eq!(collect(&dir, 75), Err(Failure::Temporary(75)));
-    assert_eq!(collect(&dir, 1), Err(Failure::Code(1)));
-    let fails = |dir: &Dir, why: &str| {
+    assert_eq!(collect(&dir, 1), Err(Failure::Permanent(1)));
+    let fails = |dir: &MemoryDir, why: &str| {
         let error = collect(dir, 0).expect_err(why).to_string();
         assert!(error.contains(why), "{error}");
     };
     dir.0.insert("b.txt", "");
     fails(&dir, "2 files match *.txt, one is expected");
     dir.0.remove("a.txt");
-    fails(&dir, "the secondary file `b.txt.idx` was not left behind");
+    fails(
+        &dir,
+        "the secondary file `b.txt.idx` is not in the output directory",
+    );
     dir.0.remove("b.txt");
     fails(&dir, "no file matches *.txt");
     dir.0.insert("cwl.output.json", r#"{"one": {"class": "File", "path": "z.b"}, "many": [], "count": 1, "said": {"class": "File", "path": "n"}}"#);
@@ -401,7 +430,7 @@
         "cwl.output.json",
         r#"{"one": {"class": "File", "path": "../secret"}}"#,
     );
-    fails(&dir, "`../secret` was not left behind");
+    fails(&dir, "`../secret` is not in the output directory");
     dir.0.insert("cwl.output.json", r#"{"count": "many"}"#);
     fails(&dir, "File is expected, not nothing");
 }
@@ -430,19 +459,19 @@
 
 fn run(step: &str, given: &Value) -> Result<Members, String> {
     let flow = flow(step);
-    let of = |source: &Source| match source {
+    let source_value = |source: &Source| match source {
         Source::Input(name) => Some(Arc::new(given[name].clone())),
         Source::Step(..) => None,
     };
-    let members = values::members(&flow.steps[0], &of, &|_| None, &Engine::default());
+    let members = values::members(&flow.steps[0], &source_value, &|_| None, &Engine::default());
     members
         .map(|m| m.expect("all is known"))
-        .map_err(|f| f.what)
+        .map_err(|f| f.message)
 }
 
-/// Scatter compared with nested loops.
+/// Compares each scatter method with nested loops.
 #[test]
-fn drawn_scatters_are_the_models() {
+fn random_scatters_match_nested_loops() {
     let mut rng = fastrand::Rng::with_seed(23);
     for _ in 0..60 {
         let mut list = |n: usize| -> Vec<i64> { (0..n).map(|_| rng.i64(0..9)).collect() };
@@ -474,15 +503,23 @@
             nested.push(Value::from(rows));
         }
         for (method, kind, expected) in [
-            ("nested_crossproduct", Method::Nested, Value::from(nested)),
-            ("flat_crossproduct", Method::Flat, Value::from(flat)),
+            (
+                "nested_crossproduct",
+                ScatterMethod::NestedCrossProduct,
+                Value::from(nested),
+            ),
+            (
+                "flat_crossproduct",
+                ScatterMethod::FlatCrossProduct,
+                Value::from(flat),
+            ),
         ] {
             let got = run(&step(method), &given).expect("good");
             let each = got.members.iter().map(|m| {
                 let object = m.inputs.iter();
                 object.map(|(n, v)| (n.clone(), (**v).clone())).collect()
             });
-            let gathered = values::gathered(&got.shape, kind, each.collect());
+            let gathered = values::gather_outputs(&got.shape, kind, each.collect());
             assert_eq!(gathered, expected, "{method} {given}");
         }
         let dot = run(&step("dotproduct"), &given);
@@ -552,11 +589,11 @@
     let cases = [
         (
             "    in: {a: {source: [n], pickValue: first_non_null}}\n",
-            "all of them are null",
+            "all values are null",
         ),
         (
             "    in: {a: {source: [a, b], pickValue: the_only_non_null}}\n",
-            "more than one is not null",
+            "more than one value is not null",
         ),
         (
             "    in: {a: a}\n    when: $(inputs.a)\n",
@@ -576,7 +613,7 @@
         &given,
     )
     .expect("good");
-    let runs: Vec<_> = got.members.iter().map(|m| m.runs).collect();
+    let runs: Vec<_> = got.members.iter().map(|m| m.should_run).collect();
     assert_eq!((got.shape, runs), (vec![3], vec![true, false, true]));
 }
 
@@ -584,7 +621,8 @@
 fn evaluations_are_bounded() {
     let list: Vec<usize> = (0..4000).collect();
     let given = json!({"a": list, "b": [], "c": [], "n": null});
-    // The tool itself is an expression, so each member is evaluated twice.
+    // With `valueFrom`, `when` and the expression tool itself, each of the 4000 members
+    // takes three evaluations.
     let step = "    in: {a: {source: a, valueFrom: $(self + 1)}}\n    scatter: a\n    when: $(inputs.a < 0)\n";
     let error = run(step, &given).expect_err("too many");
     assert_eq!(error, "scatter: more than 10000 evaluations of JavaScript");
@@ -605,7 +643,7 @@
     };
     let run = |given| {
         let inputs = object(given);
-        values::expression(&tool.common, &tool.expression, &inputs, &Engine::default())
+        values::run_expression(&tool.common, &tool.expression, &inputs, &Engine::default())
     };
     assert_eq!(
         run(json!({"n": 4})).map(|o| (*o["m"]).clone()).ok(),
@@ -620,7 +658,7 @@
 
 #[test]
 fn values_are_checked_against_types() {
-    let spot = |text: &str| Spot::top(yaml::parse("t", text).expect("a type"));
+    let cursor = |text: &str| Cursor::top(yaml::parse("t", text).expect("a type"));
     let cases = [
         ("int", json!(1), ""),
         ("int", json!(3_000_000_000_i64), "int is expected"),
@@ -668,7 +706,7 @@
         ),
     ];
     for (text, value, why) in cases {
-        let kind = oliveshift_cwl::types::Type::parse(&spot(text), &Default::default());
+        let kind = oliveshift_cwl::types::Type::parse(&cursor(text), &Default::default());
         let checked = kind.expect("a type").check(&value);
         match why {
             "" => assert_eq!(checked, Ok(()), "{text} {value}"),
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -1,55 +1,59 @@
-//! A stand-in for the cloud.
+//! Simulated cloud.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use oliveshift_core::{Call, Method};
 use oliveshift_wire::{
-    cloud::{Listed, MachineList, MachinePhase, MachineType, MachineTypes, Machines, Rent},
+    cloud::{
+        ListedMachine, MachineList, MachineNames, MachinePhase, MachineType, MachineTypes,
+        RentRequest,
+    },
     decode, encode,
     job::Refusal,
 };
 
-/// A machine that the cloud has rented out.
+/// A rented machine, or one that was rented before.
 #[derive(Clone, Debug)]
-pub struct Rented {
-    /// Its type.
+pub struct RentedMachine {
+    /// Name of the machine type.
     pub kind: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine; otherwise it is on-demand.
     pub spot: bool,
-    /// When it was rented.
-    pub since: Duration,
-    /// When it is up; none: never.
-    pub up: Option<Duration>,
-    /// When it went.
-    pub gone: Option<Duration>,
+    /// Time of the rental.
+    pub rented_at: Duration,
+    /// Time at which it is running; `None` if it never boots.
+    pub running_at: Option<Duration>,
+    /// Time at which it was returned or lost.
+    pub gone_at: Option<Duration>,
 }
 
-/// All machines, and what can be rented.
+/// State of the cloud: machines and machine types.
 pub struct Cloud {
-    /// Machine types.
+    /// Machine types that can be rented.
     pub types: Vec<MachineType>,
     /// Machines by name.
-    pub machines: BTreeMap<String, Rented>,
+    pub machines: BTreeMap<String, RentedMachine>,
     claims: BTreeMap<String, Vec<String>>,
     next: u64,
-    /// Most machines of a type, zone and kind.
+    /// Maximum number of machines for each machine type, zone, and spot or on-demand.
     pub capacity: usize,
-    /// How far the list lags.
-    pub lag: Duration,
+    /// Lag of the machine list behind the real state.
+    pub list_lag: Duration,
     rng: fastrand::Rng,
-    /// Nothing is drawn: all machines boot alike.
-    pub steady: bool,
-    /// All machines are up within two seconds.
-    pub quick: bool,
+    /// Draws nothing at random: all machines boot in the same time, and the list has a
+    /// constant lag.
+    pub deterministic: bool,
+    /// Machines rented now boot within two seconds.
+    pub fast_boot: bool,
 }
 
-/// How long a machine boots if nothing is drawn.
-const BOOT: Duration = Duration::from_secs(12);
+/// Boot time of machines in a deterministic cloud.
+const DETERMINISTIC_BOOT_TIME: Duration = Duration::from_secs(12);
 
 impl Cloud {
-    /// A cloud with one small and one large type in some zones.
+    /// Creates a cloud with one small and one large machine type in the given zones.
     pub fn new(zones: &[String], seed: u64) -> Self {
         let kind = |name: &str, cpus: f64, price: f64| MachineType {
             name: name.into(),
@@ -69,15 +73,15 @@
             claims: BTreeMap::new(),
             next: 0,
             capacity: 4,
-            lag: Duration::from_secs(3),
+            list_lag: Duration::from_secs(3),
             rng: fastrand::Rng::with_seed(seed),
-            steady: false,
-            quick: false,
+            deterministic: false,
+            fast_boot: false,
         }
     }
 
-    /// Rents a machine without being asked; it is up at once.
-    pub fn give(&mut self, now: Duration, kind: &str, zone: &str, spot: bool) -> String {
+    /// Adds a machine that is running at once, without a rental request.
+    pub fn add_running(&mut self, now: Duration, kind: &str, zone: &str, spot: bool) -> String {
         let up = Some(now);
         self.add(now, kind, zone, spot, up)
     }
@@ -92,19 +96,20 @@
     ) -> String {
         let name = format!("vm-{:06}", self.next);
         self.next += 1;
-        let machine = Rented {
+        let machine = RentedMachine {
             kind: kind.into(),
             zone: zone.into(),
             spot,
-            since: now,
-            up,
-            gone: None,
+            rented_at: now,
+            running_at: up,
+            gone_at: None,
         };
         self.machines.insert(name.clone(), machine);
         name
     }
 
-    /// Executes a request; the names are of machines that it deletes.
+    /// Executes a request. Returns status, body, and the names of machines that it returns
+    /// to the cloud.
     pub fn execute(&mut self, now: Duration, call: &Call) -> (u16, Vec<u8>, Vec<String>) {
         let path = call.path.split('?').next().unwrap_or_default();
         match (call.method, path) {
@@ -112,18 +117,18 @@
                 let types = self.types.clone();
                 (200, encode(&MachineTypes { types }), Vec::new())
             }
-            (Method::Post, "/hosts") => match decode::<Rent>(&call.body) {
+            (Method::Post, "/hosts") => match decode::<RentRequest>(&call.body) {
                 Ok(rent) => self.rent(now, rent),
                 Err(_) => (400, Vec::new(), Vec::new()),
             },
-            (Method::Post, "/hosts/return") => match decode::<Machines>(&call.body) {
+            (Method::Post, "/hosts/return") => match decode::<MachineNames>(&call.body) {
                 Ok(machines) => {
                     for name in &machines.names {
                         if let Some(m) = self.machines.get_mut(name) {
-                            m.gone.get_or_insert(now);
+                            m.gone_at.get_or_insert(now);
                         }
                     }
-                    (200, encode(&Machines::default()), machines.names)
+                    (200, encode(&MachineNames::default()), machines.names)
                 }
                 Err(_) => (400, Vec::new(), Vec::new()),
             },
@@ -132,13 +137,13 @@
         }
     }
 
-    fn rent(&mut self, now: Duration, rent: Rent) -> (u16, Vec<u8>, Vec<String>) {
+    fn rent(&mut self, now: Duration, rent: RentRequest) -> (u16, Vec<u8>, Vec<String>) {
         if let Some(names) = self.claims.get(&rent.request) {
             let names = names.clone();
-            return (200, encode(&Machines { names }), Vec::new());
+            return (200, encode(&MachineNames { names }), Vec::new());
         }
-        let same = |m: &&Rented| {
-            m.gone.is_none() && (&m.kind, &m.zone, m.spot) == (&rent.kind, &rent.zone, rent.spot)
+        let same = |m: &&RentedMachine| {
+            m.gone_at.is_none() && (&m.kind, &m.zone, m.spot) == (&rent.kind, &rent.zone, rent.spot)
         };
         let used = self.machines.values().filter(same).count();
         let count = (rent.count as usize).min(self.capacity.saturating_sub(used));
@@ -150,8 +155,12 @@
         for _ in 0..count {
             let boot = Duration::from_millis(self.rng.u64(2000..25_000));
             let up = (self.rng.f64() > 0.1).then_some(now + boot);
-            let up = if self.steady { Some(now + BOOT) } else { up };
-            let up = if self.quick {
+            let up = if self.deterministic {
+                Some(now + DETERMINISTIC_BOOT_TIME)
+            } else {
+                up
+            };
+            let up = if self.fast_boot {
                 Some(now + boot / 13)
             } else {
                 up
@@ -159,28 +168,30 @@
             names.push(self.add(now, &rent.kind, &rent.zone, rent.spot, up));
         }
         self.claims.insert(rent.request, names.clone());
-        (200, encode(&Machines { names }), Vec::new())
+        (200, encode(&MachineNames { names }), Vec::new())
     }
 
     fn list(&mut self, now: Duration) -> MachineList {
-        // Up to twice the lag, so that a list may be older than the last.
-        let lag = match self.steady {
-            true => self.lag,
-            false => self.lag.mul_f64(self.rng.f64() * 2.0),
+        // Drawn between zero and twice the lag, so that a list may be older than the
+        // previous one.
+        let lag = match self.deterministic {
+            true => self.list_lag,
+            false => self.list_lag.mul_f64(self.rng.f64() * 2.0),
         };
         let at = now.saturating_sub(lag);
-        let shown = |m: &&Rented| m.since <= at && m.gone.is_none_or(|gone| gone > at);
+        let shown =
+            |m: &&RentedMachine| m.rented_at <= at && m.gone_at.is_none_or(|gone| gone > at);
         let machines = self.machines.iter().filter(|(_, m)| shown(m));
-        let machines = machines.map(|(name, m)| Listed {
+        let machines = machines.map(|(name, m)| ListedMachine {
             name: name.clone(),
             kind: m.kind.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            phase: match m.up {
+            phase: match m.running_at {
                 Some(up) if up <= at => MachinePhase::Running,
                 _ => MachinePhase::Booting,
             },
-            age_s: at.saturating_sub(m.since).as_secs_f64(),
+            age_s: at.saturating_sub(m.rented_at).as_secs_f64(),
         });
         MachineList {
             machines: machines.collect(),
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -1,440 +1,447 @@
-//! What can go wrong, scripted or drawn from a seed.
+//! Faults that a simulated run injects, scripted or drawn from a seed.
 
 use std::{ops::Range, time::Duration};
 
-/// The way of a message between a controller and a machine.
+/// Direction of a message between a controller and a worker's machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// Reports, and answers to direct orders.
     FromMachine,
     /// Answers to reports, and direct orders.
     ToMachine,
 }
 
-/// One trouble.
+/// One injected fault.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// A controller is killed; it comes back some seconds later.
+    /// A controller process is killed and restarts after [`RESTART_DELAY`].
     Crash {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// A controller is killed and is back after a while of any length.
-    Ends {
-        /// Which.
+    /// A controller process is killed and restarts after a given delay.
+    Restart {
+        /// Index of the controller.
         node: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
-        /// After how long.
-        back: Duration,
-    },
-    /// What controllers ask of the state service, the cloud and each other,
-    /// what workers report and what users submit and cancel comes once more,
-    /// late: one of so many messages. An order to a worker does so that got no
-    /// answer; its sender may have ended meanwhile.
-    Copies {
-        /// One of so many.
+        /// Delay until the restart.
+        restart_after: Duration,
+    },
+    /// A late copy of one in `one_in` messages is delivered: writes of controllers to the state
+    /// service and the cloud, messages between controllers, reports of workers, and submissions
+    /// and cancellations by users. A copied direct order is executed at once too, but its
+    /// answer is lost; its sender may have ended when the copy arrives.
+    DuplicateMessages {
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller and the state service do not hear each other.
+    /// No messages pass between a controller and the state service.
     CutState {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// The state service refuses one controller.
-    Refused {
-        /// Which.
+    /// The state service rejects the requests of one controller.
+    StateRefusesNode {
+        /// Index of the controller.
         node: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// The state service refuses everybody.
-    Outage {
-        /// From when.
+    /// The state service rejects all requests.
+    StateOutage {
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// The cloud refuses everybody.
+    /// The cloud rejects all requests.
     CloudOutage {
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller and the machines of a zone do not hear each other; what is
-    /// sent meanwhile arrives afterwards.
+    /// No messages pass between one or all controllers and some machines; what is sent
+    /// meanwhile arrives when the fault ends.
     CutWorkers {
-        /// Which controller; none: all of them.
+        /// Index of the controller; `None`: all controllers.
         node: Option<usize>,
-        /// Which machines: those whose number leaves this rest by three.
-        rest: Option<usize>,
-        /// From when.
+        /// Affected machines: those whose number modulo 3 equals this; `None`: all.
+        machine_group: Option<usize>,
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// What a controller and some machines send each other is held up one way, and
-    /// arrives afterwards.
+    /// Messages between a controller and some machines are held up in one direction and
+    /// arrive when the fault ends.
     OneWay {
-        /// Which controller.
+        /// Index of the controller.
         node: usize,
-        /// Which machines: those whose number leaves this rest by three.
-        rest: usize,
-        /// Which way.
-        way: Way,
-        /// From when.
+        /// Affected machines: those whose number modulo 3 equals this.
+        machine_group: usize,
+        /// The blocked direction.
+        direction: Direction,
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
     /// Connections between controllers are refused.
-    PeersRefuse {
-        /// From when.
+    PeersUnreachable {
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Controllers of the first level are replaced by the present one, one
-    /// after the other: each is killed and comes back new. One that dies before
-    /// its turn comes back old.
-    Roll {
-        /// Who is first; the others follow in order.
+    /// Controllers start at the first format level and are upgraded to the supported level
+    /// one by one: each is killed and restarts with the new program. One that dies before
+    /// its turn restarts with the old program.
+    RollingUpgrade {
+        /// Index of the first controller; the others follow in order.
         first: usize,
-        /// When the first is killed.
+        /// Time at which the first is killed.
         at: Duration,
-        /// How long after it the next one is.
-        every: Duration,
+        /// Interval between two upgrades.
+        interval: Duration,
     },
-    /// A controller dies and never comes back.
-    Gone {
-        /// Which.
+    /// A controller process is killed and never restarts.
+    PermanentLoss {
+        /// Index of the controller.
         node: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// An operator tells a controller that another never comes back.
+    /// An operator tells a controller that another one will not return.
     WriteOff {
-        /// Which one never does.
+        /// Index of the controller that will not return.
         node: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// The state service lowers its limits to those that the settings announce.
-    Lower {
-        /// When.
+    /// The state service lowers its limits to the values announced in the settings.
+    LowerStateLimits {
+        /// Time of the event.
         at: Duration,
     },
-    /// The answers to one in so many transactions are lost, though they are executed
-    /// at once.
+    /// The answers to one in `one_in` transactions are lost; the transactions themselves
+    /// are executed at once.
     LostAnswers {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller stands still while its clocks run on: what is sent to it
-    /// waits, connections included.
-    Frozen {
-        /// Which.
+    /// A controller process is paused while its clocks run on. Messages and connections
+    /// to it wait.
+    ProcessPause {
+        /// Index of the controller.
         node: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller is behind: what reaches it is taken in, and what it sends
-    /// leaves, so much later each.
-    Behind {
-        /// Which.
+    /// A controller processes its input, and sends its output, with a delay on each.
+    ControllerLag {
+        /// Index of the controller.
         node: usize,
-        /// By how much.
+        /// Added delay.
         lag: Duration,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller has little processor time: each request that it answers
-    /// takes so long.
-    Slow {
-        /// Which.
+    /// A controller has little processor time: each request that it answers takes `each`.
+    SlowController {
+        /// Index of the controller.
         node: usize,
-        /// How long.
-        each: Duration,
-        /// From when.
+        /// Time per request.
+        time_per_request: Duration,
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller's answers to workers take so much longer, and what it sends
-    /// them directly overtakes them.
+    /// A controller's answers to reports of workers are delayed, so its direct orders
+    /// overtake them.
     LateAnswers {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// By how much.
+        /// Added delay.
         lag: Duration,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Connections come in at all controllers of which nothing is heard ever
-    /// again, as of machines whose network holds what they send.
-    Silent {
-        /// How many a second at each.
+    /// Connections are opened to all controllers and never carry any data, as from machines
+    /// whose network holds back what they send.
+    SilentConnections {
+        /// Connections per second at each controller.
         rate: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Of transactions one in so many gets no answer and is carried out 2 s to
-    /// 12 s later, after newer ones of the same controller.
+    /// One in `one_in` transactions gets no answer and is executed 2 s to 12 s later, after
+    /// newer ones of the same controller.
     LateWrites {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A copy of one in so many reports arrives again, 2 s to 20 s later, which is
-    /// well over a lease, at some controller.
+    /// A copy of one in `one_in` reports arrives at some controller 2 s to 20 s later, which
+    /// is well over a lease.
     LateReports {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A copy of one in so many reports is kept until somebody else leads, and then
-    /// brought to every controller.
+    /// Copies of one in `one_in` reports are kept until the leader changes and are then
+    /// delivered to every controller.
     ReportsForNextLeader {
-        /// One of so many.
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Machines rented meanwhile are up within two seconds.
-    QuickBoots {
-        /// From when.
+    /// Machines rented during the fault are running within two seconds.
+    FastBoots {
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Whenever a user is told that a job is accepted, done or cancelled, the same
-    /// user asks at all controllers, again and again within milliseconds, and
-    /// repeats the submission; some cancel at once.
-    CloseLooks {
-        /// From when.
+    /// Whenever a user learns that a job is accepted, done or cancelled, the same user
+    /// queries the job or repeats the submission at all controllers, several times within
+    /// milliseconds. Some users cancel at once.
+    FollowUpRequests {
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Reports of some machines arrive; the answers, and direct orders, are lost.
-    Deaf {
-        /// Which machines: those whose number leaves this rest by three.
-        rest: usize,
-        /// From when.
+    /// Reports of some machines arrive, but the answers and direct orders to them are lost.
+    AnswersLost {
+        /// Affected machines: those whose number modulo 3 equals this.
+        machine_group: usize,
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Some machines reach no controller; direct orders reach them.
-    Mute {
-        /// Which machines: those whose number leaves this rest by three.
-        rest: usize,
-        /// From when.
+    /// Reports of some machines reach no controller; direct orders still reach the machines.
+    ReportsLost {
+        /// Affected machines: those whose number modulo 3 equals this.
+        machine_group: usize,
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Some machines hang: their tasks don't go on, nothing leaves, and what is sent
-    /// to them waits. Their lease runs on.
-    Hang {
-        /// Which machines: those whose number leaves this rest by three.
-        rest: usize,
-        /// From when.
+    /// Some machines hang: their tasks make no progress, they send nothing, and messages to
+    /// them wait. Their leases keep running.
+    WorkerHang {
+        /// Affected machines: those whose number modulo 3 equals this.
+        machine_group: usize,
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A controller and all others do not hear each other.
+    /// No messages pass between one controller and its peers.
     CutPeers {
-        /// Which.
+        /// Index of the controller.
         node: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// A zone is cut off from everything else: its controllers and machines hear
-    /// only each other.
+    /// A zone is partitioned from everything else: its controllers and machines reach only
+    /// each other.
     ZoneCut {
-        /// Its number.
+        /// Index of the zone.
         zone: usize,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Some machines stop with all that is on them.
-    Dies {
-        /// Which machines: those whose number leaves this rest by three.
-        rest: usize,
-        /// When.
+    /// Some machines fail and lose all their tasks.
+    MachineCrash {
+        /// Affected machines: those whose number modulo 3 equals this.
+        machine_group: usize,
+        /// Time of the event.
         at: Duration,
     },
-    /// The state service answers everybody so much later.
+    /// All answers of the state service are delayed.
     SlowState {
-        /// By how much.
+        /// Added delay.
         lag: Duration,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// One in so many direct orders is held up for 2 s to 16 s, unanswered, and then
-    /// carried out if token and session still match, whoever sends orders by then.
-    HeldOrders {
-        /// One of so many.
+    /// One in `one_in` direct orders is delayed by 2 s to 16 s without an answer, and then
+    /// executed if token and session still match, even if another controller sends orders
+    /// by then.
+    DelayedOrders {
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Users call off so many jobs that run, at the same moment.
-    CancelNow {
-        /// How many.
+    /// Users cancel several running jobs at the same time.
+    CancelBurst {
+        /// Number of jobs.
         count: usize,
-        /// When.
+        /// Time of the event.
         at: Duration,
     },
-    /// One in so many jobs that end is called off, asked for or submitted once
-    /// more at the moment of its end.
-    AtEnd {
-        /// One of so many.
+    /// One in `one_in` jobs is cancelled, queried or submitted again at the moment it ends.
+    RequestsAtJobEnd {
+        /// One in this many is affected.
         one_in: u32,
-        /// From when.
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// Users repeat submissions, call off what is done, and submit jobs that fit no
+    /// Users repeat submissions, cancel jobs that are done, and submit jobs that fit no
     /// machine or lack a field, each once a second.
-    OddRequests {
-        /// From when.
+    UnusualRequests {
+        /// Start of the fault.
         from: Duration,
-        /// Until when.
+        /// End of the fault.
         until: Duration,
     },
-    /// The cloud takes spot machines, without notice.
-    Taken {
-        /// When.
+    /// The cloud reclaims spot machines without notice.
+    SpotReclaim {
+        /// Time of the event.
         at: Duration,
     },
-    /// A machine fails all its tasks.
-    Sick {
-        /// Its number.
+    /// Every task on one machine fails.
+    FaultyMachine {
+        /// Index of the machine among all workers, ordered by name.
         machine: usize,
-        /// From when.
+        /// Start of the fault, which has no end.
         at: Duration,
     },
 }
 
 impl Fault {
-    /// From when until when it lasts; none if it comes and is over at once.
+    /// Time span of a fault with a duration; `None` for a fault at one point in time and for
+    /// one without an end.
     pub fn span(&self) -> Option<Range<Duration>> {
         match *self {
             Self::CutState { from, until, .. }
-            | Self::Refused { from, until, .. }
-            | Self::Outage { from, until }
+            | Self::StateRefusesNode { from, until, .. }
+            | Self::StateOutage { from, until }
             | Self::CloudOutage { from, until }
             | Self::CutWorkers { from, until, .. }
             | Self::OneWay { from, until, .. }
-            | Self::Frozen { from, until, .. }
-            | Self::Behind { from, until, .. }
-            | Self::Slow { from, until, .. }
+            | Self::ProcessPause { from, until, .. }
+            | Self::ControllerLag { from, until, .. }
+            | Self::SlowController { from, until, .. }
             | Self::LateAnswers { from, until, .. }
-            | Self::Silent { from, until, .. }
+            | Self::SilentConnections { from, until, .. }
             | Self::LostAnswers { from, until, .. }
             | Self::ReportsForNextLeader { from, until, .. }
-            | Self::QuickBoots { from, until }
-            | Self::CloseLooks { from, until }
-            | Self::Copies { from, until, .. }
+            | Self::FastBoots { from, until }
+            | Self::FollowUpRequests { from, until }
+            | Self::DuplicateMessages { from, until, .. }
             | Self::LateWrites { from, until, .. }
             | Self::LateReports { from, until, .. }
-            | Self::Deaf { from, until, .. }
-            | Self::Mute { from, until, .. }
-            | Self::Hang { from, until, .. }
+            | Self::AnswersLost { from, until, .. }
+            | Self::ReportsLost { from, until, .. }
+            | Self::WorkerHang { from, until, .. }
             | Self::CutPeers { from, until, .. }
             | Self::ZoneCut { from, until, .. }
             | Self::SlowState { from, until, .. }
-            | Self::HeldOrders { from, until, .. }
-            | Self::AtEnd { from, until, .. }
-            | Self::OddRequests { from, until, .. }
-            | Self::PeersRefuse { from, until } => Some(from..until),
+            | Self::DelayedOrders { from, until, .. }
+            | Self::RequestsAtJobEnd { from, until, .. }
+            | Self::UnusualRequests { from, until, .. }
+            | Self::PeersUnreachable { from, until } => Some(from..until),
             Self::Crash { .. }
-            | Self::Ends { .. }
-            | Self::Taken { .. }
-            | Self::Sick { .. }
-            | Self::CancelNow { .. }
-            | Self::Dies { .. }
-            | Self::Roll { .. }
-            | Self::Gone { .. }
+            | Self::Restart { .. }
+            | Self::SpotReclaim { .. }
+            | Self::FaultyMachine { .. }
+            | Self::CancelBurst { .. }
+            | Self::MachineCrash { .. }
+            | Self::RollingUpgrade { .. }
+            | Self::PermanentLoss { .. }
             | Self::WriteOff { .. }
-            | Self::Lower { .. } => None,
+            | Self::LowerStateLimits { .. } => None,
         }
     }
 }
 
-/// When the last of a day's troubles is over; a controller that ended is given
-/// the time to come back. What never ends is not counted.
-pub fn over(faults: &[Fault]) -> Duration {
+/// Time at which the last of `faults` has ended, including the restart of killed
+/// controllers and the delivery of delayed messages. Other faults without a
+/// span do not count.
+pub fn last_fault_end(faults: &[Fault]) -> Duration {
     let ends = faults.iter().map(|fault| match *fault {
-        Fault::Crash { at, .. } => at + RESTART,
-        Fault::Ends { at, back, .. } => at + back,
-        Fault::CancelNow { at, .. } | Fault::Taken { at } | Fault::Dies { at, .. } => at,
-        Fault::LateWrites { until, .. } => until + LATEST_WRITE,
-        Fault::LateReports { until, .. } => until + LATEST_REPORT,
-        Fault::HeldOrders { until, .. } => until + LATEST_ORDER,
+        Fault::Crash { at, .. } => at + RESTART_DELAY,
+        Fault::Restart {
+            at, restart_after, ..
+        } => at + restart_after,
+        Fault::CancelBurst { at, .. }
+        | Fault::SpotReclaim { at }
+        | Fault::MachineCrash { at, .. } => at,
+        Fault::LateWrites { until, .. } => until + MAX_WRITE_DELAY,
+        Fault::LateReports { until, .. } => until + MAX_REPORT_DELAY,
+        Fault::DelayedOrders { until, .. } => until + MAX_ORDER_DELAY,
         _ => fault.span().map_or(Duration::ZERO, |span| span.end),
     });
     ends.max().unwrap_or_default()
 }
 
-/// How late a write, and a copy of a report, may come.
-pub const LATEST_WRITE: Duration = Duration::from_secs(12);
-pub const LATEST_REPORT: Duration = Duration::from_secs(20);
-/// How late a held order may come.
-pub const LATEST_ORDER: Duration = Duration::from_secs(16);
+/// Maximum delay of a write under [`Fault::LateWrites`].
+pub const MAX_WRITE_DELAY: Duration = Duration::from_secs(12);
+/// Maximum delay of a copied report under [`Fault::LateReports`].
+pub const MAX_REPORT_DELAY: Duration = Duration::from_secs(20);
+/// Maximum delay of a direct order under [`Fault::DelayedOrders`].
+pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(16);
 
-/// How long a controller takes to come back.
-pub const RESTART: Duration = Duration::from_secs(5);
+/// Time until a killed controller restarts, unless the fault sets another.
+pub const RESTART_DELAY: Duration = Duration::from_secs(5);
 
-/// When all controllers have the present program.
-pub fn new_from(faults: &[Fault], nodes: usize) -> Duration {
+/// Time at which all controllers run the new program; zero without a rolling upgrade.
+pub fn upgrade_complete_at(faults: &[Fault], nodes: usize) -> Duration {
     let rolls = faults.iter().filter_map(|f| match f {
-        Fault::Roll { at, every, .. } => Some(*at + *every * (nodes as u32 - 1) + RESTART),
+        Fault::RollingUpgrade { at, interval, .. } => {
+            Some(*at + *interval * (nodes as u32 - 1) + RESTART_DELAY)
+        }
         _ => None,
     });
     rolls.max().unwrap_or_default()
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,35 +1,36 @@
-//! A world in simulated time for oliveshift's tests.
+//! Deterministic simulation of a deployment for oliveshift's tests.
 //!
-//! Whole controllers run against stand-ins for the state service, the cloud
-//! and the workers that speak the published protocol, under scripted or drawn
-//! faults, while a checker watches for every rule. Everything follows from a
-//! seed, so a failure always comes back.
+//! Complete controllers run in simulated time against simulated state service, cloud
+//! and workers that speak the published protocol. Faults are scripted or drawn from a
+//! seed, and a checker verifies the rules of the protocol. A run depends only on its
+//! seed and parameters, so every failure can be reproduced.
 
-pub mod best;
+pub mod api_client;
 pub mod cloud;
 pub mod contacts;
 pub mod draws;
 pub mod evidence;
 pub mod faults;
-pub mod guest;
 pub mod handover;
 pub mod model;
 pub mod net;
+pub mod parallel;
 pub mod rules;
-pub mod side_by_side;
 pub mod state;
 pub mod tools;
+pub mod upper_bound;
 pub mod worker;
 pub mod world;
 
+pub use api_client::{ApiClient, ApiOperation, ApiRequest};
 pub use draws::{
-    draw, draw_behind, draw_meetings, draw_quick, draw_roll, draw_slow, draw_troubles,
+    draw, draw_combined_faults, draw_incidents, draw_lag, draw_quick_restarts,
+    draw_rolling_upgrade, draw_slow_controllers,
 };
 pub use evidence::Evidence;
-pub use faults::{Fault, Way, over};
-pub use guest::{Guest, GuestAsk, Wish};
+pub use faults::{Direction, Fault, last_fault_end};
 pub use handover::{draw_handovers, draw_links, draw_timing};
-pub use rules::{Broken, Rules};
-pub use side_by_side::side_by_side;
-pub use state::{Done, Limits as StateLimits, State};
-pub use world::{Crowd, Load, Outcome, Size, Timing, World};
+pub use parallel::run_seeds_in_parallel;
+pub use rules::{RuleChecker, RuleViolation};
+pub use state::{Limits as StateLimits, StateResponse, StateService};
+pub use world::{ExtraJobs, Load, Outcome, Size, Timing, World};
--- a/crates/testkit/src/net.rs
+++ b/crates/testkit/src/net.rs
@@ -1,4 +1,4 @@
-//! The sockets of the controllers, as their system counts them.
+//! Simulated sockets of the controllers, as the operating system counts them.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -7,87 +7,90 @@
 
 use oliveshift_core::{CallId, SocketId, sockets::OutboundKind};
 
-/// For how long a connection that a call was made over is kept.
-const KEEP: Duration = Duration::from_secs(20);
+/// Time after which an idle outbound connection is closed.
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What came of connections.
+/// Counts of connections, and of requests by users and probes, over all controllers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
-    /// Most open at a time at one controller.
+pub struct ConnectionCounts {
+    /// Maximum number of sockets open at the same time at one controller.
     pub peak: usize,
-    /// Came in beyond the limit, so that the system refused them.
+    /// Inbound connections refused by the operating system because of the socket limit.
     pub refused: usize,
-    /// Users whose connection was closed while they waited for their answer.
-    pub users_cut: usize,
-    /// The same for the load balancer's probes, which wait a second.
-    pub probes_cut: usize,
-    /// Users who had no answer within the two seconds that they wait, and
-    /// probes answered after their second.
+    /// Connections of users that were closed while the user waited for an answer.
+    pub user_connections_cut: usize,
+    /// Connections of the load balancer's probes that were closed while the probe waited; a
+    /// probe waits one second.
+    pub probe_connections_cut: usize,
+    /// Requests of users without an answer within their timeout of two seconds, and probes
+    /// answered after their timeout of one second.
     pub late: (usize, usize),
     /// Requests of users and probes.
-    pub asked: usize,
+    pub requests: usize,
 }
 
-/// The sockets of one life of a controller.
+/// Sockets of one controller process.
 #[derive(Debug, Default)]
 pub struct Sockets {
-    came: BTreeSet<SocketId>,
+    inbound: BTreeSet<SocketId>,
     calls: HashMap<CallId, (OutboundKind, String)>,
-    /// Connections without a use: since when, by address.
-    kept: BTreeMap<String, Duration>,
+    /// Idle outbound connections: the time since when they are idle, by address.
+    idle: BTreeMap<String, Duration>,
 }
 
 impl Sockets {
-    /// How many are open.
-    pub fn open(&self) -> usize {
-        self.came.len() + self.calls.len() + self.kept.len()
+    /// Number of open sockets.
+    pub fn open_count(&self) -> usize {
+        self.inbound.len() + self.calls.len() + self.idle.len()
     }
 
-    /// One came in.
-    pub fn opens(&mut self, id: SocketId) {
-        self.came.insert(id);
+    /// Records an inbound connection.
+    pub fn connection_opened(&mut self, id: SocketId) {
+        self.inbound.insert(id);
     }
 
-    /// Whether it is open.
+    /// Whether an inbound connection is open.
     pub fn is_open(&self, id: SocketId) -> bool {
-        self.came.contains(&id)
+        self.inbound.contains(&id)
     }
 
-    /// One that came in has ended; false if it had already.
-    pub fn ends(&mut self, id: SocketId) -> bool {
-        self.came.remove(&id)
+    /// Records the end of an inbound connection; false if it is not open.
+    pub fn connection_closed(&mut self, id: SocketId) -> bool {
+        self.inbound.remove(&id)
     }
 
-    /// The controller makes a call.
-    pub fn calls(&mut self, id: CallId, lane: OutboundKind, address: &str) {
-        self.kept.remove(address);
-        self.calls.insert(id, (lane, address.to_owned()));
+    /// Records an outbound call, which uses an idle connection to the address if there is one.
+    pub fn call_started(&mut self, id: CallId, kind: OutboundKind, address: &str) {
+        self.idle.remove(address);
+        self.calls.insert(id, (kind, address.to_owned()));
     }
 
-    /// A call is over; its connection is kept if it got an answer. Only those
-    /// to workers are many enough to be counted.
-    pub fn called(&mut self, now: Duration, id: CallId, answered: bool) {
+    /// Records the end of a call. An answered call leaves its connection idle. Idle
+    /// connections are counted only for workers; those to other peers are few.
+    pub fn call_finished(&mut self, now: Duration, id: CallId, answered: bool) {
         if let Some((OutboundKind::Orders, address)) = self.calls.remove(&id)
             && answered
         {
-            self.kept.insert(address, now);
+            self.idle.insert(address, now);
         }
     }
 
-    /// Closes the longest unused.
-    pub fn close_kept(&mut self, count: usize) {
-        let mut oldest: Vec<_> = self.kept.iter().map(|(a, at)| (*at, a.clone())).collect();
+    /// Closes the `count` connections that have been idle longest.
+    pub fn close_idle(&mut self, count: usize) {
+        let mut oldest: Vec<_> = self.idle.iter().map(|(a, at)| (*at, a.clone())).collect();
         oldest.sort();
         for (_, address) in oldest.into_iter().take(count) {
-            self.kept.remove(&address);
+            self.idle.remove(&address);
         }
     }
 
-    /// Closes what has had no use for long; how many are kept, by lane.
-    pub fn kept(&mut self, now: Duration) -> [usize; 3] {
-        self.kept.retain(|_, at| now < *at + KEEP);
-        let mut kept = [0; 3];
-        kept[OutboundKind::Orders as usize] = self.kept.len();
-        kept
+    /// Closes connections idle for longer than the timeout; returns the number of idle
+    /// connections by [`OutboundKind`].
+    pub fn idle_counts(&mut self, now: Duration) -> [usize; 3] {
+        self.idle
+            .retain(|_, at| now < *at + IDLE_CONNECTION_TIMEOUT);
+        let mut idle = [0; 3];
+        idle[OutboundKind::Orders as usize] = self.idle.len();
+        idle
     }
 }
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -1,4 +1,4 @@
-//! The protocol's rules, watched from outside.
+//! Checks the rules of the protocol from outside, by what users and machines observe.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,96 +10,99 @@
     job::{JobPhase, JobSpec, Shape},
 };
 
-/// A broken rule.
+/// A rule of the protocol that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Broken {
-    /// A task started on one machine while it was on another.
+pub enum RuleViolation {
+    /// A task started on one machine while it was still on another.
     RanTwice,
-    /// A team used more than its limit.
+    /// A team used more processors than its limit.
     Quota,
-    /// A task started where its job does not allow.
+    /// A task started on a machine type, in a zone or on a spot machine that its job does
+    /// not allow.
     WrongPlace,
-    /// A cancelled job's task was on a machine too late.
+    /// A task of a cancelled job was on a machine after the cancellation time.
     RanCancelled,
-    /// An accepted job was denied.
+    /// An accepted job was reported as nonexistent or impossible.
     Forgotten,
-    /// A job that nobody submitted was shown.
+    /// A job that was never submitted was reported, or awaited by an accepted job.
     Invented,
-    /// A job was called done before its tasks were.
+    /// A job was reported done before all its tasks were, or is a service.
     NotDone,
-    /// A final phase was taken back.
+    /// A job left a final phase, or was cancelled without a request.
     WentBack,
     /// A task started before all jobs that its job awaits were done.
     TooEarly,
-    /// A job was called open although one before it had been cancelled for
-    /// long.
+    /// A job was reported open although a job that it depends on, or itself, had been
+    /// reported cancelled for longer than the cancellation time.
     Orphaned,
-    /// A job was accepted that can't run or lacks a field, or was refused with
-    /// another status than that calls for.
+    /// A job that cannot run or lacks a field was accepted, or rejected with the wrong
+    /// status.
     Unfit,
-    /// A controller has found an invariant of its own violated.
+    /// A controller detected a violation of its own invariants.
     Invariant,
-    /// A job was left waiting though a machine that fits had room and its team was
-    /// under its limit, with no trouble left.
+    /// A job kept waiting after the last fault although a suitable machine had free capacity
+    /// and the team was below its limit.
     LeftWaiting,
 }
 
-/// A machine as the rules see it.
+/// Properties of a machine that the rules depend on.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Its type.
+    /// Name of the machine type.
     pub kind: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine; otherwise it is on-demand.
     pub spot: bool,
 }
 
-/// Watches what happens and notes what must not.
+/// Follows the events of a run and records violations of the rules.
 #[derive(Debug, Default)]
-pub struct Rules {
-    /// All jobs ever submitted.
+pub struct RuleChecker {
+    /// All submitted jobs.
     pub jobs: BTreeMap<JobId, JobSpec>,
-    /// Most processors of each team.
+    /// Maximum processors of each team.
     pub limits: BTreeMap<String, f64>,
-    /// Time until a cancelled job's tasks have to be gone.
+    /// Time within which the tasks of a cancelled job must have left their machines.
     pub cancel: Duration,
     /// Completed tasks.
     pub done: BTreeSet<TaskId>,
-    /// What was broken, and when.
-    pub broken: Vec<(Duration, Broken, String)>,
-    /// Tasks that ended with their machine or with the lease of their worker.
+    /// Violations with their times and descriptions.
+    pub violations: Vec<(Duration, RuleViolation, String)>,
+    /// Number of tasks lost with their machine or with the lease of their worker.
     pub lost: usize,
-    /// Tasks started.
+    /// Number of task starts.
     pub started: u64,
-    /// Which, and when.
+    /// Started tasks with their start times.
     pub starts: Vec<(Duration, TaskId)>,
-    /// How many of them after their user was told that the job is cancelled.
+    /// Number of starts after a user was told that the job is cancelled.
     pub late_starts: usize,
-    /// When tasks started on machines that had just come up.
-    pub starts_on_new: Vec<Duration>,
-    /// When each task that is done was.
+    /// Start times of tasks on machines that had just booted.
+    pub starts_on_new_machines: Vec<Duration>,
+    /// Completed tasks with their completion times.
     pub ends: Vec<(Duration, TaskId)>,
-    /// When a team was within one task of its limit.
+    /// Times at which a start left a team without room for another task of that size.
     pub at_limit: Vec<(Duration, String)>,
-    /// When the last task of each job that is done was.
+    /// Completion time of the last task of each completed job.
     pub ended: BTreeMap<JobId, Duration>,
-    /// How many tasks of each job are done.
-    done_of: BTreeMap<JobId, u32>,
-    on: BTreeMap<TaskId, BTreeMap<String, Site>>,
-    /// Accepted jobs, and when their users first heard so.
+    /// Number of completed tasks of each job.
+    done_counts: BTreeMap<JobId, u32>,
+    /// Machines that each task is on.
+    placements: BTreeMap<TaskId, BTreeMap<String, Site>>,
+    /// Accepted jobs, and the time at which a user first learned of it.
     accepted: BTreeMap<JobId, Duration>,
-    /// What was told of each job last, and when.
-    told: BTreeMap<JobId, (Duration, JobPhase)>,
-    /// Jobs that their users asked to cancel.
-    pub asked_to_cancel: BTreeSet<JobId>,
+    /// Last phase reported for each job, and its time.
+    last_reported: BTreeMap<JobId, (Duration, JobPhase)>,
+    /// Jobs that their users requested to cancel.
+    pub cancel_requests: BTreeSet<JobId>,
+    /// Cancelled jobs whose tasks are still checked, and the time of the first report.
     cancelled: BTreeMap<JobId, Duration>,
-    /// When each user was first told that a job is cancelled.
-    told_cancelled: BTreeMap<JobId, Duration>,
+    /// Time at which each job was first reported as cancelled.
+    reported_cancelled_at: BTreeMap<JobId, Duration>,
 }
 
-impl Rules {
-    /// Rules for teams with these limits.
+impl RuleChecker {
+    /// Creates a checker for the given limits of teams and cancellation time.
     pub fn new(limits: BTreeMap<String, f64>, cancel: Duration) -> Self {
         Self {
             limits,
@@ -108,61 +111,79 @@
         }
     }
 
-    fn broke(&mut self, now: Duration, rule: Broken, what: String) {
-        self.broken.push((now, rule, what));
+    fn record_violation(&mut self, now: Duration, rule: RuleViolation, what: String) {
+        self.violations.push((now, rule, what));
     }
 
-    /// A task has its image on a machine.
-    pub fn start(&mut self, now: Duration, task: &TaskId, machine: &str, site: &Site) {
+    /// Records that a task starts running on a machine, and checks all rules on starts.
+    pub fn task_started(&mut self, now: Duration, task: &TaskId, machine: &str, site: &Site) {
         self.started += 1;
         self.starts.push((now, task.clone()));
-        self.late_starts += usize::from(self.told_cancelled.contains_key(&task.job));
+        self.late_starts += usize::from(self.reported_cancelled_at.contains_key(&task.job));
         let Some(spec) = self.jobs.get(&task.job).cloned() else {
             return;
         };
-        let elsewhere = self.on.get(task).is_some_and(|m| !m.is_empty());
+        let elsewhere = self.placements.get(task).is_some_and(|m| !m.is_empty());
         if elsewhere {
-            let where_ = format!("{task} on {machine} and {:?}", self.on[task].keys());
-            self.broke(now, Broken::RanTwice, where_);
+            let machines = format!("{task} on {machine} and {:?}", self.placements[task].keys());
+            self.record_violation(now, RuleViolation::RanTwice, machines);
         }
-        let on = self.on.entry(task.clone()).or_default();
+        let on = self.placements.entry(task.clone()).or_default();
         on.insert(machine.to_owned(), site.clone());
         if !spec.allows_type(&site.kind)
             || !spec.allows_zone(&site.zone)
             || (site.spot && !spec.spot)
         {
-            self.broke(now, Broken::WrongPlace, format!("{task} on {machine}"));
+            self.record_violation(
+                now,
+                RuleViolation::WrongPlace,
+                format!("{task} on {machine}"),
+            );
         }
         let early = spec.awaits.iter().find(|id| !self.is_done(id));
         if let Some(awaited) = early.cloned() {
-            self.broke(now, Broken::TooEarly, format!("{task} before {awaited}"));
+            self.record_violation(
+                now,
+                RuleViolation::TooEarly,
+                format!("{task} before {awaited}"),
+            );
         }
-        let zones = self.in_zones(&task.job);
-        if zones.values().any(|n| *n > spec.zone_cap()) || (spec.one_zone && zones.len() > 1) {
-            self.broke(now, Broken::WrongPlace, format!("{task}: zones {zones:?}"));
+        let zones = self.tasks_by_zone(&task.job);
+        if zones.values().any(|n| *n > spec.max_tasks_per_zone())
+            || (spec.one_zone && zones.len() > 1)
+        {
+            self.record_violation(
+                now,
+                RuleViolation::WrongPlace,
+                format!("{task}: zones {zones:?}"),
+            );
         }
-        let used = self.used(&spec.team);
+        let used = self.cpus_used(&spec.team);
         let limit = self.limits.get(&spec.team).copied().unwrap_or(0.0);
         if limit > 0.0 && used > limit + 1e-6 {
-            self.broke(now, Broken::Quota, format!("{} uses {used}", spec.team));
+            self.record_violation(
+                now,
+                RuleViolation::Quota,
+                format!("{} uses {used}", spec.team),
+            );
         }
         if limit > 0.0 && used + spec.cpus > limit {
             self.at_limit.push((now, spec.team.clone()));
         }
-        self.watch_cancelled(now);
+        self.check_cancelled_jobs(now);
     }
 
-    /// The processors that a team's tasks take.
-    pub fn used(&self, team: &str) -> f64 {
-        let on = self.on.iter().filter(|(_, m)| !m.is_empty());
+    /// Number of processors used by a team's tasks.
+    pub fn cpus_used(&self, team: &str) -> f64 {
+        let on = self.placements.iter().filter(|(_, m)| !m.is_empty());
         let specs = on.filter_map(|(t, _)| self.jobs.get(&t.job));
         specs.filter(|s| s.team == team).map(|s| s.cpus).sum()
     }
 
-    /// How many tasks of a job are on machines, by zone.
-    pub fn in_zones(&self, job: &JobId) -> BTreeMap<String, u32> {
+    /// Number of tasks of a job that are on machines, by zone.
+    pub fn tasks_by_zone(&self, job: &JobId) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
-        for (_, machines) in self.on.range(job.task(0)..=job.task(u32::MAX)) {
+        for (_, machines) in self.placements.range(job.task(0)..=job.task(u32::MAX)) {
             if let Some(site) = machines.values().next() {
                 *zones.entry(site.zone.clone()).or_default() += 1;
             }
@@ -170,36 +191,41 @@
         zones
     }
 
-    /// How many tasks of a job are done.
-    pub fn done_of(&self, job: &JobId) -> u32 {
-        self.done_of.get(job).copied().unwrap_or(0)
+    /// Number of completed tasks of a job.
+    pub fn done_tasks(&self, job: &JobId) -> u32 {
+        self.done_counts.get(job).copied().unwrap_or(0)
     }
 
-    /// Whether a job was accepted, runs until it is done and was not called off.
-    pub fn is_to_run(&self, job: &JobId) -> bool {
-        let called_off = !self.with_needed(job).is_disjoint(&self.asked_to_cancel);
+    /// Whether a job was accepted, all jobs that it awaits are done, and neither it nor a job
+    /// that it depends on was requested to cancel.
+    pub fn is_runnable(&self, job: &JobId) -> bool {
+        let cancel_requested = !self
+            .with_dependencies(job)
+            .is_disjoint(&self.cancel_requests);
         let ready = |spec: &JobSpec| spec.awaits.iter().all(|id| self.is_done(id));
-        self.accepted.contains_key(job) && !called_off && self.jobs.get(job).is_some_and(ready)
+        self.accepted.contains_key(job)
+            && !cancel_requested
+            && self.jobs.get(job).is_some_and(ready)
     }
 
-    /// Whether a user has been told of the job's end.
-    pub fn is_over(&self, job: &JobId) -> bool {
-        let told = self.told.get(job).map(|(_, phase)| *phase);
+    /// Whether the last report to a user shows the job as done or cancelled.
+    pub fn is_ended(&self, job: &JobId) -> bool {
+        let told = self.last_reported.get(job).map(|(_, phase)| *phase);
         matches!(told, Some(JobPhase::Done | JobPhase::Cancelled))
     }
 
-    /// Notes what somebody else who watches has found.
-    pub fn found(&mut self, now: Duration, rule: Broken, what: String) {
-        self.broke(now, rule, what);
+    /// Records a violation found by another check.
+    pub fn report(&mut self, now: Duration, rule: RuleViolation, what: String) {
+        self.record_violation(now, rule, what);
     }
 
-    /// A task has completed.
-    pub fn completes(&mut self, now: Duration, task: &TaskId) {
+    /// Records that a task has completed; repeated completions are ignored.
+    pub fn task_completed(&mut self, now: Duration, task: &TaskId) {
         if !self.done.insert(task.clone()) {
             return;
         }
         self.ends.push((now, task.clone()));
-        let count = self.done_of.entry(task.job.clone()).or_default();
+        let count = self.done_counts.entry(task.job.clone()).or_default();
         *count += 1;
         if self.jobs.get(&task.job).is_some_and(|j| j.tasks == *count) {
             self.ended.insert(task.job.clone(), now);
@@ -212,8 +238,8 @@
         self.jobs.get(job).is_some_and(all)
     }
 
-    /// All jobs that a job needs, directly or through others, and itself.
-    fn with_needed(&self, job: &JobId) -> BTreeSet<JobId> {
+    /// The job itself and all jobs that it depends on, directly or indirectly.
+    fn with_dependencies(&self, job: &JobId) -> BTreeSet<JobId> {
         let mut all = BTreeSet::new();
         let mut next = vec![job.clone()];
         while let Some(id) = next.pop() {
@@ -225,21 +251,24 @@
         all
     }
 
-    /// A task has left a machine.
-    pub fn leaves(&mut self, task: &TaskId, machine: &str) {
-        if let Some(on) = self.on.get_mut(task) {
+    /// Records that a task has left a machine.
+    pub fn task_left(&mut self, task: &TaskId, machine: &str) {
+        if let Some(on) = self.placements.get_mut(task) {
             on.remove(machine);
             if on.is_empty() {
-                self.on.remove(task);
+                self.placements.remove(task);
             }
         }
     }
 
-    /// Looks for tasks of cancelled jobs; called often.
-    pub fn watch_cancelled(&mut self, now: Duration) {
+    /// Checks for tasks of cancelled jobs that are still on machines; called at every step.
+    pub fn check_cancelled_jobs(&mut self, now: Duration) {
         let mut late = Vec::new();
         for (job, at) in &self.cancelled {
-            let on = self.on.range(job.task(0)..=job.task(u32::MAX)).next();
+            let on = self
+                .placements
+                .range(job.task(0)..=job.task(u32::MAX))
+                .next();
             if let Some((task, _)) = on
                 && now > *at + self.cancel
             {
@@ -248,79 +277,96 @@
         }
         for (job, task) in late {
             self.cancelled.remove(&job);
-            self.broke(now, Broken::RanCancelled, task.to_string());
+            self.record_violation(now, RuleViolation::RanCancelled, task.to_string());
         }
     }
 
-    /// A user asks to cancel.
-    pub fn asks_to_cancel(&mut self, job: &JobId) {
-        self.asked_to_cancel.insert(job.clone());
+    /// Records that a user requests to cancel a job.
+    pub fn cancel_requested(&mut self, job: &JobId) {
+        self.cancel_requests.insert(job.clone());
     }
 
-    /// A user, who asked at some time, has been told of a job's phase.
-    pub fn told(&mut self, now: Duration, asked: Duration, job: &JobId, phase: JobPhase) {
+    /// Records the phase of a job that a user is told in answer to a request sent at `asked`.
+    pub fn phase_reported(&mut self, now: Duration, asked: Duration, job: &JobId, phase: JobPhase) {
         let Some(spec) = self.jobs.get(job).cloned() else {
-            return self.broke(now, Broken::Invented, job.to_string());
+            return self.record_violation(now, RuleViolation::Invented, job.to_string());
         };
         if !self.accepted.contains_key(job) {
             self.accepted.insert(job.clone(), now);
             let unknown = spec.awaits.iter().find(|id| !self.jobs.contains_key(*id));
             if let Some(unknown) = unknown {
-                self.broke(now, Broken::Invented, format!("{job} awaits {unknown}"));
+                self.record_violation(
+                    now,
+                    RuleViolation::Invented,
+                    format!("{job} awaits {unknown}"),
+                );
             }
         }
         let is_final = |p| matches!(p, JobPhase::Done | JobPhase::Cancelled);
-        let before = self.told.get(job).copied().filter(|(_, b)| is_final(*b));
+        let before = self
+            .last_reported
+            .get(job)
+            .copied()
+            .filter(|(_, b)| is_final(*b));
         if let Some((at, before)) = before
             && before != phase
         {
             if asked < at && !is_final(phase) {
-                // Two answers on their way at once may overtake each other.
+                // Answers to concurrent requests may arrive out of order.
                 return;
             }
-            self.broke(
+            self.record_violation(
                 now,
-                Broken::WentBack,
+                RuleViolation::WentBack,
                 format!("{job}: {before:?}, {phase:?}"),
             );
         }
-        self.told.insert(job.clone(), (now, phase));
+        self.last_reported.insert(job.clone(), (now, phase));
         match phase {
             JobPhase::Done => {
                 if !self.is_done(job) || spec.shape == Shape::Service {
-                    self.broke(now, Broken::NotDone, job.to_string());
+                    self.record_violation(now, RuleViolation::NotDone, job.to_string());
                 }
             }
             JobPhase::Cancelled => {
-                if self.with_needed(job).is_disjoint(&self.asked_to_cancel) {
-                    self.broke(now, Broken::WentBack, format!("{job}: not its user's wish"));
+                if self
+                    .with_dependencies(job)
+                    .is_disjoint(&self.cancel_requests)
+                {
+                    self.record_violation(
+                        now,
+                        RuleViolation::WentBack,
+                        format!("{job}: cancelled without a request"),
+                    );
                 }
                 self.cancelled.entry(job.clone()).or_insert(now);
-                self.told_cancelled.entry(job.clone()).or_insert(now);
+                self.reported_cancelled_at.entry(job.clone()).or_insert(now);
             }
             JobPhase::Pending | JobPhase::Running => {
-                let needed = self.with_needed(job);
+                let needed = self.with_dependencies(job);
                 let long = |at: &Duration| now > *at + self.cancel;
-                let told = needed.iter().filter_map(|id| self.told_cancelled.get(id));
+                let told = needed
+                    .iter()
+                    .filter_map(|id| self.reported_cancelled_at.get(id));
                 if told.into_iter().any(long) {
-                    self.broke(now, Broken::Orphaned, job.to_string());
+                    self.record_violation(now, RuleViolation::Orphaned, job.to_string());
                 }
             }
         }
     }
 
-    /// A user, who asked at some time, has been told that there is no such job, or
-    /// that it can't be.
-    pub fn denied(&mut self, now: Duration, asked: Duration, job: &JobId) {
-        // Whoever asked before the acceptance was heard may hear the older answer.
+    /// Records that a user is told, in answer to a request sent at `asked`, that a job does
+    /// not exist or is not possible.
+    pub fn job_denied(&mut self, now: Duration, asked: Duration, job: &JobId) {
+        // A request sent before the user learned of the acceptance may get an older answer.
         if self.accepted.get(job).is_some_and(|at| *at <= asked) {
-            self.broke(now, Broken::Forgotten, job.to_string());
+            self.record_violation(now, RuleViolation::Forgotten, job.to_string());
         }
     }
 
-    /// Accepted jobs whose users have not been told of an end.
-    pub fn open(&self) -> Vec<JobId> {
-        let ended = |j: &&JobId| !self.is_over(j);
+    /// Accepted jobs, except services, that were not reported done or cancelled.
+    pub fn open_jobs(&self) -> Vec<JobId> {
+        let ended = |j: &&JobId| !self.is_ended(j);
         let arrays = |j: &&JobId| self.jobs[*j].shape != Shape::Service;
         self.accepted
             .keys()
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service.
+//! Simulated state service.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,7 +10,8 @@
     decode, encode,
     job::Refusal,
     state::{
-        Change, Event, Events, Item, LeaseGrant, MAX_TXN, NewLease, Page, Txn, TxnAnswer, json_len,
+        Change, Event, Events, Item, LeaseGrant, LeaseRequest, MAX_TXN_BYTES, Page, Txn, TxnAnswer,
+        json_len,
     },
 };
 use rmpv::Value;
@@ -21,58 +22,58 @@
     lease: Option<u64>,
 }
 
-struct Hold {
-    life: Duration,
-    ends: Duration,
+struct LeaseEntry {
+    ttl: Duration,
+    expires_at: Duration,
 }
 
-/// The store, its log and its leases.
+/// Keys and values, the log of changes, and leases.
 #[derive(Default)]
-pub struct State {
+pub struct StateService {
     revision: u64,
     keys: BTreeMap<String, Entry>,
     log: Vec<(u64, Event)>,
-    /// How many of the newest changes are kept; none: all of them.
-    keeps: Option<usize>,
-    holds: BTreeMap<u64, Hold>,
-    next_hold: u64,
+    /// Number of newest changes that are retained; `None` for all.
+    max_log_events: Option<usize>,
+    leases: BTreeMap<u64, LeaseEntry>,
+    next_lease_id: u64,
     limits: Limits,
-    /// Changes that may be made now.
+    /// Changes permitted now, as tokens of a bucket filled at `write_rps`.
     tokens: f64,
-    tokens_at: Duration,
-    /// Transactions refused for their size, and for coming too fast.
+    tokens_updated_at: Duration,
+    /// Number of transactions rejected for their size, and for exceeding the rate.
     pub refused: (usize, usize),
-    /// Requests for changes that were no longer kept.
+    /// Number of requests for changes that were no longer retained.
     pub too_old: usize,
 }
 
-/// What the store takes.
+/// Limits on transactions.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Limits {
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// Largest value, in bytes of its JSON form.
+    /// Maximum size of a value, in bytes of its JSON form.
     pub value_bytes: usize,
-    /// Changes a second; a second's worth may come at once.
+    /// Maximum rate of changes per second, with a burst of up to one second's worth.
     pub write_rps: f64,
 }
 
-/// What a request leads to.
-pub enum Done {
-    /// An answer.
+/// Result of a request.
+pub enum StateResponse {
+    /// An answer with status and body.
     Answer(u16, Vec<u8>),
-    /// A watch that waits for news.
+    /// A watch that waits for changes.
     Wait {
-        /// Changes after this revision.
+        /// The watch waits for changes after this revision.
         after: u64,
-        /// For how long.
+        /// Maximum time to wait.
         block: Duration,
     },
 }
 
-fn error(status: u16, text: &str) -> Done {
+fn error(status: u16, text: &str) -> StateResponse {
     let body = encode(&Refusal { error: text.into() });
-    Done::Answer(status, body)
+    StateResponse::Answer(status, body)
 }
 
 fn query<'a>(path: &'a str, name: &str) -> Option<&'a str> {
@@ -82,8 +83,8 @@
         .find_map(|p| p.strip_prefix(name)?.strip_prefix('='))
 }
 
-impl State {
-    /// An empty store.
+impl StateService {
+    /// Creates an empty state service.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -92,19 +93,19 @@
         }
     }
 
-    /// Other limits hold from now on. What is stored stays.
-    pub fn limit(&mut self, limits: Limits) {
+    /// Sets new limits. Stored values that exceed them stay.
+    pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Only so many of the newest changes are kept from now on: whoever asks for
-    /// older ones has to read all keys again.
-    pub fn keep_changes(&mut self, most: usize) {
-        self.keeps = Some(most);
+    /// Limits the log to the newest `most` changes. A client that requests older ones has to
+    /// read all keys again.
+    pub fn retain_changes(&mut self, most: usize) {
+        self.max_log_events = Some(most);
     }
 
     /// Executes a request.
-    pub fn execute(&mut self, now: Duration, call: &Call) -> Done {
+    pub fn execute(&mut self, now: Duration, call: &Call) -> StateResponse {
         let path = call.path.split('?').next().unwrap_or_default();
         let parts: Vec<_> = path.trim_start_matches('/').split('/').collect();
         match (call.method, parts.as_slice()) {
@@ -112,22 +113,23 @@
                 Ok(txn) => self.txn(now, txn),
                 Err(e) => error(400, &e.to_string()),
             },
-            (Method::Post, ["holds"]) => match decode::<NewLease>(&call.body) {
-                Ok(wish) => {
-                    self.next_hold += 1;
-                    let life = Duration::from_millis(wish.ttl_ms);
-                    let ends = now + life;
-                    self.holds.insert(self.next_hold, Hold { life, ends });
-                    let lease = self.next_hold;
-                    Done::Answer(200, encode(&LeaseGrant { lease }))
+            (Method::Post, ["holds"]) => match decode::<LeaseRequest>(&call.body) {
+                Ok(new_lease) => {
+                    self.next_lease_id += 1;
+                    let ttl = Duration::from_millis(new_lease.ttl_ms);
+                    let expires_at = now + ttl;
+                    self.leases
+                        .insert(self.next_lease_id, LeaseEntry { ttl, expires_at });
+                    let lease = self.next_lease_id;
+                    StateResponse::Answer(200, encode(&LeaseGrant { lease }))
                 }
                 Err(e) => error(400, &e.to_string()),
             },
             (Method::Post, ["holds", id, "touch"]) => {
-                let hold = id.parse().ok().and_then(|id: u64| self.holds.get_mut(&id));
-                match hold {
-                    Some(hold) => {
-                        hold.ends = now + hold.life;
+                let lease = id.parse().ok().and_then(|id: u64| self.leases.get_mut(&id));
+                match lease {
+                    Some(lease) => {
+                        lease.expires_at = now + lease.ttl;
                         error(200, "")
                     }
                     None => error(404, "no such lease"),
@@ -140,17 +142,17 @@
                 let after = after.unwrap_or(0);
                 if block.is_none() || self.revision > after {
                     let (status, body) = self.changes(after);
-                    Done::Answer(status, body)
+                    StateResponse::Answer(status, body)
                 } else {
                     let block = Duration::from_millis(block.unwrap_or(0));
-                    Done::Wait { after, block }
+                    StateResponse::Wait { after, block }
                 }
             }
             _ => error(404, "no such path"),
         }
     }
 
-    fn page(&self, path: &str) -> Done {
+    fn page(&self, path: &str) -> StateResponse {
         let starts = query(path, "starts").unwrap_or_default();
         let after = query(path, "after").unwrap_or_default();
         // Small pages, so that first reads need several.
@@ -169,12 +171,13 @@
             more,
             revision: self.revision,
         };
-        Done::Answer(200, encode(&page))
+        StateResponse::Answer(200, encode(&page))
     }
 
-    /// The answer to whoever asks for all changes after a revision.
+    /// Status and body of the answer with all changes after a revision; 410 if some of them
+    /// are no longer retained.
     pub fn changes(&mut self, after: u64) -> (u16, Vec<u8>) {
-        let most = self.keeps.unwrap_or(usize::MAX);
+        let most = self.max_log_events.unwrap_or(usize::MAX);
         let dropped = self.log.len().saturating_sub(most);
         if dropped > 0 && self.log[dropped - 1].0 > after {
             self.too_old += 1;
@@ -189,19 +192,19 @@
         (200, encode(&events))
     }
 
-    /// A key's version and value.
+    /// Version and value of a key.
     pub fn entry(&self, key: &str) -> Option<(u64, &Value)> {
         let entry = self.keys.get(key);
         entry.map(|e| (e.version, &e.value))
     }
 
-    /// The revision of the last change.
+    /// Revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether a transaction keeps to the sizes allowed.
-    fn takes(&self, txn: &Txn) -> bool {
+    /// Whether a transaction is within the size limits.
+    fn is_within_limits(&self, txn: &Txn) -> bool {
         let small = |change: &Change| match change {
             Change::Put { value, .. } => json_len(value) <= self.limits.value_bytes,
             Change::Delete { .. } => true,
@@ -209,15 +212,15 @@
         txn.changes.len() <= self.limits.txn_ops
             && txn.conds.len() <= 4 * self.limits.txn_ops
             && txn.changes.iter().all(small)
-            && json_len(txn) <= MAX_TXN
+            && json_len(txn) <= MAX_TXN_BYTES
     }
 
-    /// Whether so many changes may be made now.
+    /// Takes tokens for a number of changes; false if the rate limit does not permit them.
     fn take_tokens(&mut self, now: Duration, changes: f64) -> bool {
         let rate = self.limits.write_rps;
-        let passed = now.saturating_sub(self.tokens_at).as_secs_f64();
+        let passed = now.saturating_sub(self.tokens_updated_at).as_secs_f64();
         self.tokens = (self.tokens + passed * rate).min(rate);
-        self.tokens_at = now;
+        self.tokens_updated_at = now;
         let enough = self.tokens >= changes;
         if enough {
             self.tokens -= changes;
@@ -225,18 +228,21 @@
         enough
     }
 
-    fn txn(&mut self, now: Duration, txn: Txn) -> Done {
-        if !self.takes(&txn) {
+    fn txn(&mut self, now: Duration, txn: Txn) -> StateResponse {
+        if !self.is_within_limits(&txn) {
             self.refused.0 += 1;
-            return error(400, "too large");
+            return error(
+                400,
+                "transaction too large: too many operations or a value or body beyond its limit",
+            );
         }
         if !self.take_tokens(now, txn.changes.len() as f64) {
             self.refused.1 += 1;
-            return error(429, "too many changes");
+            return error(429, "too many changes per second");
         }
         for change in &txn.changes {
             if let Change::Put { lease: Some(l), .. } = change
-                && !self.holds.contains_key(l)
+                && !self.leases.contains_key(l)
             {
                 return error(400, "no such lease");
             }
@@ -250,7 +256,7 @@
             .collect();
         if !failed.is_empty() {
             let revision = self.revision;
-            return Done::Answer(409, encode(&TxnAnswer { revision, failed }));
+            return StateResponse::Answer(409, encode(&TxnAnswer { revision, failed }));
         }
         if !txn.changes.is_empty() {
             self.revision += 1;
@@ -262,7 +268,7 @@
             revision: self.revision,
             failed: Vec::new(),
         };
-        Done::Answer(200, encode(&answer))
+        StateResponse::Answer(200, encode(&answer))
     }
 
     fn change(&mut self, change: Change) {
@@ -291,18 +297,18 @@
         self.log.push((version, event));
     }
 
-    /// Ends leases that were not renewed in time.
-    pub fn pass(&mut self, now: Duration) {
+    /// Expires leases that were not renewed in time, and deletes the keys attached to them.
+    pub fn expire_leases(&mut self, now: Duration) {
         let over: BTreeSet<_> = self
-            .holds
+            .leases
             .iter()
-            .filter(|(_, h)| h.ends < now)
+            .filter(|(_, h)| h.expires_at < now)
             .map(|(id, _)| *id)
             .collect();
         if over.is_empty() {
             return;
         }
-        self.holds.retain(|id, _| !over.contains(id));
+        self.leases.retain(|id, _| !over.contains(id));
         let attached = |e: &Entry| e.lease.is_some_and(|l| over.contains(&l));
         let keys: Vec<_> = self
             .keys
@@ -316,10 +322,10 @@
         }
     }
 
-    /// After an outage every lease has its full time again.
+    /// Renews all leases for their full time; called at the end of an outage.
     pub fn refresh_leases(&mut self, now: Duration) {
-        for hold in self.holds.values_mut() {
-            hold.ends = now + hold.life;
+        for lease in self.leases.values_mut() {
+            lease.expires_at = now + lease.ttl;
         }
     }
 }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a machine's worker.
+//! Simulated worker of a machine.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,57 +6,57 @@
     TaskId,
     cloud::MachineType,
     job::Shape,
-    worker::{DirectOrders, Order, Report, ReportAnswer, TaskReport, TaskState, Why},
+    worker::{DirectOrders, EndCause, Order, Report, ReportAnswer, TaskReport, TaskState},
 };
 
 use crate::{
     contacts::{ContactHistory, ReportOutcome},
-    rules::{Rules, Site},
+    rules::{RuleChecker, Site},
 };
 
-/// For so long a machine counts as new.
-const NEW: Duration = Duration::from_secs(5);
+/// Time after its start for which a machine counts as new.
+const NEW_MACHINE_AGE: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
     Fetching(Duration),
     Running(Option<Duration>),
     Saving(Duration),
-    Exited(Why),
+    Exited(EndCause),
 }
 
-/// One worker.
+/// A worker and the tasks on its machine.
 #[derive(Debug)]
 pub struct Worker {
-    /// The machine's name, which serves as its address too.
+    /// Name of the machine, also used as its address.
     pub name: String,
-    /// What the rules see.
+    /// Properties of the machine that the rules depend on.
     pub site: Site,
-    /// Fails every task.
-    pub sick: bool,
-    /// When the cloud takes it, if that has been announced.
-    pub taken_at: Option<Duration>,
-    /// The node that it reports to.
+    /// Whether every task on it fails.
+    pub faulty: bool,
+    /// Time at which the cloud reclaims the machine, if that has been announced.
+    pub reclaim_at: Option<Duration>,
+    /// Index of the controller that it reports to.
     pub target: usize,
-    /// The report in flight, and when it was sent.
+    /// Identifier of the report in flight, and the time at which it was sent.
     pub in_flight: Option<(u64, Duration)>,
-    /// When it reports next.
+    /// Time of the next report.
     pub report_at: Duration,
-    /// Its last reports.
+    /// Its last reports and their outcomes.
     pub contacts: ContactHistory,
     kind: MachineType,
-    up_at: Duration,
+    started_at: Duration,
     session: u64,
     seq: u64,
     token: u64,
     lease: Duration,
-    renewed: Duration,
+    lease_renewed_at: Duration,
     tasks: BTreeMap<(TaskId, u64), Stage>,
     images: Vec<String>,
 }
 
 impl Worker {
-    /// A worker that has just come up.
+    /// Creates a worker that starts now, with a full lease.
     pub fn new(
         name: String,
         site: Site,
@@ -67,85 +67,86 @@
         Self {
             name,
             site,
-            sick: false,
-            taken_at: None,
+            faulty: false,
+            reclaim_at: None,
             target: 0,
             in_flight: None,
             report_at: now,
             contacts: ContactHistory::default(),
             kind,
-            up_at: now,
+            started_at: now,
             session: 1,
             seq: 0,
             token: 0,
             lease,
-            renewed: now,
+            lease_renewed_at: now,
             tasks: BTreeMap::new(),
             images: Vec::new(),
         }
     }
 
-    /// The machine's processors.
+    /// Number of processors of the machine.
     pub fn cpus(&self) -> f64 {
         self.kind.cpus
     }
 
-    /// What no task takes: processors and memory in GB.
-    pub fn free(&self, rules: &Rules) -> (f64, f64) {
+    /// Unused processors, and unused memory in GB.
+    pub fn free(&self, rules: &RuleChecker) -> (f64, f64) {
         let (cpus, memory) = self.used(rules);
         (self.kind.cpus - cpus, self.kind.memory_gb - memory)
     }
 
-    /// How many tasks are on it.
+    /// Number of tasks on the machine; exited tasks do not count.
     pub fn tasks(&self) -> usize {
         let on = |s: &&Stage| !matches!(s, Stage::Exited(_));
         self.tasks.values().filter(on).count()
     }
 
-    /// It hangs: only its lease goes on.
-    pub fn hangs(&mut self, now: Duration, rules: &mut Rules) {
-        if now > self.renewed + self.lease {
-            self.die(rules);
+    /// Advances time while the machine hangs: its tasks make no progress, but are dropped
+    /// when its lease expires.
+    pub fn check_lease_while_hung(&mut self, now: Duration, rules: &mut RuleChecker) {
+        if now > self.lease_renewed_at + self.lease {
+            self.drop_tasks(rules);
         }
     }
 
-    /// It goes on after hanging for a while, which its tasks have missed.
-    pub fn goes_on(&mut self, after: Duration) {
+    /// Resumes after a hang; the end times of its tasks move by the duration of the hang.
+    pub fn resume(&mut self, hang_time: Duration) {
         for stage in self.tasks.values_mut() {
             match stage {
                 Stage::Fetching(until) | Stage::Running(Some(until)) | Stage::Saving(until) => {
-                    *until += after;
+                    *until += hang_time;
                 }
                 Stage::Running(None) | Stage::Exited(_) => {}
             }
         }
     }
 
-    /// The session that it is in.
+    /// Current session number.
     pub fn session(&self) -> u64 {
         self.session
     }
 
-    /// The highest token that it has seen.
+    /// Highest fencing token that it has seen.
     pub fn token(&self) -> u64 {
         self.token
     }
 
-    /// Its next message.
+    /// Builds the next report.
     pub fn report(&mut self, now: Duration) -> Report {
         self.seq += 1;
         let tasks = self.tasks.iter().map(|((task, attempt), stage)| {
-            let (state, why) = match stage {
+            let (state, cause) = match stage {
                 Stage::Fetching(_) => (TaskState::Fetching, None),
                 Stage::Running(_) => (TaskState::Running, None),
                 Stage::Saving(_) => (TaskState::Saving, None),
-                Stage::Exited(why) => (TaskState::Exited, Some(*why)),
+                Stage::Exited(cause) => (TaskState::Exited, Some(*cause)),
             };
             TaskReport {
                 task: task.clone(),
                 attempt: *attempt,
                 state,
-                why,
+                cause,
                 saved: None,
             }
         });
@@ -158,18 +159,21 @@
             session: self.session,
             seq: self.seq,
             token: self.token,
-            notice_s: self.taken_at.map(|at| at.saturating_sub(now).as_secs_f64()),
+            notice_s: self
+                .reclaim_at
+                .map(|at| at.saturating_sub(now).as_secs_f64()),
             tasks: tasks.collect(),
         }
     }
 
-    /// An answer to a report of this session, sent at `sent`.
-    pub fn answered(
+    /// Handles an answer to a report of this session that was sent at `sent`. The lease is
+    /// renewed from `sent`, unless the fencing token is stale.
+    pub fn handle_report_answer(
         &mut self,
         now: Duration,
         sent: Duration,
         answer: ReportAnswer,
-        rules: &mut Rules,
+        rules: &mut RuleChecker,
     ) {
         if answer.token < self.token || answer.token == 0 {
             self.contacts.answered(ReportOutcome::Stale);
@@ -177,15 +181,20 @@
         }
         self.contacts.answered(ReportOutcome::Renewed);
         self.token = answer.token;
-        self.renewed = self.renewed.max(sent);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent);
         self.execute(now, answer.orders, rules);
     }
 
-    /// Direct orders; the status that they get.
-    pub fn direct(&mut self, now: Duration, orders: DirectOrders, rules: &mut Rules) -> u16 {
-        // A machine that hung for longer than its lease finds that out before it reads
-        // what has waited for it.
-        self.pass(now, rules);
+    /// Executes direct orders, unless token or session is stale; returns the HTTP status.
+    pub fn handle_direct_orders(
+        &mut self,
+        now: Duration,
+        orders: DirectOrders,
+        rules: &mut RuleChecker,
+    ) -> u16 {
+        // A machine that hung for longer than its lease must drop its tasks before it
+        // executes orders that waited meanwhile.
+        self.advance(now, rules);
         let stale = orders.token < self.token;
         self.token = self.token.max(orders.token);
         if stale || orders.session != self.session {
@@ -195,7 +204,7 @@
         200
     }
 
-    fn used(&self, rules: &Rules) -> (f64, f64) {
+    fn used(&self, rules: &RuleChecker) -> (f64, f64) {
         let on = self
             .tasks
             .iter()
@@ -204,7 +213,7 @@
         specs.fold((0.0, 0.0), |(c, m), s| (c + s.cpus, m + s.memory_gb))
     }
 
-    fn execute(&mut self, now: Duration, orders: Vec<Order>, rules: &mut Rules) {
+    fn execute(&mut self, now: Duration, orders: Vec<Order>, rules: &mut RuleChecker) {
         for order in orders {
             match order {
                 Order::Start { task, attempt } => self.start(now, task, attempt, rules),
@@ -223,24 +232,24 @@
         }
     }
 
-    fn start(&mut self, now: Duration, task: TaskId, attempt: u64, rules: &mut Rules) {
+    fn start(&mut self, now: Duration, task: TaskId, attempt: u64, rules: &mut RuleChecker) {
         let key = (task.clone(), attempt);
         if self.tasks.contains_key(&key) {
             return;
         }
         let stage = match rules.jobs.get(&task.job) {
-            None => Stage::Exited(Why::Unknown),
+            None => Stage::Exited(EndCause::Unknown),
             Some(spec) => {
                 let (cpus, memory) = self.used(rules);
                 let on = |((t, _), s): (&(TaskId, u64), &Stage)| {
                     *t == task && !matches!(s, Stage::Exited(_))
                 };
                 if self.tasks.iter().any(on) {
-                    Stage::Exited(Why::Busy)
+                    Stage::Exited(EndCause::Busy)
                 } else if cpus + spec.cpus > self.kind.cpus + 1e-6
                     || memory + spec.memory_gb > self.kind.memory_gb + 1e-6
                 {
-                    Stage::Exited(Why::NoRoom)
+                    Stage::Exited(EndCause::NoRoom)
                 } else if self.images.contains(&spec.image) {
                     Stage::Fetching(now)
                 } else {
@@ -250,16 +259,23 @@
             }
         };
         self.tasks.insert(key, stage);
-        self.hurry(now);
-        self.pass(now, rules);
+        self.schedule_early_report(now);
+        self.advance(now, rules);
     }
 
-    fn stop(&mut self, now: Duration, task: TaskId, attempt: u64, grace_s: f64, rules: &mut Rules) {
+    fn stop(
+        &mut self,
+        now: Duration,
+        task: TaskId,
+        attempt: u64,
+        grace_s: f64,
+        rules: &mut RuleChecker,
+    ) {
         let Some(stage) = self.tasks.get_mut(&(task.clone(), attempt)) else {
             return;
         };
         let spec = rules.jobs.get(&task.job);
-        let saves = spec.is_some_and(|s| s.saves() && grace_s >= s.save_s);
+        let saves = spec.is_some_and(|s| s.can_save() && grace_s >= s.save_s);
         match stage {
             Stage::Exited(_) => return,
             Stage::Running(_) if saves => {
@@ -268,35 +284,35 @@
             }
             Stage::Saving(_) if grace_s > 0.0 => return,
             _ => {
-                *stage = Stage::Exited(Why::Stopped);
-                rules.leaves(&task, &self.name);
+                *stage = Stage::Exited(EndCause::Stopped);
+                rules.task_left(&task, &self.name);
             }
         }
-        self.hurry(now);
+        self.schedule_early_report(now);
     }
 
-    /// A change is worth an early report.
-    fn hurry(&mut self, now: Duration) {
+    /// Brings the next report forward to at most 500 ms from now, because a task changed.
+    fn schedule_early_report(&mut self, now: Duration) {
         self.report_at = self.report_at.min(now + Duration::from_millis(500));
     }
 
-    /// Time has passed.
-    pub fn pass(&mut self, now: Duration, rules: &mut Rules) {
-        if now > self.renewed + self.lease {
+    /// Advances time: expires the lease, and moves tasks to their next stage.
+    pub fn advance(&mut self, now: Duration, rules: &mut RuleChecker) {
+        if now > self.lease_renewed_at + self.lease {
             if self.tasks() > 0 {
                 log::debug!(
-                    "{}: lease over at {:.2} s with {} tasks, token {};{}",
+                    "{}: lease expired at {:.2} s with {} tasks, token {};{}",
                     self.name,
-                    (self.renewed + self.lease).as_secs_f64(),
+                    (self.lease_renewed_at + self.lease).as_secs_f64(),
                     self.tasks(),
                     self.token,
                     self.contacts
                 );
             }
-            self.die(rules);
+            self.drop_tasks(rules);
             self.session += 1;
-            self.renewed = now;
-            self.hurry(now);
+            self.lease_renewed_at = now;
+            self.schedule_early_report(now);
         }
         let mut changed = false;
         for ((task, _), stage) in &mut self.tasks {
@@ -308,45 +324,45 @@
                         self.images.push(spec.image.clone());
                     }
                     let service = spec.shape == Shape::Service;
-                    rules.start(now, task, &self.name, &self.site);
-                    if now < self.up_at + NEW {
-                        rules.starts_on_new.push(now);
+                    rules.task_started(now, task, &self.name, &self.site);
+                    if now < self.started_at + NEW_MACHINE_AGE {
+                        rules.starts_on_new_machines.push(now);
                     }
                     *stage = Stage::Running((!service).then_some(now + run));
-                    if self.sick {
-                        rules.leaves(task, &self.name);
-                        *stage = Stage::Exited(Why::Error);
+                    if self.faulty {
+                        rules.task_left(task, &self.name);
+                        *stage = Stage::Exited(EndCause::Error);
                     } else if rules.done.contains(task) {
-                        rules.leaves(task, &self.name);
-                        *stage = Stage::Exited(Why::Done);
+                        rules.task_left(task, &self.name);
+                        *stage = Stage::Exited(EndCause::Done);
                     }
                     changed = true;
                 }
                 Stage::Running(Some(until)) if *until <= now => {
-                    rules.completes(now, task);
-                    rules.leaves(task, &self.name);
-                    *stage = Stage::Exited(Why::Done);
+                    rules.task_completed(now, task);
+                    rules.task_left(task, &self.name);
+                    *stage = Stage::Exited(EndCause::Done);
                     changed = true;
                 }
                 Stage::Saving(until) if *until <= now => {
-                    rules.leaves(task, &self.name);
-                    *stage = Stage::Exited(Why::Stopped);
+                    rules.task_left(task, &self.name);
+                    *stage = Stage::Exited(EndCause::Stopped);
                     changed = true;
                 }
                 _ => {}
             }
         }
         if changed {
-            self.hurry(now);
+            self.schedule_early_report(now);
         }
     }
 
-    /// All its tasks are gone.
-    pub fn die(&mut self, rules: &mut Rules) {
+    /// Drops all tasks, which count as lost.
+    pub fn drop_tasks(&mut self, rules: &mut RuleChecker) {
         let on = self.tasks.values();
         rules.lost += on.filter(|s| !matches!(s, Stage::Exited(_))).count();
         for (task, _) in self.tasks.keys() {
-            rules.leaves(task, &self.name);
+            rules.task_left(task, &self.name);
         }
         self.tasks.clear();
     }
--- a/crates/testkit/src/world/machines.rs
+++ b/crates/testkit/src/world/machines.rs
@@ -1,4 +1,4 @@
-//! Machines and the reports of their workers.
+//! Machines, and the reports of their workers.
 
 use std::time::Duration;
 
@@ -8,88 +8,103 @@
     worker::{Redirect, Report, ReportAnswer},
 };
 
-use super::{Asker, Event, MS, NODES, REPORT_PATIENCE, World};
+use super::{CONTROLLER_COUNT, Event, MS, REPORT_TIMEOUT, Requester, World};
 use crate::{
     contacts::ReportOutcome,
     evidence::Hung,
-    faults::{Fault, LATEST_REPORT, Way},
+    faults::{Direction, Fault, MAX_REPORT_DELAY},
 };
 
-/// Whether a machine is one of those that a trouble befalls.
-pub(super) fn is_of(name: &str, rest: usize) -> bool {
+/// Whether a fault that selects machines by their number modulo 3 applies to this
+/// machine.
+pub(super) fn is_selected(name: &str, machine_group: usize) -> bool {
     let number: usize = name.trim_start_matches("vm-").parse().unwrap_or(0);
-    number % 3 == rest
+    number % 3 == machine_group
 }
 
-/// Most reports that are kept for the next leader.
-const MOST_KEPT_REPORTS: usize = 60;
+/// Maximum number of copies of reports that are kept for the next leader.
+const MAX_KEPT_REPORTS: usize = 60;
 
 impl World {
+    /// Stops a machine and its tasks.
     pub(super) fn kill(&mut self, name: &str) {
         if let Some(mut worker) = self.workers.remove(name) {
-            worker.die(&mut self.rules);
+            worker.drop_tasks(&mut self.rules);
         }
-        self.dead.insert(name.to_owned());
+        self.dead_machines.insert(name.to_owned());
     }
 
-    /// Until when a machine hangs.
-    pub(super) fn hangs(&self, name: &str) -> Option<Duration> {
+    /// Returns the end of the hang of a machine, if it hangs now.
+    pub(super) fn hangs_until(&self, name: &str) -> Option<Duration> {
         self.faults.iter().find_map(|f| match f {
-            Fault::Hang { rest, from, until }
-                if is_of(name, *rest) && (*from..*until).contains(&self.now) =>
-            {
+            Fault::WorkerHang {
+                machine_group,
+                from,
+                until,
+            } if is_selected(name, *machine_group) && (*from..*until).contains(&self.now) => {
                 Some(*until)
             }
             _ => None,
         })
     }
 
-    /// Whether answers and direct orders to a machine are lost.
-    pub(super) fn is_deaf(&self, name: &str) -> bool {
-        self.is_on(|f| matches!(f, Fault::Deaf { rest, .. } if is_of(name, *rest)))
+    /// Whether answers to reports of a machine and direct orders to it are lost.
+    pub(super) fn are_answers_lost(&self, name: &str) -> bool {
+        self.is_fault_active(
+            |f| matches!(f, Fault::AnswersLost { machine_group, .. } if is_selected(name, *machine_group)),
+        )
     }
 
-    /// Whether a machine reaches no controller.
-    pub(super) fn is_mute(&self, name: &str) -> bool {
-        self.is_on(|f| matches!(f, Fault::Mute { rest, .. } if is_of(name, *rest)))
+    /// Whether no report of a machine reaches a controller.
+    pub(super) fn are_reports_lost(&self, name: &str) -> bool {
+        self.is_fault_active(
+            |f| matches!(f, Fault::ReportsLost { machine_group, .. } if is_selected(name, *machine_group)),
+        )
     }
 
-    /// Machines that hung go on.
-    pub(super) fn wakes(&mut self, rest: usize, after: Duration) {
+    /// Resumes the machines that a hang of length `after` had selected.
+    pub(super) fn resume_machines(&mut self, machine_group: usize, after: Duration) {
         let now = self.now;
-        for worker in self.workers.values_mut().filter(|w| is_of(&w.name, rest)) {
-            worker.goes_on(after);
+        for worker in self
+            .workers
+            .values_mut()
+            .filter(|w| is_selected(&w.name, machine_group))
+        {
+            worker.resume(after);
             let tasks = worker.tasks();
             self.evidence.hung.push(Hung { at: now, tasks });
         }
     }
 
-    /// Time passes for all machines.
-    pub(super) fn machines_pass(&mut self) {
+    /// Advances all machines to the current time.
+    pub(super) fn advance_machines(&mut self) {
         let now = self.now;
-        let hang: Vec<_> = self
+        let hung_machines: Vec<_> = self
             .workers
             .keys()
-            .filter(|name| self.hangs(name).is_some())
+            .filter(|name| self.hangs_until(name).is_some())
             .cloned()
             .collect();
         for (name, worker) in &mut self.workers {
-            if hang.binary_search(name).is_ok() {
-                worker.hangs(now, &mut self.rules);
+            if hung_machines.binary_search(name).is_ok() {
+                worker.check_lease_while_hung(now, &mut self.rules);
             } else {
-                worker.pass(now, &mut self.rules);
+                worker.advance(now, &mut self.rules);
             }
         }
     }
 
-    pub(super) fn worker_reports(&mut self, name: &str) {
+    pub(super) fn send_report(&mut self, name: &str) {
         let now = self.now;
-        let (hangs, mute) = (self.hangs(name).is_some(), self.is_mute(name));
-        let jitter = match self.steady {
+        let (hangs, reports_lost) = (
+            self.hangs_until(name).is_some(),
+            self.are_reports_lost(name),
+        );
+        let jitter = match self.fixed_delays {
             true => 1.0,
             false => self.rng.f64() * 0.5 + 0.75,
         };
-        let latency = self.latency();
+        let latency = self.draw_latency();
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
@@ -97,9 +112,9 @@
             return;
         }
         if let Some((_, sent)) = worker.in_flight {
-            if now > sent + REPORT_PATIENCE {
+            if now > sent + REPORT_TIMEOUT {
                 worker.in_flight = None;
-                worker.target = (worker.target + 1) % NODES;
+                worker.target = (worker.target + 1) % CONTROLLER_COUNT;
                 worker.report_at = now + MS * 1000;
             }
             return;
@@ -110,15 +125,16 @@
         let body = encode(&worker.report(now));
         let session = worker.session();
         let node = worker.target;
-        if let Some((old, life, id)) = self.lines.get(name).copied()
+        if let Some((old, incarnation, id)) = self.report_connections.get(name).copied()
             && old != node
         {
-            // It went elsewhere and has closed this one.
-            self.lines.remove(name);
+            // The worker has switched to another controller and closed the old
+            // connection.
+            self.report_connections.remove(name);
             let at = self
-                .worker_cut(old, name, Way::FromMachine)
+                .worker_cut_until(old, name, Direction::FromMachine)
                 .unwrap_or(now + latency);
-            self.at(at, Event::Ends(old, life, id));
+            self.schedule(at, Event::ConnectionCloses(old, incarnation, id));
         }
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -128,71 +144,81 @@
         let report = self.next_id;
         worker.in_flight = Some((report, now));
         worker.contacts.sent(now, node);
-        self.reports.insert(report, (session, now));
-        let at = match self.worker_cut(node, name, Way::FromMachine) {
+        self.sent_reports.insert(report, (session, now));
+        let at = match self.worker_cut_until(node, name, Direction::FromMachine) {
             Some(until) => until + latency,
             None => now + latency,
         };
-        if mute {
-            // Its connection does not come about.
+        if reports_lost {
+            // The connection to the controller is not established.
             return;
         }
-        let late = self.is_chosen(|f| match f {
+        let late = self.draw_one_in(|f| match f {
             Fault::LateReports { one_in, .. } => Some(*one_in),
             _ => None,
         });
         if late {
-            let copy = self.id();
-            let to = self.rng.usize(0..NODES);
-            let lag = MS * self.rng.u32(2000..LATEST_REPORT.as_millis() as u32);
-            let again = Event::Report(to, copy, body.clone(), name.to_owned());
-            self.at(now + lag, again);
+            let copy = self.new_id();
+            let to = self.rng.usize(0..CONTROLLER_COUNT);
+            let lag = MS * self.rng.u32(2000..MAX_REPORT_DELAY.as_millis() as u32);
+            let again = Event::ReportArrives(to, copy, body.clone(), name.to_owned());
+            self.schedule(now + lag, again);
         }
-        let keeps = self.is_chosen(|f| match f {
+        let keeps = self.draw_one_in(|f| match f {
             Fault::ReportsForNextLeader { one_in, .. } => Some(*one_in),
             _ => None,
         });
-        if keeps && self.reports_for_next.len() < MOST_KEPT_REPORTS {
-            self.reports_for_next.push((body.clone(), name.to_owned()));
+        if keeps && self.reports_for_next_leader.len() < MAX_KEPT_REPORTS {
+            self.reports_for_next_leader
+                .push((body.clone(), name.to_owned()));
         }
-        if let Some(lag) = self.copied() {
-            let copy = self.id();
-            let to = self.rng.usize(0..NODES);
-            let again = Event::Report(to, copy, body.clone(), name.to_owned());
-            self.at(now + lag, again);
+        if let Some(lag) = self.draw_duplicate_lag() {
+            let copy = self.new_id();
+            let to = self.rng.usize(0..CONTROLLER_COUNT);
+            let again = Event::ReportArrives(to, copy, body.clone(), name.to_owned());
+            self.schedule(now + lag, again);
         }
-        self.at(at, Event::Report(node, report, body, name.to_owned()));
+        self.schedule(
+            at,
+            Event::ReportArrives(node, report, body, name.to_owned()),
+        );
     }
 
-    pub(super) fn report_arrives(&mut self, node: usize, report: u64, body: Vec<u8>, name: String) {
-        self.note_report(node, report, &body);
+    pub(super) fn deliver_report(&mut self, node: usize, report: u64, body: Vec<u8>, name: String) {
+        self.record_report(node, report, &body);
         if self.nodes[node].controller.is_none() {
             let at = self.now + MS;
-            return self.at(at, Event::ReportAnswer(report, name, 0, Vec::new()));
+            return self.schedule(at, Event::ReportAnswer(report, name, 0, Vec::new()));
         }
-        let conn = self.id();
-        let life = self.nodes[node].life;
-        let asker = Asker::Worker {
+        let conn = self.new_id();
+        let incarnation = self.nodes[node].incarnation;
+        let requester = Requester::Worker {
             name: name.clone(),
             report,
         };
-        let line = self.lines.get(&name).copied();
-        let line = line.filter(|l| (l.0, l.1) == (node, life));
-        let line = line.filter(|l| self.nodes[node].sockets.is_open(l.2));
-        let socket = line.map_or(SocketId(conn), |l| l.2);
-        if line.is_none() {
-            if !self.opens(node, socket, Listener::Public) {
-                return self.is_cut(asker, node);
+        let connection = self.report_connections.get(&name).copied();
+        let connection = connection.filter(|l| (l.0, l.1) == (node, incarnation));
+        let connection = connection.filter(|l| self.nodes[node].sockets.is_open(l.2));
+        let socket = connection.map_or(SocketId(conn), |l| l.2);
+        if connection.is_none() {
+            if !self.open_connection(node, socket, Listener::Public) {
+                return self.abort_request(requester, node);
             }
             let waits = self.workers.get(&name).and_then(|w| w.in_flight);
             if waits.is_some_and(|(id, _)| id == report) {
-                self.lines.insert(name, (node, life, socket));
+                self.report_connections
+                    .insert(name, (node, incarnation, socket));
             } else {
-                // Given up meanwhile; its end follows.
-                self.at(self.now + MS, Event::Ends(node, life, socket));
+                // The worker no longer waits for this report, so its connection closes
+                // shortly after.
+                self.schedule(
+                    self.now + MS,
+                    Event::ConnectionCloses(node, incarnation, socket),
+                );
             }
         }
-        self.askers.insert((node, life, conn), (asker, socket));
+        self.pending_requests
+            .insert((node, incarnation, conn), (requester, socket));
         let request = Request {
             conn,
             socket,
@@ -201,69 +227,69 @@
             path: "/checkin".into(),
             body,
         };
-        self.request(node, line.is_none(), request);
+        self.deliver_request(node, connection.is_none(), request);
     }
 
-    /// Somebody leads now: kept copies of reports reach every controller within
-    /// moments.
-    pub(super) fn reports_come_again(&mut self, leader: usize) {
-        for (body, name) in std::mem::take(&mut self.reports_for_next) {
-            for node in 0..NODES {
-                let copy = self.id();
+    /// Delivers the kept copies of reports to every controller within 300 ms after a
+    /// leader change.
+    pub(super) fn redeliver_reports(&mut self, leader: usize) {
+        for (body, name) in std::mem::take(&mut self.reports_for_next_leader) {
+            for node in 0..CONTROLLER_COUNT {
+                let copy = self.new_id();
                 let lag = MS * self.rng.u32(0..300);
                 self.evidence.reports_for_leader += usize::from(node == leader);
-                let again = Event::Report(node, copy, body.clone(), name.clone());
-                self.at(self.now + lag, again);
+                let again = Event::ReportArrives(node, copy, body.clone(), name.clone());
+                self.schedule(self.now + lag, again);
             }
         }
     }
 
-    /// Notes whether a report comes after a newer one, or after the lead has
-    /// changed to whoever it arrives at.
-    pub(super) fn note_report(&mut self, node: usize, report: u64, body: &[u8]) {
-        let Ok(said) = decode::<Report>(body) else {
+    /// Records whether a report arrives after a newer one of its machine, and whether
+    /// it was sent before a leader change and arrives at the new leader.
+    pub(super) fn record_report(&mut self, node: usize, report: u64, body: &[u8]) {
+        let Ok(message) = decode::<Report>(body) else {
             return;
         };
-        let this = (said.session, said.seq);
-        let newest = self.newest.entry(said.machine).or_default();
+        let this = (message.session, message.seq);
+        let newest = self.newest_reports.entry(message.machine).or_default();
         if this < *newest {
             let old_session = this.0 < newest.0;
             self.evidence.old_reports.push((self.now, old_session));
         }
         *newest = this.max(*newest);
-        let sent = self.reports.get(&report).map(|(_, sent)| *sent);
-        if let (Some(sent), Some((led, leader))) = (sent, self.evidence.leaders.last())
-            && sent < *led
+        let sent = self.sent_reports.get(&report).map(|(_, sent)| *sent);
+        if let (Some(sent), Some((since, leader))) = (sent, self.evidence.leader_changes.last())
+            && sent < *since
             && *leader == node
         {
-            self.evidence.reports_across.push(self.now);
+            self.evidence.reports_across_leaders.push(self.now);
         }
     }
 
     pub(super) fn report_answered(&mut self, report: u64, name: &str, status: u16, body: &[u8]) {
         let now = self.now;
-        if let Some(until) = self.hangs(name) {
-            // It is read when the machine goes on.
+        if let Some(until) = self.hangs_until(name) {
+            // The worker reads the answer when the machine resumes.
             let (name, body) = (name.to_owned(), body.to_vec());
-            return self.at(until + MS, Event::ReportAnswer(report, name, status, body));
+            return self.schedule(until + MS, Event::ReportAnswer(report, name, status, body));
         }
-        let Some((session, sent)) = self.reports.remove(&report) else {
+        let Some((session, sent)) = self.sent_reports.remove(&report) else {
             return;
         };
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
         let current = worker.in_flight.is_some_and(|(id, _)| id == report);
-        if !current || now > sent + REPORT_PATIENCE {
+        if !current || now > sent + REPORT_TIMEOUT {
             return;
         }
         worker.in_flight = None;
-        self.slowest_answer = self.slowest_answer.max(now - sent);
+        self.slowest_report_answer = self.slowest_report_answer.max(now - sent);
         match status {
             200 if worker.session() == session => {
                 if let Ok(answer) = decode::<ReportAnswer>(body) {
-                    self.evidence.renewed.push((now, worker.target));
-                    worker.answered(now, sent, answer, &mut self.rules);
+                    self.evidence.lease_renewals.push((now, worker.target));
+                    worker.handle_report_answer(now, sent, answer, &mut self.rules);
                 }
             }
             200 => {}
@@ -274,16 +300,16 @@
                     (node != worker.target).then_some(node)
                 });
                 worker.contacts.answered(match to {
-                    Some(to) => ReportOutcome::SentTo(to),
+                    Some(to) => ReportOutcome::RedirectedTo(to),
                     None => ReportOutcome::Refused(status),
                 });
-                worker.target = to.unwrap_or((worker.target + 1) % NODES);
+                worker.target = to.unwrap_or((worker.target + 1) % CONTROLLER_COUNT);
                 let wait = if to.is_some() { 100 } else { 1000 };
                 worker.report_at = now + MS * wait;
             }
             _ => {
                 worker.contacts.answered(ReportOutcome::Refused(status));
-                worker.target = (worker.target + 1) % NODES;
+                worker.target = (worker.target + 1) % CONTROLLER_COUNT;
                 worker.report_at = now + MS * 1000;
             }
         }
--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! How large a simulated deployment is, its settings, and the users drawn for it.
+//! Sizes and settings of simulated deployments, and the users drawn for them.
 
 use std::time::Duration;
 
@@ -7,124 +7,124 @@
     settings::Settings,
 };
 
-use super::{NODES, S, User, ZONES};
+use super::{CONTROLLER_COUNT, S, User, ZONES};
 use crate::state::Limits;
 
-/// Jobs of a class that come besides the drawn ones.
+/// Jobs of one class that are added to the drawn ones.
 #[derive(Clone, Debug)]
-pub struct Crowd {
-    /// The class: `rush` (high, done within 60 s) or `bulk` (standard, within
-    /// 120 s).
+pub struct ExtraJobs {
+    /// Job class: `rush` (high priority, due within 60 s) or `bulk` (normal priority,
+    /// due within 120 s).
     pub class: &'static str,
-    /// The team.
+    /// The team that submits them.
     pub team: &'static str,
-    /// How many.
+    /// Number of jobs.
     pub jobs: usize,
-    /// The most tasks of one.
+    /// Maximum number of tasks of a job.
     pub tasks: u32,
-    /// Processors of a task.
+    /// Processors of each task.
     pub cpus: f64,
-    /// When the first and the last come.
+    /// Start of the period in which they are submitted.
     pub from: Duration,
-    /// When the last does.
+    /// End of that period.
     pub until: Duration,
-    /// One in so many is called off within some seconds; 0: none.
-    pub called_off_one_in: u32,
+    /// One in this many jobs is cancelled, 0.5 s to 15 s after its submission; 0: none.
+    pub cancel_one_in: u32,
 }
 
-/// What the settings say of workers' timing, and whether clocks drift apart.
+/// Timing of workers in the settings, and whether clocks drift.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// The time between two reports of a worker.
+    /// Interval between reports of a worker.
     pub report: Duration,
-    /// A worker's lease.
+    /// Duration of a worker's lease.
     pub lease: Duration,
-    /// The time until a cancelled job's tasks have to be gone.
+    /// Time within which the tasks of a cancelled job have to be gone.
     pub cancel: Duration,
-    /// Controllers' steady clocks differ by as much as the protocol allows.
-    pub drifts: bool,
+    /// Whether the rates of the controllers' monotonic clocks differ by as much as the
+    /// protocol allows.
+    pub clock_drift: bool,
 }
 
 impl Timing {
-    /// What all days have that don't draw it. The contact limit is longer than the
-    /// lease: a lease can run out while its holder may act without new contact.
-    pub const USUAL: Self = Self {
+    /// Timing of runs that don't draw it. The contact limit is longer than the lease,
+    /// so a lease can expire while its holder may still act without new contact.
+    pub const DEFAULT: Self = Self {
         report: Duration::from_secs(2),
         lease: Duration::from_secs(12),
         cancel: Duration::from_secs(30),
-        drifts: false,
+        clock_drift: false,
     };
 }
 
-/// How large a world is.
+/// Size of a simulated deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Machines up at the start.
+    /// Machines that run at the start.
     pub machines: usize,
-    /// Jobs that users submit.
+    /// Number of drawn jobs.
     pub jobs: usize,
-    /// By how much jobs, limits and what can be rented are larger.
-    pub factor: u32,
-    /// Requests and changes a second that the state service takes.
-    pub state: (u32, u32),
-    /// Pipelines of jobs besides.
+    /// Factor on the tasks of jobs, the limits of teams and the capacity of the cloud.
+    pub scale: u32,
+    /// Requests and changes per second that the state service accepts.
+    pub state_rates: (u32, u32),
+    /// Number of drawn pipelines of dependent jobs.
     pub pipelines: usize,
-    /// Most sockets of a controller.
-    pub sockets: usize,
+    /// Maximum number of sockets of a controller.
+    pub max_sockets: usize,
 }
 
 impl Size {
-    /// A handful of machines.
+    /// A few machines.
     pub const SMALL: Self = Self {
         machines: 6,
         jobs: 24,
-        factor: 1,
-        state: (120, 40),
+        scale: 1,
+        state_rates: (120, 40),
         pipelines: 0,
-        sockets: 200,
+        max_sockets: 200,
     };
-    /// Few machines, and few jobs besides a crowd.
-    pub const CROWDED: Self = Self {
+    /// Few machines and few drawn jobs, for runs with extra jobs.
+    pub const FEW_JOBS: Self = Self {
         jobs: 6,
         ..Self::SMALL
     };
-    /// The same with pipelines, at a state service that lowers its limits.
+    /// Few machines, with pipelines and a state service that announces lower limits.
     pub const PIPELINES: Self = Self {
         pipelines: 6,
         ..Self::SMALL
     };
-    /// Hundreds of machines, at a state service with narrow limits.
-    pub const GROWN: Self = Self {
+    /// Hundreds of machines, with a state service that has low rate limits.
+    pub const LARGE: Self = Self {
         machines: 280,
         jobs: 70,
-        factor: 20,
-        state: (100, 25),
+        scale: 20,
+        state_rates: (100, 25),
         pipelines: 0,
-        sockets: 1000,
+        max_sockets: 1000,
     };
 
     /// As many machines as the largest deployments have.
     pub const FLEET: Self = Self {
         machines: 1300,
         jobs: 120,
-        factor: 60,
-        state: (250, 60),
+        scale: 60,
+        state_rates: (250, 60),
         pipelines: 0,
-        sockets: 2500,
+        max_sockets: 2500,
     };
 
-    /// What the state service takes at first, and what once it has lowered its
-    /// limits.
+    /// Limits of the state service at first, and after it has lowered them.
     pub(super) fn limits(&self) -> [Limits; 2] {
         let first = Limits {
             txn_ops: 20,
             value_bytes: 16 * 1024,
-            write_rps: f64::from(self.state.1),
+            write_rps: f64::from(self.state_rates.1),
         };
         let then = Limits {
             txn_ops: 6,
             value_bytes: 2 * 1024,
-            write_rps: f64::from(self.state.1) * 0.7,
+            write_rps: f64::from(self.state_rates.1) * 0.7,
         };
         [first, then]
     }
@@ -138,7 +138,10 @@
             i + 1
         )
     };
-    let peers: Vec<_> = (0..NODES).filter(|i| *i != node).map(peer).collect();
+    let peers: Vec<_> = (0..CONTROLLER_COUNT)
+        .filter(|i| *i != node)
+        .map(peer)
+        .collect();
     let next = match size.limits() {
         [_, then] if size.pipelines > 0 => format!(
             r#","next":{{"write_rps":{},"value_kb":2.0,"txn_ops":{}}}"#,
@@ -161,18 +164,18 @@
         node + 1,
         node + 1,
         peers.join(","),
-        12 * size.factor,
-        40 * size.factor,
-        8 * size.factor,
-        24 * size.factor,
+        12 * size.scale,
+        40 * size.scale,
+        8 * size.scale,
+        24 * size.scale,
         timing.report.as_secs_f64(),
         timing.lease.as_secs_f64(),
         timing.cancel.as_secs_f64(),
-        size.state.0,
-        size.state.1,
-        size.sockets,
+        size.state_rates.0,
+        size.state_rates.1,
+        size.max_sockets,
     );
-    Settings::parse(&text).expect("the settings are good")
+    Settings::parse(&text).expect("valid settings")
 }
 
 pub(super) fn draw_user(
@@ -191,7 +194,7 @@
     let team = if rng.bool() { "red" } else { "blue" };
     let saves = rng.bool();
     let spec = JobSpec {
-        id: format!("j-{number:06}").parse().expect("a valid id"),
+        id: format!("j-{number:06}").parse().expect("a valid job id"),
         class: "some".into(),
         team: team.into(),
         shape: if service {
@@ -230,21 +233,21 @@
             spread: spec.spread && !spec.one_zone && spec.zone.is_none(),
             ..spec
         },
-        after: Vec::new(),
-        late: false,
-        next: arrives,
-        came: arrives,
-        abort_at: aborts.then_some(arrives + after),
+        waits_for: Vec::new(),
+        waits_for_end: false,
+        next_request_at: arrives,
+        submit_at: arrives,
+        cancel_at: aborts.then_some(arrives + after),
         accepted: false,
         ended: false,
-        waiting: None,
+        answer_due: None,
     }
 }
 
-/// Pipelines of one job, then up to three, then one and a last one that has the
-/// deadline. Some await a job from before or are submitted late, and some are
-/// cancelled somewhere. Drawn apart from the rest, so that days without them
-/// stay what they are.
+/// Draws pipelines of four stages: one job, up to three jobs, one job, and a last one
+/// with the deadline. Some await an earlier job, in some the last stage is submitted
+/// only after the stage before it has ended, and some jobs are cancelled. They have a
+/// random generator of their own, so that runs without pipelines stay the same.
 pub(super) fn draw_pipelines(
     users: &mut Vec<User>,
     seed: u64,
@@ -254,13 +257,13 @@
 ) {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x7069_7065);
     for _ in 0..count {
-        // A description that is larger than the lower limits allow, from
-        // before the roll or from after it.
-        let mut wordy = draw_user(&mut rng, users.len(), busy, 1);
+        // A job description that exceeds the lowered limits of the state service,
+        // submitted before or after the upgrade.
+        let mut long_spec_user = draw_user(&mut rng, users.len(), busy, 1);
         let names =
             (0..40).map(|i| format!("a machine type that is not rented here any more, {i}"));
-        wordy.spec.types = Some(names.chain(["large".to_owned()]).collect());
-        users.push(wordy);
+        long_spec_user.spec.types = Some(names.chain(["large".to_owned()]).collect());
+        users.push(long_spec_user);
         let begins = from + busy.saturating_sub(from).mul_f64(rng.f64());
         let arrays = users.iter().enumerate();
         let arrays = arrays.filter(|(_, u)| u.spec.shape == Shape::Array);
@@ -279,9 +282,9 @@
                 let mut user = draw_user(&mut rng, users.len(), busy, 1);
                 let cancels = rng.f64() < 0.06;
                 let after = S * rng.u32(1..60);
-                user.abort_at = cancels.then_some(begins + after);
-                user.next = begins;
-                user.late = stage == 3 && rng.f64() < 0.3;
+                user.cancel_at = cancels.then_some(begins + after);
+                user.next_request_at = begins;
+                user.waits_for_end = stage == 3 && rng.f64() < 0.3;
                 user.spec.shape = Shape::Array;
                 user.spec.team = team.into();
                 user.spec.estimate_s = rng.f64() * 8.0 + 1.0;
@@ -291,7 +294,7 @@
                 };
                 user.spec.deadline_s = (stage == 3).then_some(60.0);
                 user.spec.awaits = before.iter().map(|i| users[*i].spec.id.clone()).collect();
-                user.after = before.clone();
+                user.waits_for = before.clone();
                 now.push(users.len());
                 users.push(user);
             }
