--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,16 +1,16 @@
-//! The documented forms, read and written back.
+//! Encoding and decoding of the formats that the protocol specifies.
 
 use oliveshift_wire::{
     cloud::MachineTypes,
     decode, encode,
     job::{JobSpec, Priority, Shape},
-    peer::{LevelWord, MachineView, PeerMessage},
+    peer::{FormatLevelAnswer, MachineSummary, PeerMessage},
     state::{Change, Event, Events, Txn},
-    worker::{DirectOrders, Order, Report, TaskState, Why},
+    worker::{DirectOrders, EndCause, Order, Report, TaskState},
 };
 use serde_json::{Value, json};
 
-/// JSON as the MessagePack that goes over the wire.
+/// Encodes a JSON value as the MessagePack that is sent on the wire.
 fn pack(value: &Value) -> Vec<u8> {
     rmp_serde::to_vec_named(value).expect("JSON can be packed")
 }
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn jobs_are_read_as_documented() {
+fn jobs_are_decoded_as_specified() {
     let spec = JobSpec::parse(&pack(&job())).expect("a good job");
     assert_eq!(
         (spec.shape, spec.priority),
         (Shape::Array, Priority::Normal)
     );
     assert_eq!(
-        (spec.cpus, spec.zone.clone(), spec.zone_cap()),
+        (spec.cpus, spec.zone.clone(), spec.max_tasks_per_zone()),
         (2.0, None, 2)
     );
     assert_eq!(JobSpec::parse(&encode(&spec)).expect("its own form"), spec);
@@ -84,16 +84,16 @@
 }
 
 #[test]
-fn reports_and_orders_keep_their_form() {
+fn reports_and_orders_keep_their_format() {
     let text = json!({"host":"vm-1","endpoint":"10.1.0.1:9","flavor":"g","site":"a",
         "reclaimable":false,"tenure":2,"tick":9,"epoch":41,"warning_s":null,
         "shards":[{"shard":"j-7/2","try":9_007_199_254_740_991u64,"phase":"ended","cause":"no_room"},
             {"shard":"j-7/1","try":1,"phase":"dreaming"},
             {"shard":"j-7/0","try":1,"phase":"ended","cause":"a new one"}]});
     let report: Report = decode(&pack(&text)).expect("a report");
-    assert_eq!(report.tasks[0].why, Some(Why::NoRoom));
+    assert_eq!(report.tasks[0].cause, Some(EndCause::NoRoom));
     assert_eq!(report.tasks[1].state, TaskState::Other);
-    assert_eq!(report.tasks[2].why, Some(Why::Error));
+    assert_eq!(report.tasks[2].cause, Some(EndCause::Error));
 
     let orders = DirectOrders {
         token: 41,
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_stores_forms() {
+fn transactions_and_watch_events_keep_their_format() {
     let form = json!({"if":[{"path":"a/b","stamp":0}],
         "then":[{"write":"a/b","v":{"x":1},"grant":7},{"drop":"c"}]});
     let txn: Txn = decode(&pack(&form)).expect("a transaction");
@@ -137,23 +137,23 @@
 }
 
 #[test]
-fn integers_do_for_amounts() {
+fn integers_are_accepted_for_amounts() {
     let form = json!({"flavors":[{"label":"g","vcpus":4,"accelerators":0,"ram_gb":16,"local_gb":60,
         "fetch_gb_per_s":1,"hourly":1,"low_price":0.25,"ready_s":20,"sites":["a"]}]});
     let types: MachineTypes = decode(&pack(&form)).expect("types");
-    assert_eq!(types.types[0].amounts().memory_gb, 16.0);
+    assert_eq!(types.types[0].resources().memory_gb, 16.0);
 }
 
 #[test]
-fn messages_between_controllers_come_back() {
+fn peer_messages_round_trip() {
     let message = PeerMessage {
         from: "n-1".into(),
         incarnation: 3,
-        contact_ms: None,
-        base: 4,
-        upto: 9,
+        contact_age_ms: None,
+        base_version: 4,
+        new_version: 9,
         machines: Vec::new(),
-        over: vec!["j-7/2".parse().expect("a task")],
+        unrecorded: vec!["j-7/2".parse().expect("a task")],
         drain: vec!["vm-1".into()],
         preempt: Vec::new(),
     };
@@ -165,18 +165,18 @@
     assert!(borsh::from_slice::<PeerMessage>(&bytes[1..]).is_err());
 }
 
-/// A message as the commit named `production` in `deploy/service.toml` writes
-/// it: programs of that version refuse any other form.
+/// The expected bytes are those that the commit named `production` in `deploy/service.toml`
+/// writes. Programs of that version refuse any other encoding.
 #[test]
-fn messages_between_controllers_keep_their_form() {
+fn peer_messages_keep_their_encoding() {
     let task = |name: &str| name.parse().expect("a task");
     let message = PeerMessage {
         from: "n-1".into(),
         incarnation: 3,
-        contact_ms: Some(5),
-        base: 4,
-        upto: 9,
-        machines: vec![MachineView {
+        contact_age_ms: Some(5),
+        base_version: 4,
+        new_version: 9,
+        machines: vec![MachineSummary {
             name: "vm-000001".into(),
             term: 41,
             usable: true,
@@ -187,7 +187,7 @@
             images: vec!["img-07".into()],
             tasks: vec![task("j-000412/1")],
         }],
-        over: vec![task("j-000412/0")],
+        unrecorded: vec![task("j-000412/0")],
         drain: vec!["vm-000002".into()],
         preempt: vec![task("j-000412/2")],
     };
@@ -201,17 +201,17 @@
          00000001000000080000006a2d303030343132000000000100000009000000766d2d30303030303201000000\
          080000006a2d30303034313202000000"
     );
-    let word = LevelWord {
+    let answer = FormatLevelAnswer {
         node: "n-1".into(),
         incarnation: 3,
         level: 2,
     };
-    let bytes = borsh::to_vec(&word).expect("it can be written");
+    let bytes = borsh::to_vec(&answer).expect("it can be written");
     assert_eq!(bytes, b"\x03\0\0\0n-1\x03\0\0\0\0\0\0\0\x02\0\0\0");
 }
 
 #[test]
-fn awaited_jobs_are_read_as_documented() {
+fn awaited_jobs_are_decoded_as_specified() {
     let with = |awaits: Value| {
         let mut job = job();
         job["awaits"] = awaits;
--- a/crates/workflow/src/api.rs
+++ b/crates/workflow/src/api.rs
@@ -1,12 +1,12 @@
-//! Requests to the state service and the users' API as they go over HTTP, and
-//! what answers mean.
+//! Encodes requests to the state service as HTTP requests, and decodes replies of the state
+//! service and the user API.
 
 use std::time::Duration;
 
 use oliveshift_wire::{
     decode, encode,
     job::{JobPhase, JobStatus, Refusal},
-    state::{LeaseGrant, NewLease, Page, TxnAnswer},
+    state::{LeaseGrant, LeaseRequest, Page, TxnAnswer},
 };
 
 use crate::{
@@ -14,29 +14,29 @@
     service::{StoreCall, StoreReply},
 };
 
-/// A request: method, path and body.
+/// An HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The method.
+    /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub path: String,
-    /// The body; empty: none.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// An answer, or none.
+/// Result of an HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Status, body, and when to come back.
+    /// Status, body, and the retry delay that the server asked for.
     Answer(u16, Vec<u8>, Option<Duration>),
-    /// It surely never left.
+    /// The request was certainly not sent.
     NotSent,
-    /// None came in time.
+    /// No answer came in time; the request may have been executed.
     Lost,
 }
 
-/// What the state service is to be sent.
+/// Builds the HTTP request for a call to the state service.
 pub fn store_request(call: &StoreCall) -> Request {
     let (method, path, body) = match call {
         StoreCall::Page { prefix, after } => {
@@ -45,16 +45,20 @@
             ("GET", path, Vec::new())
         }
         StoreCall::Txn(txn) => ("POST", "/multi".to_owned(), encode(txn)),
-        StoreCall::NewLease(life) => {
+        StoreCall::LeaseGrant(life) => {
             let ttl_ms = life.as_millis() as u64;
-            ("POST", "/holds".to_owned(), encode(&NewLease { ttl_ms }))
+            (
+                "POST",
+                "/holds".to_owned(),
+                encode(&LeaseRequest { ttl_ms }),
+            )
         }
-        StoreCall::Touch(lease) => ("POST", format!("/holds/{lease}/touch"), Vec::new()),
+        StoreCall::LeaseRenewal(lease) => ("POST", format!("/holds/{lease}/touch"), Vec::new()),
     };
     Request { method, path, body }
 }
 
-/// What the state service's answer means.
+/// Interprets the reply of the state service to a call.
 pub fn store_reply(call: &StoreCall, reply: Reply) -> StoreReply {
     let (status, body) = match reply {
         Reply::Answer(status, body, _) => (status, body),
@@ -68,43 +72,43 @@
             Err(_) => StoreReply::Refused,
         },
         (StoreCall::Txn(_), 200) => match decode::<TxnAnswer>(&body) {
-            Ok(answer) => StoreReply::Done(answer.revision),
+            Ok(answer) => StoreReply::Committed(answer.revision),
             Err(_) => StoreReply::Lost,
         },
-        // A lease that has ended under the transaction, too.
-        (StoreCall::Txn(_), 400 | 409) => StoreReply::Failed,
-        (StoreCall::NewLease(_), 200) => match decode::<LeaseGrant>(&body) {
-            Ok(grant) => StoreReply::Lease(grant.lease),
+        // Also covers a transaction whose lease has expired.
+        (StoreCall::Txn(_), 400 | 409) => StoreReply::ConditionFailed,
+        (StoreCall::LeaseGrant(_), 200) => match decode::<LeaseGrant>(&body) {
+            Ok(grant) => StoreReply::LeaseGranted(grant.lease),
             Err(_) => StoreReply::Refused,
         },
-        (StoreCall::Touch(_), 200) => StoreReply::Touched(true),
-        (StoreCall::Touch(_), 404) => StoreReply::Touched(false),
+        (StoreCall::LeaseRenewal(_), 200) => StoreReply::LeaseRenewed(true),
+        (StoreCall::LeaseRenewal(_), 404) => StoreReply::LeaseRenewed(false),
         _ => StoreReply::Lost,
     }
 }
 
-/// What the users' API's answer means.
+/// Interprets the reply of the user API to a request about a job.
 pub fn job_reply(reply: Reply) -> JobReply {
     let (status, body, after) = match reply {
         Reply::Answer(status, body, after) => (status, body, after),
-        Reply::NotSent | Reply::Lost => return JobReply::Later(None),
+        Reply::NotSent | Reply::Lost => return JobReply::RetryAfter(None),
     };
     match status {
-        201 => JobReply::New,
+        201 => JobReply::Created,
         200 => match decode::<JobStatus>(&body) {
             Ok(status) => JobReply::Known(status.phase),
-            Err(_) => JobReply::Later(None),
+            Err(_) => JobReply::RetryAfter(None),
         },
         404 => JobReply::Unknown,
         400 | 422 => match decode::<Refusal>(&body) {
             Ok(refusal) => JobReply::Refused(refusal.error),
             Err(_) => JobReply::Refused("no reason given".to_owned()),
         },
-        _ => JobReply::Later(after),
+        _ => JobReply::RetryAfter(after),
     }
 }
 
-/// Whether a phase stays.
-pub fn is_over(phase: JobPhase) -> bool {
+/// Whether a job in this phase never changes phase again.
+pub fn is_final_phase(phase: JobPhase) -> bool {
     matches!(phase, JobPhase::Done | JobPhase::Cancelled)
 }
