--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -2,6 +2,7 @@
 
 mod admin;
 mod client;
+mod connection_task;
 mod cwl;
 mod executor;
 mod logging;
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -10,7 +10,6 @@
 };
 
 use async_channel::{Receiver, Sender};
-use async_executor::Task;
 use async_io::{Timer, block_on};
 use futures_lite::future::yield_now;
 use oliveshift_core::{
@@ -19,7 +18,9 @@
 };
 use oliveshift_wire::settings::Settings;
 
-use crate::{client::Client, executor::PriorityExecutor, server, stream};
+use crate::{
+    client::Client, connection_task::ConnectionTask, executor::PriorityExecutor, server, stream,
+};
 
 /// Interval of the ticks passed to the state machine.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -34,8 +35,7 @@
     started: Instant,
     pending_answers: RefCell<HashMap<ConnId, Sender<Answer>>>,
     next_conn: Cell<ConnId>,
-    /// The task that serves each inbound connection; dropping it closes the connection.
-    connection_tasks: RefCell<HashMap<SocketId, Task<()>>>,
+    connection_tasks: RefCell<HashMap<SocketId, ConnectionTask>>,
     /// Connections with data to read that the state machine has not allowed to be read yet.
     awaiting_read: RefCell<HashMap<SocketId, Sender<()>>>,
     next_socket: Cell<u64>,
@@ -223,7 +223,8 @@
                     }
                 }
                 Output::Close(Close::Inbound(id)) => {
-                    self.connection_tasks.borrow_mut().remove(&id);
+                    let closed = self.connection_tasks.borrow_mut().remove(&id);
+                    drop(closed);
                 }
                 Output::Close(Close::Idle(kind, count)) => self.client.close_idle(kind, count),
                 Output::Exit(reason) => {
@@ -250,16 +251,18 @@
 
     /// Continues to serve a connection as a background task.
     pub fn serve_in_background(&self, id: SocketId, serve: impl Future<Output = ()> + 'static) {
-        let serve = self.executor.spawn_background(serve);
+        let serve = ConnectionTask::new(serve, |task| self.executor.spawn_background(task));
         // The previous task calls this and ends right after it; dropping it would cancel it.
-        if let Some(previous) = self.connection_tasks.borrow_mut().insert(id, serve) {
+        let previous = self.connection_tasks.borrow_mut().insert(id, serve);
+        if let Some(previous) = previous {
             previous.detach();
         }
     }
 
     /// Reports that a connection and the task that served it have ended.
     pub fn connection_ended(self: &Rc<Self>, id: SocketId) {
-        if let Some(serve) = self.connection_tasks.borrow_mut().remove(&id) {
+        let serve = self.connection_tasks.borrow_mut().remove(&id);
+        if let Some(serve) = serve {
             serve.detach();
         }
         self.handle_input(Input::Closed(id));
@@ -315,7 +318,7 @@
             let id = SocketId(self.next_socket.get());
             self.next_socket.set(id.0 + 1);
             let serve = server::handle_connection(self.clone(), id, tcp, listener);
-            let serve = self.executor.spawn_urgent(serve);
+            let serve = ConnectionTask::new(serve, |task| self.executor.spawn_urgent(task));
             self.connection_tasks.borrow_mut().insert(id, serve);
             self.handle_input(Input::Opened(id, listener));
         }
--- a/crates/daemon/tests/program.rs
+++ b/crates/daemon/tests/program.rs
@@ -245,6 +245,40 @@
     assert_eq!(status(addr, &request("GET", "/healthz", b"")), 503);
 }
 
+/// The number of sockets that a process has open. Other descriptors, such as those of the reactor,
+/// timers and pipes, do not count.
+fn open_sockets(process: u32) -> usize {
+    let descriptors = std::fs::read_dir(format!("/proc/{process}/fd"));
+    let links = descriptors.expect("the program runs").flatten();
+    let targets = links.filter_map(|link| std::fs::read_link(link.path()).ok());
+    let sockets = targets.filter(|to| to.to_string_lossy().starts_with("socket:"));
+    sockets.count()
+}
+
+/// Guards against sockets that stay open after the program has decided to close them: in a burst
+/// of connections the closed ones waited for their tasks to run again, and the program had more
+/// sockets open than its limit.
+#[test]
+fn the_socket_limit_holds_at_every_moment_of_a_burst() {
+    let running = start(120);
+    let process = running.child.id();
+    let addr = running.public;
+    let burst = std::thread::spawn(move || {
+        let mut connections = Vec::new();
+        for _ in 0..2000 {
+            let mut stream = TcpStream::connect(addr).expect("a connection");
+            let _ = stream.write_all(b"POST /checkin HTTP/1.1\r\nhost: x\r\ncontent-le");
+            connections.push(stream);
+        }
+    });
+    let mut most = 0;
+    while !burst.is_finished() {
+        most = most.max(open_sockets(process));
+    }
+    burst.join().expect("all connections were accepted");
+    assert!((60..=120).contains(&most), "{most} open");
+}
+
 /// Guards against running out of sockets: abandoned connections of workers and silent
 /// connections once occupied all of them, and users and probes were accepted and dropped until
 /// those connections were closed.
@@ -283,12 +317,8 @@
     }
     assert_eq!(connections.len(), 400);
     // The program must still accept connections (at least 60 are open) and keep its limit of 120
-    // sockets. Other descriptors, such as those of the reactor, timers and pipes, do not count.
-    let descriptors = std::fs::read_dir(format!("/proc/{}/fd", running.child.id()));
-    let links = descriptors.expect("the program runs").flatten();
-    let targets = links.filter_map(|link| std::fs::read_link(link.path()).ok());
-    let open = targets.filter(|to| to.to_string_lossy().starts_with("socket:"));
-    let open = open.count();
+    // sockets.
+    let open = open_sockets(running.child.id());
     assert!((60..=120).contains(&open), "{open} open");
     let internal = running.internal;
     assert_eq!(status(internal, &request("GET", "/level", b"")), 200);
