--- a/crates/testkit/src/evidence.rs
+++ b/crates/testkit/src/evidence.rs
@@ -54,6 +54,9 @@
 pub struct Evidence {
     /// Number of requests for changes that the state service no longer kept.
     pub too_old: usize,
+    /// Number of pages of a list that were read after a block was leased and a task record written
+    /// since the page was requested, see [`crate::Fault::ReadAcrossMoves`].
+    pub pages_across_moves: usize,
     /// Times at which a controller became leader, and its index.
     pub leader_changes: Vec<(Duration, usize)>,
     /// Times at which a controller process started, and its index.
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -301,6 +301,18 @@
         /// Time of the event.
         at: Duration,
     },
+    /// One controller cannot renew its membership lease, and reads all records while its blocks
+    /// are leased to others. Its reads are held back until shortly before the lease expires, and
+    /// the second and later pages until a block was leased and a task record written since the
+    /// page before; each read for at most [`MAX_PAGE_DELAY`].
+    ReadAcrossMoves {
+        /// Index of the controller.
+        node: usize,
+        /// Start of the fault.
+        from: Duration,
+        /// End of the fault.
+        until: Duration,
+    },
     /// All answers of the state service are delayed.
     SlowState {
         /// Added delay.
@@ -387,6 +399,7 @@
             | Self::WorkerHang { from, until, .. }
             | Self::CutPeers { from, until, .. }
             | Self::ZoneCut { from, until, .. }
+            | Self::ReadAcrossMoves { from, until, .. }
             | Self::SlowState { from, until, .. }
             | Self::DelayedOrders { from, until, .. }
             | Self::RequestsAtJobEnd { from, until, .. }
@@ -433,6 +446,9 @@
 /// Maximum delay of a direct order under [`Fault::DelayedOrders`].
 pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(16);
 
+/// Maximum delay of a read under [`Fault::ReadAcrossMoves`]; a controller waits 1.5 s for it.
+pub const MAX_PAGE_DELAY: Duration = Duration::from_millis(1200);
+
 /// Time until a killed controller restarts, unless the fault sets another.
 pub const RESTART_DELAY: Duration = Duration::from_secs(5);
 
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -8,6 +8,7 @@
 mod machines;
 mod network;
 mod outcome;
+mod page_reads;
 mod processes;
 mod setup;
 mod unusual_requests;
@@ -45,6 +46,7 @@
 use checks::{LastAnswers, TeamUsage, WaitingJobs};
 use follow_ups::FollowUpAnswer;
 use machines::is_selected;
+use page_reads::DelayedRead;
 use setup::{draw_pipelines, draw_user, settings};
 use unusual_requests::InvalidSubmission;
 
@@ -211,6 +213,8 @@
     dead_machines: BTreeSet<String>,
     watches: Vec<(usize, u64, CallId, u64)>,
     open_calls: BTreeSet<(usize, u64, CallId)>,
+    /// Reads of records that are held back, by controller, incarnation and call.
+    delayed_reads: BTreeMap<(usize, u64, CallId), DelayedRead>,
     /// Calls to the state service by controllers that still used the format before
     /// `FormatLevel::PIPELINES`.
     old_format_calls: BTreeSet<(usize, u64, CallId)>,
@@ -340,6 +344,7 @@
             dead_machines: BTreeSet::new(),
             watches: Vec::new(),
             open_calls: BTreeSet::new(),
+            delayed_reads: BTreeMap::new(),
             old_format_calls: BTreeSet::new(),
             pending_requests: BTreeMap::new(),
             report_connections: BTreeMap::new(),
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -486,7 +486,12 @@
         let id = call.id;
         match call.to.clone() {
             Target::State => {
-                if self.is_state_out() || self.is_refused_by_state(node) {
+                if let Some(at) = self.read_delayed_until(node, incarnation, &call) {
+                    return self.schedule(at, Event::CallArrives(node, incarnation, call));
+                }
+                let refused =
+                    self.is_refused_by_state(node) || self.is_renewal_refused(node, &call);
+                if self.is_state_out() || refused {
                     return self.answer_state_call(node, incarnation, id, 503, Vec::new());
                 }
                 let lost = call.path == "/multi" && self.draw_lost_answer();
