--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -54,6 +54,10 @@
 const STRAY_WINDOW: Duration = Duration::from_secs(7);
 /// A stray that reports again within this time has not been redirected in between.
 const MIN_REDIRECT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time window in which the moves of blocks are bounded.
+const MOVES_WINDOW: Duration = Duration::from_secs(60);
+/// Maximum number of moves in the window, for each block.
+const MAX_MOVES_PER_BLOCK: usize = 2;
 /// Upper bounds for the strays of a block: how many are needed to move it from a holder that
 /// hears none of its workers, and how many are sent to peers. The latter also bounds how many
 /// repeated strays are needed to move it from another holder.
@@ -737,17 +741,10 @@
         if strays.is_empty() {
             return Vec::new();
         }
-        let minute = Duration::from_secs(60);
-        while self
-            .recent_moves
-            .front()
-            .is_some_and(|at| now > *at + minute)
-        {
-            self.recent_moves.pop_front();
-        }
+        let may_move = self.remaining_moves(now, blocks.len());
         let mut moves = Vec::new();
         for block in blocks {
-            if self.recent_moves.len() >= 2 * blocks.len() {
+            if moves.len() >= may_move {
                 break;
             }
             let block_strays = strays
@@ -794,6 +791,19 @@
         moves
     }
 
+    /// How many more blocks may be moved now, so that flapping links move at most
+    /// [`MAX_MOVES_PER_BLOCK`] times the number of blocks in [`MOVES_WINDOW`].
+    fn remaining_moves(&mut self, now: Duration, blocks: usize) -> usize {
+        while self
+            .recent_moves
+            .front()
+            .is_some_and(|at| now > *at + MOVES_WINDOW)
+        {
+            self.recent_moves.pop_front();
+        }
+        (MAX_MOVES_PER_BLOCK * blocks).saturating_sub(self.recent_moves.len())
+    }
+
     /// Updates how many workers each holder that hears none of them can miss. Machines that join
     /// the block later do not count: they were never heard, so their silence proves nothing.
     fn update_missed_workers(&mut self, us: &str, blocks: &[BlockStatus]) {
--- a/crates/core/src/reachability/tests.rs
+++ b/crates/core/src/reachability/tests.rs
@@ -314,6 +314,36 @@
     assert!(moved.len() > 8 && most.max() <= Some(2), "{moved:?}");
 }
 
+/// Two blocks are to be moved in one pass when the bound allows one more move.
+#[test]
+fn one_pass_keeps_the_bound_on_moves_in_a_minute() {
+    let (mut reach, now) = (leader(), ms(60_000));
+    reach.record_lease(ms(0), 2, 8);
+    for (id, term) in [(1, 7), (2, 8)] {
+        for machine in 0..3 {
+            reach.record_stray(
+                now,
+                &report(10 * id as usize + machine, term),
+                (id, term),
+                "n-1",
+            );
+        }
+    }
+    reach.receive_message(now, message(vec![1, 2]));
+    let statuses = [(1, 7), (2, 8)].map(|(id, term)| BlockStatus {
+        id,
+        term,
+        ..block(9)[0].clone()
+    });
+    assert_eq!(reach.blocks_to_move(now, "n-0", &statuses).len(), 2);
+    for _ in 0..3 {
+        reach.record_move(now, "n-1", "a", true);
+    }
+    assert_eq!(reach.blocks_to_move(now, "n-0", &statuses).len(), 1);
+    reach.record_move(now, "n-1", "a", true);
+    assert_eq!(reach.blocks_to_move(now, "n-0", &statuses), []);
+}
+
 /// This controller's records are behind: the worker knows a lease that is not seen here yet.
 /// It was redirected to the previous holder.
 #[test]
