--- a/crates/cwl/src/command.rs
+++ b/crates/cwl/src/command.rs
@@ -337,38 +337,50 @@
         Value::Object(map) if map.contains_key("class") => {
             let path = name.unwrap_or_else(|| basename(value).to_owned());
             let source = source_of(map, class_of(value) == Some("Directory"));
-            if !is_relative_path(&path) {
-                return Err(format!("a relative file name is expected, not `{path}`"));
-            }
-            staged.push(Staged {
-                path,
-                source,
-                writable,
-            });
-            Ok(())
+            stage_at(path, source, writable, staged)
         }
         // A `Dirent` (`entryname` and `entry`) as the result of an expression.
         Value::Object(map) if map.contains_key("entry") => {
-            let name = map.get("entryname").and_then(Value::as_str);
-            let writable = map.get("writable").and_then(Value::as_bool);
+            let name = match map.get("entryname") {
+                None | Some(Value::Null) => None,
+                Some(Value::String(name)) => Some(name.clone()),
+                Some(other) => return Err(format!("`entryname` has to be a string, not {other}")),
+            };
+            let writable = match map.get("writable") {
+                None | Some(Value::Null) => false,
+                Some(Value::Bool(writable)) => *writable,
+                Some(other) => return Err(format!("`writable` has to be a boolean, not {other}")),
+            };
             let entry = map.get("entry").unwrap_or(&Value::Null);
-            let name = name.map(str::to_owned);
-            stage_value(entry, name, writable.unwrap_or(false), staged)
+            stage_value(entry, name, writable, staged)
         }
         other => {
             let Some(path) = name else {
                 return Err("a text entry needs an `entryname`".into());
             };
-            staged.push(Staged {
-                path,
-                source: StagedSource::Text(to_word(other)),
-                writable,
-            });
-            Ok(())
+            stage_at(path, StagedSource::Text(to_word(other)), writable, staged)
         }
     }
 }
 
+/// Stages a source at a path below the working directory.
+fn stage_at(
+    path: String,
+    source: StagedSource,
+    writable: bool,
+    staged: &mut Vec<Staged>,
+) -> Result<(), String> {
+    if !is_relative_path(&path) {
+        return Err(format!("a relative file name is expected, not `{path}`"));
+    }
+    staged.push(Staged {
+        path,
+        source,
+        writable,
+    });
+    Ok(())
+}
+
 /// A word of a command line.
 #[derive(Clone, Debug, PartialEq)]
 struct Word {
--- a/crates/cwl/tests/meaning.rs
+++ b/crates/cwl/tests/meaning.rs
@@ -341,6 +341,41 @@
     }
 }
 
+/// A `Dirent` that an expression returned was staged outside the working directory, and one whose
+/// fields have the wrong type lost them without an error.
+#[test]
+fn entries_from_expressions_are_checked_like_written_ones() {
+    let cases = [
+        (r#"{entryname: "../x", entry: "y"}"#, "a relative file name"),
+        (r#"{entryname: "/etc/x", entry: 5}"#, "a relative file name"),
+        (r#"{entryname: "", entry: "y"}"#, "a relative file name"),
+        (
+            r#"{entryname: 5, entry: "y"}"#,
+            "`entryname` has to be a string",
+        ),
+        (
+            r#"{entryname: "x", entry: "y", writable: "no"}"#,
+            "`writable` has to be a boolean",
+        ),
+    ];
+    let command_line = |entry: &str| {
+        let text = format!(
+            "baseCommand: x\ninputs: []\noutputs: []\nrequirements:\n  InlineJavascriptRequirement: {{}}\n  InitialWorkDirRequirement: {{listing: '${{return [{entry}];}}'}}\n"
+        );
+        command::build_command_line(&tool(&text), &Object::default(), &Engine::default())
+    };
+    for (entry, expected) in cases {
+        let fault = command_line(entry).expect_err(entry).to_string();
+        assert!(fault.contains(expected), "{entry}: {fault}");
+    }
+    let valid = command_line(r#"{entryname: "a/x", entry: "y", writable: null}"#);
+    let staged = valid.expect("a command").staged;
+    assert_eq!(
+        (staged[0].path.as_str(), staged[0].writable),
+        ("a/x", false)
+    );
+}
+
 /// An output directory in memory.
 struct MemoryDir(BTreeMap<&'static str, &'static str>);
 
