--- /dev/null
+++ b/crates/workflow/src/sweep/tests.rs
@@ -0,0 +1,47 @@
+use super::*;
+use crate::records::RunState;
+
+#[test]
+fn the_run_record_is_removed_last() {
+    let mut sweeps = Sweeps::new(Duration::from_secs(100));
+    let id = RunId {
+        range: 1,
+        number: 2,
+    };
+    let mut record = RunRecord {
+        state: RunState::Complete,
+        begun_s: 10,
+        ended_s: Some(50),
+        pieces: 2,
+        outputs: 1,
+        failure: None,
+    };
+    sweeps.consider(id, &record, 149);
+    assert_eq!(sweeps.next_step(3), None);
+    record.state = RunState::Failing;
+    sweeps.consider(id, &record, 500);
+    assert_eq!(sweeps.next_step(3), None);
+    record.state = RunState::ExecutorError;
+    sweeps.consider(id, &record, 150);
+    assert_eq!(sweeps.next_step(3), Some(SweepStep::ListJobs(id, None)));
+    assert_eq!(sweeps.next_step(3), None);
+    let job = Item {
+        key: piece_key('j', id, 0),
+        value: rmpv::Value::Nil,
+        version: 1,
+    };
+    sweeps.jobs_listed(id, Some((&[job], false)));
+    let mut removed = Vec::new();
+    while let Some(SweepStep::Remove(_, changes)) = sweeps.next_step(4) {
+        sweeps.removal_answered(id, Some(changes.len()));
+        removed.extend(changes.into_iter().map(|c| match c {
+            Change::Delete { key } => key,
+            other => panic!("{other:?}"),
+        }));
+    }
+    let t = |i| piece_key('t', id, i);
+    let last = [run_key('c', id), run_key('r', id)];
+    let mut all = vec![piece_key('j', id, 0), t(2), t(1), t(0)];
+    all.extend(last);
+    assert_eq!(removed, all);
+}
