--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -26,9 +26,12 @@
 //! not move blocks back and forth.
 
 mod block_liveness;
+mod held_reports;
+mod move_limits;
+mod peer_reports;
 
 use std::{
-    collections::{BTreeMap, BTreeSet, VecDeque},
+    collections::{BTreeMap, BTreeSet},
     time::Duration,
 };
 
@@ -42,6 +45,9 @@
     records::{BlockId, Term},
 };
 use block_liveness::{BlockLiveness, chance_silence_limit};
+use held_reports::HeldReports;
+use move_limits::MoveLimits;
+use peer_reports::{MESSAGE_LIFETIME, PeerReports};
 
 /// Minimum time between two evaluations of all held blocks.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
@@ -54,10 +60,6 @@
 const STRAY_WINDOW: Duration = Duration::from_secs(7);
 /// A stray that reports again within this time has not been redirected in between.
 const MIN_REDIRECT_INTERVAL: Duration = Duration::from_secs(1);
-/// Time window in which the moves of blocks are bounded.
-const MOVES_WINDOW: Duration = Duration::from_secs(60);
-/// Maximum number of moves in the window, for each block.
-const MAX_MOVES_PER_BLOCK: usize = 2;
 /// Upper bounds for the strays of a block: how many are needed to move it from a holder that
 /// hears none of its workers, and how many are sent to peers. The latter also bounds how many
 /// repeated strays are needed to move it from another holder.
@@ -68,20 +70,12 @@
 /// How long it waits for newer records if its holder would not answer at all: a second less
 /// than its worker waits for an answer.
 const RECORDS_WAIT_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long a reachability message of a peer stays valid.
-const MESSAGE_LIFETIME: Duration = Duration::from_secs(3);
 /// Minimum time between reachability messages to the peers: without and with changes since
 /// the last one.
 const MESSAGE_INTERVAL: Duration = Duration::from_secs(1);
 const CHANGE_MESSAGE_INTERVAL: Duration = Duration::from_millis(100);
 /// How many empty messages follow the last one with content, as a message may be lost.
 const EMPTY_MESSAGE_REPEATS: u8 = 5;
-/// How long the unreached zones from a peer's last message stay valid.
-const UNREACHED_LIFETIME: Duration = Duration::from_secs(60);
-/// How long a controller gets no blocks of a zone after it lost one there because of strays
-/// alone; doubled each time.
-const INITIAL_BACKOFF: Duration = Duration::from_secs(20);
-const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// Minimum time between two resignations from leadership.
 const RESIGN_INTERVAL: Duration = Duration::from_secs(30);
 /// Probes of machines in an unreached zone: their interval, how many machines are probed at a
@@ -181,16 +175,8 @@
     /// saw the message without them before the new lease redirected their workers back here.
     lost_unheard: BTreeMap<BlockId, Duration>,
     unreached_zones: BTreeMap<String, UnreachedZone>,
-    /// The last message of each peer, and when it arrived.
-    peer_messages: BTreeMap<String, (Duration, ReachabilityMessage)>,
-    /// When the strays named in these messages reported last, by machine.
-    strays_at_peers: BTreeMap<String, Duration>,
-    /// The unreached zones from each peer's last message, with its arrival time and the
-    /// peer's incarnation. They outlive the message, as a peer that loses more links can't
-    /// repeat it.
-    peer_unreached_zones: BTreeMap<String, (Duration, u64, Vec<String>)>,
-    /// Reports of strays that are held, each with its deadline.
-    waiting_reports: Vec<(ConnId, Report, Duration)>,
+    peer_reports: PeerReports,
+    held_reports: HeldReports,
     evaluated_at: Duration,
     message_sent_at: Duration,
     /// Whether something has changed since the last message.
@@ -202,11 +188,7 @@
     missed_workers: BTreeMap<BlockId, (Term, usize)>,
     /// The term of each block's current lease, and when it was first seen.
     lease_times: BTreeMap<BlockId, (Term, Duration)>,
-    /// By controller and zone: until when the controller gets no blocks there, and how often
-    /// its next backoff is doubled.
-    backoff: BTreeMap<(String, String), (Duration, u32)>,
-    /// When blocks were moved within the last minute.
-    recent_moves: VecDeque<Duration>,
+    move_limits: MoveLimits,
     resigned_at: Option<Duration>,
 }
 
@@ -219,18 +201,15 @@
             blocks: BTreeMap::new(),
             lost_unheard: BTreeMap::new(),
             unreached_zones: BTreeMap::new(),
-            peer_messages: BTreeMap::new(),
-            strays_at_peers: BTreeMap::new(),
-            peer_unreached_zones: BTreeMap::new(),
-            waiting_reports: Vec::new(),
+            peer_reports: PeerReports::default(),
+            held_reports: HeldReports::default(),
             evaluated_at: Duration::ZERO,
             message_sent_at: Duration::ZERO,
             has_changes: false,
             empty_messages_left: 0,
             missed_workers: BTreeMap::new(),
             lease_times: BTreeMap::new(),
-            backoff: BTreeMap::new(),
-            recent_moves: VecDeque::new(),
+            move_limits: MoveLimits::default(),
             resigned_at: None,
         }
     }
@@ -292,7 +271,7 @@
         let others = self.strays.iter().filter(|(name, s)| {
             *name != machine && s.term == term && s.settled && now < s.at + STRAY_WINDOW
         });
-        if report.token > term || self.peer_reports_unheard(holder, block) {
+        if report.token > term || self.peer_reports.is_unheard_by(holder, block) {
             StrayAction::AwaitRecords
         } else if repeated || (settled && others.count() > 0) {
             StrayAction::AwaitLease
@@ -324,8 +303,7 @@
         action: StrayAction,
     ) {
         let wait_timeout = action.wait_timeout().unwrap_or_default();
-        self.waiting_reports
-            .push((conn, report, now + wait_timeout));
+        self.held_reports.hold(conn, report, now + wait_timeout);
     }
 
     /// Removes and returns the held reports whose block has been leased anew or whose deadline
@@ -336,21 +314,12 @@
         now: Duration,
         moved: impl Fn(&str, Term) -> bool,
     ) -> Vec<(ConnId, Report)> {
-        if self.waiting_reports.is_empty() {
-            return Vec::new();
-        }
         let strays = &self.strays;
-        let is_over = |(_, report, until): &(ConnId, Report, Duration)| {
-            let term = strays.get(&report.machine).map(|s| s.term);
-            now >= *until || term.is_none_or(|term| moved(&report.machine, term))
+        let is_moved = |machine: &str| {
+            let stray = strays.get(machine);
+            stray.is_none_or(|stray| moved(machine, stray.term))
         };
-        let (over, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting_reports)
-            .into_iter()
-            .partition(is_over);
-        self.waiting_reports = wait;
-        over.into_iter()
-            .map(|(conn, report, _)| (conn, report))
-            .collect()
+        self.held_reports.take_due(now, is_moved)
     }
 
     /// Records a direct report of a worker; ignored unless this controller holds the block.
@@ -477,17 +446,8 @@
             unreached.is_unreached() || hears_no_worker
         });
         self.strays.retain(|_, s| now <= s.at + STRAY_LIFETIME);
-        let messages = self.peer_messages.len();
-        self.peer_messages
-            .retain(|_, (at, _)| now < *at + MESSAGE_LIFETIME);
-        if self.peer_messages.len() < messages {
-            self.index_peer_strays();
-        }
-        self.peer_unreached_zones
-            .retain(|_, (at, ..)| now < *at + UNREACHED_LIFETIME);
-        let max_backoff = INITIAL_BACKOFF * 2u32.pow(MAX_BACKOFF_DOUBLINGS);
-        self.backoff
-            .retain(|_, (until, _)| now < *until + max_backoff);
+        self.peer_reports.expire(now);
+        self.move_limits.expire(now);
     }
 
     /// The blocks that this controller holds and that have machines.
@@ -541,23 +501,13 @@
 
     /// Takes in a reachability message of a peer.
     pub fn receive_message(&mut self, now: Duration, message: ReachabilityMessage) {
-        let from = message.from.clone();
-        if message.unreached_zones.is_empty() {
-            self.peer_unreached_zones.remove(&from);
-        } else {
-            let zones = message.unreached_zones.clone();
-            let reported = (now, message.incarnation, zones);
-            self.peer_unreached_zones.insert(from.clone(), reported);
-        }
-        self.peer_messages.insert(from, (now, message));
-        self.index_peer_strays();
+        self.peer_reports.receive(now, message);
     }
 
     /// Forgets the unreached zones that earlier incarnations of peers reported: a restarted
     /// process has other links. `alive` gives the incarnation of a peer that is up.
     pub fn forget_previous_incarnations(&mut self, alive: impl Fn(&str) -> Option<u64>) {
-        self.peer_unreached_zones
-            .retain(|node, (_, reported, _)| alive(node).is_none_or(|now| now == *reported));
+        self.peer_reports.forget_previous_incarnations(alive);
     }
 
     /// Whether a controller reports that it does not reach some zone, or that it hears none of a
@@ -565,10 +515,7 @@
     pub fn is_suspect(&self, us: &str, node: &str) -> bool {
         let hears_none = match node == us {
             true => self.blocks.values().any(|b| b.unheard),
-            false => {
-                let message = self.peer_messages.get(node);
-                message.is_some_and(|(_, message)| !message.unheard_blocks.is_empty())
-            }
+            false => self.peer_reports.has_unheard_block(node),
         };
         hears_none || !self.zones_unreached_by(us, node).is_empty()
     }
@@ -627,12 +574,7 @@
     fn zones_unreached_by(&self, us: &str, node: &str) -> Vec<&String> {
         match node == us {
             true => self.unreached_zone_names().collect(),
-            false => {
-                let reported = self.peer_unreached_zones.get(node);
-                reported
-                    .map(|(_, _, zones)| zones.iter().collect())
-                    .unwrap_or_default()
-            }
+            false => self.peer_reports.zones_unreached_by(node).iter().collect(),
         }
     }
 
@@ -667,13 +609,7 @@
     /// The strays that this controller and its peers have seen.
     fn known_strays(&self, now: Duration) -> Vec<StrayWorker> {
         let mut strays = self.strays_to_report(now);
-        for (at, message) in self.peer_messages.values() {
-            let since = now.saturating_sub(*at).as_millis() as u64;
-            strays.extend(message.strays.iter().cloned().map(|s| StrayWorker {
-                ago_ms: s.ago_ms + since,
-                ..s
-            }));
-        }
+        strays.extend(self.peer_reports.strays(now));
         strays
     }
 
@@ -684,21 +620,13 @@
             .zones_unreached_by(us, node)
             .into_iter()
             .any(|z| z == zone);
-        let backoff = self.backoff.get(&(node.to_owned(), zone.to_owned()));
-        !reports_unreached && backoff.is_none_or(|(until, _)| now >= *until)
-    }
-
-    /// Whether a peer reports that it hears none of a block's workers.
-    fn peer_reports_unheard(&self, node: &str, block: BlockId) -> bool {
-        let message = self.peer_messages.get(node);
-        message.is_some_and(|(_, message)| message.unheard_blocks.contains(&block))
+        !reports_unreached && !self.move_limits.is_in_backoff(now, node, zone)
     }
 
     /// Whether this controller, or any peer in its last message, hears none of a block's
     /// workers.
     pub fn is_reported_unheard(&self, block: BlockId) -> bool {
-        let mut messages = self.peer_messages.values();
-        self.is_unheard(block) || messages.any(|(_, w)| w.unheard_blocks.contains(&block))
+        self.is_unheard(block) || self.peer_reports.is_unheard(block)
     }
 
     /// Whether a machine recently reported to this controller or a peer that does not hold it.
@@ -711,20 +639,7 @@
     pub fn last_stray_at(&self, now: Duration, machine: &str) -> Option<Duration> {
         let ours = self.strays.get(machine).map(|s| s.at);
         let ours = ours.filter(|at| now <= *at + STRAY_LIFETIME);
-        ours.max(self.strays_at_peers.get(machine).copied())
-    }
-
-    /// Rebuilds the index of strays that the messages of peers name.
-    fn index_peer_strays(&mut self) {
-        self.strays_at_peers.clear();
-        for (at, message) in self.peer_messages.values() {
-            for stray in &message.strays {
-                let reported_at = at.saturating_sub(Duration::from_millis(stray.ago_ms));
-                let last = self.strays_at_peers.entry(stray.machine.clone());
-                let last = last.or_insert(reported_at);
-                *last = reported_at.max(*last);
-            }
-        }
+        ours.max(self.peer_reports.last_stray_at(machine))
     }
 
     /// For the leader: the blocks whose workers do not reach their holder, by the evidence of
@@ -741,7 +656,7 @@
         if strays.is_empty() {
             return Vec::new();
         }
-        let may_move = self.remaining_moves(now, blocks.len());
+        let may_move = self.move_limits.remaining_moves(now, blocks.len());
         let mut moves = Vec::new();
         for block in blocks {
             if moves.len() >= may_move {
@@ -791,19 +706,6 @@
         moves
     }
 
-    /// How many more blocks may be moved now, so that flapping links move at most
-    /// [`MAX_MOVES_PER_BLOCK`] times the number of blocks in [`MOVES_WINDOW`].
-    fn remaining_moves(&mut self, now: Duration, blocks: usize) -> usize {
-        while self
-            .recent_moves
-            .front()
-            .is_some_and(|at| now > *at + MOVES_WINDOW)
-        {
-            self.recent_moves.pop_front();
-        }
-        (MAX_MOVES_PER_BLOCK * blocks).saturating_sub(self.recent_moves.len())
-    }
-
     /// Updates how many workers each holder that hears none of them can miss. Machines that join
     /// the block later do not count: they were never heard, so their silence proves nothing.
     fn update_missed_workers(&mut self, us: &str, blocks: &[BlockStatus]) {
@@ -825,23 +727,17 @@
     pub fn holder_hears_none(&self, us: &str, holder: &str, block: BlockId) -> bool {
         match holder == us {
             true => self.blocks.get(&block).is_some_and(|b| b.unheard),
-            false => self.peer_reports_unheard(holder, block),
+            false => self.peer_reports.is_unheard_by(holder, block),
         }
     }
 
     /// Records that a block was leased away from its holder because of cut links, and starts or
     /// doubles the holder's backoff in the zone if the evidence was strays alone.
     pub fn record_move(&mut self, now: Duration, holder: &str, zone: &str, unheard: bool) {
-        self.recent_moves.push_back(now);
-        if unheard {
-            // A holder that hears none of them reports itself when it reaches the zone again.
-            return;
-        }
-        let key = (holder.to_owned(), zone.to_owned());
-        let (until, times) = self.backoff.entry(key).or_default();
-        if now >= *until {
-            *until = now + INITIAL_BACKOFF * 2u32.pow(*times);
-            *times = (*times + 1).min(MAX_BACKOFF_DOUBLINGS);
+        self.move_limits.record_move(now);
+        // A holder that hears none of them reports itself when it reaches the zone again.
+        if !unheard {
+            self.move_limits.back_off(now, holder, zone);
         }
     }
 
