--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -656,12 +656,12 @@
         if strays.is_empty() {
             return Vec::new();
         }
-        let may_move = self.move_limits.remaining_moves(now, blocks.len());
+        // One pass may exceed the limit, since its moves are recorded after it.
+        if self.move_limits.remaining_moves(now, blocks.len()) == 0 {
+            return Vec::new();
+        }
         let mut moves = Vec::new();
         for block in blocks {
-            if moves.len() >= may_move {
-                break;
-            }
             let block_strays = strays
                 .iter()
                 .filter(|s| (s.block, s.term) == (block.id, block.term));
