--- a/crates/core/src/failed_placements.rs
+++ b/crates/core/src/failed_placements.rs
@@ -2,7 +2,7 @@
 //!
 //! Without it a task that fits nowhere was tried again at each input, against every machine
 //! of its block. With a few dozen such tasks this took a fifth of a controller's processor
-//! time on ordinary days, most of it while the controller was already behind.
+//! time in normal operation, most of it while the controller was already behind.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/core/src/starvation.rs
+++ b/crates/core/src/starvation.rs
@@ -22,7 +22,7 @@
 /// Time without a task after which a job counts as starved.
 const STARVED_AFTER_S: f64 = 45.0;
 /// Share of a team's limit that starved jobs may use. With a share of 0.1, and jobs starved
-/// after 40 s, 2% fewer jobs were completed on crowded days.
+/// after 40 s, 2% fewer jobs were completed under overload.
 const STARVED_JOBS_SHARE: f64 = 0.06;
 /// Time over which a team's unused share accumulates.
 const CREDIT_WINDOW_S: f64 = 1.0;
--- a/crates/testkit/src/parallel.rs
+++ b/crates/testkit/src/parallel.rs
@@ -6,9 +6,9 @@
     thread,
 };
 
-/// Calls `play` for each seed, with one thread per processor; a panic in any call is
+/// Calls `run` for each seed, with one thread per processor; a panic in any call is
 /// propagated.
-pub fn run_seeds_in_parallel(seeds: Range<u64>, play: impl Fn(u64) + Sync) {
+pub fn run_seeds_in_parallel(seeds: Range<u64>, run: impl Fn(u64) + Sync) {
     let next = AtomicU64::new(seeds.start);
     let threads = thread::available_parallelism().map_or(1, usize::from);
     thread::scope(|scope| {
@@ -19,7 +19,7 @@
                     if seed >= seeds.end {
                         break;
                     }
-                    play(seed);
+                    run(seed);
                 }
             });
         }
