--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a running controller.
+//! `oliveshift admin`: operator requests to a running controller.
 
 use std::{net::SocketAddrV4, process::ExitCode, time::Duration};
 
@@ -13,111 +13,111 @@
 
 use crate::client::Client;
 
-/// When to give a controller up.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a controller may take to answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What an operator may ask.
+/// Operator commands.
 #[derive(Debug, Subcommand)]
 pub enum Admin {
-    /// Tells how far an upgrade is, or ends the wait for a controller.
+    /// Shows the progress of an upgrade, or stops waiting for a controller.
     Upgrade(Upgrade),
 }
 
-/// How far an upgrade is.
+/// Shows the progress of an upgrade, or stops waiting for a controller.
 #[derive(Debug, Args)]
 pub struct Upgrade {
     /// The internal address of a controller.
     #[arg(long, value_name = "HOST:PORT")]
     at: SocketAddrV4,
-    /// Says that this controller never comes back with an old program, so that
-    /// the others need not wait for it.
+    /// States that this controller never returns with an old program version, so that the
+    /// upgrade does not wait for it.
     #[arg(long, value_name = "NAME")]
     without: Option<String>,
-    /// Prints JSON, for programs.
+    /// Prints JSON.
     #[arg(long)]
     json: bool,
 }
 
-/// Why there is no result.
+/// Why a command failed.
 #[derive(Debug, Error)]
-enum Failure {
-    #[error("{0} can not be reached")]
-    Unreached(SocketAddrV4),
+enum AdminError {
+    #[error("{0} cannot be reached")]
+    Unreachable(SocketAddrV4),
     #[error("{0} refuses: {1}")]
     Refused(SocketAddrV4, String),
-    #[error("{0} answers what this program can not read: {1}")]
+    #[error("{0} sent an answer that cannot be parsed: {1}")]
     Unreadable(SocketAddrV4, serde_json::Error),
 }
 
-impl Failure {
-    fn code(&self) -> u8 {
+impl AdminError {
+    fn exit_code(&self) -> u8 {
         match self {
             Self::Refused(..) => 1,
-            Self::Unreached(_) => 4,
+            Self::Unreachable(_) => 4,
             Self::Unreadable(..) => 5,
         }
     }
 }
 
-/// Carries a command out.
+/// Runs an operator command.
 pub fn run(command: &Admin) -> ExitCode {
     let Admin::Upgrade(upgrade) = command;
-    match upgrade.carry_out() {
+    match upgrade.execute() {
         Ok(text) => {
             println!("{text}");
             ExitCode::SUCCESS
         }
         Err(e) => {
             eprintln!("oliveshift: {e}");
-            ExitCode::from(e.code())
+            ExitCode::from(e.exit_code())
         }
     }
 }
 
 impl Upgrade {
-    fn carry_out(&self) -> Result<String, Failure> {
-        let unreadable = |e| Failure::Unreadable(self.at, e);
+    fn execute(&self) -> Result<String, AdminError> {
+        let unreadable = |e| AdminError::Unreadable(self.at, e);
         if let Some(node) = &self.without {
-            let wish = WriteOff {
+            let write_off = WriteOff {
                 without: node.clone(),
             };
-            let body = serde_json::to_vec(&wish).map_err(unreadable)?;
-            self.ask(Method::Post, body)?;
+            let body = serde_json::to_vec(&write_off).map_err(unreadable)?;
+            self.send(Method::Post, body)?;
         }
-        let answer = self.ask(Method::Get, Vec::new())?;
+        let answer = self.send(Method::Get, Vec::new())?;
         let status: UpgradeStatus = serde_json::from_slice(&answer).map_err(unreadable)?;
         if self.json {
             serde_json::to_string_pretty(&status).map_err(unreadable)
         } else {
-            Ok(table(&status))
+            Ok(format_status(&status))
         }
     }
 
-    fn ask(&self, method: Method, body: Vec<u8>) -> Result<Vec<u8>, Failure> {
+    fn send(&self, method: Method, body: Vec<u8>) -> Result<Vec<u8>, AdminError> {
         let call = Call {
             id: 0,
             to: Target::Peer(String::new()),
             method,
             path: "/admin/upgrade".into(),
             body,
-            timeout: TIMEOUT,
+            timeout: ANSWER_TIMEOUT,
         };
         match block_on(Client::default().call(self.at.into(), &call)) {
             Reply::Answer { status: 200, body } => Ok(body),
             Reply::Answer { status, body } => {
                 let refusal = serde_json::from_slice::<Refusal>(&body);
-                let why = refusal.map_or_else(|_| format!("status {status}"), |r| r.error);
-                Err(Failure::Refused(self.at, why))
+                let reason = refusal.map_or_else(|_| format!("status {status}"), |r| r.error);
+                Err(AdminError::Refused(self.at, reason))
             }
-            Reply::NotSent | Reply::Lost => Err(Failure::Unreached(self.at)),
+            Reply::NotSent | Reply::Lost => Err(AdminError::Unreachable(self.at)),
         }
     }
 }
 
-fn table(status: &UpgradeStatus) -> String {
+fn format_status(status: &UpgradeStatus) -> String {
     let mut lines = vec![
         format!(
-            "{} runs a program of level {}; the records are of level {}.",
+            "{} supports record format level {}; records are written at level {}.",
             status.node, status.program, status.format
         ),
         format!("leader: {}", status.leader.as_deref().unwrap_or("none")),
@@ -127,9 +127,9 @@
     for controller in &status.controllers {
         let state = if controller.up { "up" } else { "down" };
         let level = match controller.level {
-            _ if controller.written_off => "never comes back".to_owned(),
+            _ if controller.written_off => "written off (never returns)".to_owned(),
             Some(level) => level.to_string(),
-            None => "not known".to_owned(),
+            None => "unknown".to_owned(),
         };
         lines.push(format!("{:<20} {state:<6} {level}", controller.node));
     }
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests that we make, over connections kept open.
+//! An HTTP client that keeps idle connections open for reuse.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,86 +17,90 @@
 
 use crate::stream::Stream;
 
-/// For how long a connection without use is kept.
-const KEEP: Duration = Duration::from_secs(20);
-/// Most idle connections to one address.
-const KEEP_MOST: usize = 6;
+/// How long an unused connection is kept open.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of idle connections to one address.
+const MAX_IDLE_PER_ADDRESS: usize = 6;
 
-/// A connection not in use.
+/// A connection that is not in use.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     stream: Stream,
-    lane: OutboundKind,
+    kind: OutboundKind,
     since: Instant,
 }
 
-/// Connections not in use, by address, the longest unused first.
+/// An HTTP client; holds its idle connections by address, the longest unused first.
 #[derive(Debug, Default)]
 pub struct Client {
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
-    kept: Cell<[usize; 3]>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
+    idle_counts: Cell<[usize; 3]>,
 }
 
 impl Client {
-    /// Makes a request and says what came of it.
+    /// Sends a request and returns its result.
     pub async fn call(&self, addr: SocketAddr, call: &Call) -> Reply {
-        self.call_told(addr, call).await.0
+        self.call_with_retry_after(addr, call).await.0
     }
 
-    /// The same, and when to come back if that was said.
-    pub async fn call_told(&self, addr: SocketAddr, call: &Call) -> (Reply, Option<Duration>) {
-        self.call_kind(addr, call, None).await
+    /// Sends a request and returns its result and the `Retry-After` of the answer.
+    pub async fn call_with_retry_after(
+        &self,
+        addr: SocketAddr,
+        call: &Call,
+    ) -> (Reply, Option<Duration>) {
+        self.call_with_content_type(addr, call, None).await
     }
 
-    /// The same, with a body of a kind that has to be told.
-    pub async fn call_kind(
+    /// Like [`Self::call_with_retry_after`], with the content type of the body.
+    pub async fn call_with_content_type(
         &self,
         addr: SocketAddr,
         call: &Call,
-        kind: Option<&str>,
+        content_type: Option<&str>,
     ) -> (Reply, Option<Duration>) {
         let started = Instant::now();
-        let (stream, kept) = match self.take(addr) {
+        let (stream, reused) = match self.take_idle(addr) {
             Some(stream) => (stream, true),
             None => match self.connect(addr, call.timeout).await {
                 Some(stream) => (stream, false),
                 None => return (Reply::NotSent, None),
             },
         };
-        let left = call.timeout.saturating_sub(started.elapsed());
+        let remaining = call.timeout.saturating_sub(started.elapsed());
         let exchange = async {
-            exchange(&stream, addr, call, kind)
+            exchange(&stream, addr, call, content_type)
                 .await
                 .unwrap_or_else(|e| {
-                    log::debug!("{addr}{}: {e} (kept connection: {kept})", call.path);
-                    Exchanged::LOST
+                    log::debug!("{addr}{}: {e} (reused connection: {reused})", call.path);
+                    ExchangeResult::LOST
                 })
         };
-        let late = async {
-            Timer::after(left).await;
-            Exchanged::LOST
+        let timed_out = async {
+            Timer::after(remaining).await;
+            ExchangeResult::LOST
         };
-        let done = exchange.or(late).await;
-        if done.keep {
-            self.put(addr, OutboundKind::of(&call.to), stream);
+        let result = exchange.or(timed_out).await;
+        if result.reusable {
+            self.put_idle(addr, OutboundKind::of(&call.to), stream);
         }
-        (done.reply, done.come_back)
+        (result.reply, result.retry_after)
     }
 
     async fn connect(&self, addr: SocketAddr, timeout: Duration) -> Option<Stream> {
         let connect = async { Async::<TcpStream>::connect(addr).await.ok() };
-        let late = async {
+        let timed_out = async {
             Timer::after(timeout).await;
             None
         };
-        connect.or(late).await.map(Stream::new)
+        connect.or(timed_out).await.map(Stream::new)
     }
 
-    fn take(&self, addr: SocketAddr) -> Option<Stream> {
+    fn take_idle(&self, addr: SocketAddr) -> Option<Stream> {
         let mut idle = self.idle.borrow_mut();
         let streams = idle.get_mut(&addr)?;
         while let Some(idle) = streams.pop() {
-            self.count(idle.lane, |kept| kept - 1);
+            self.update_idle_count(idle.kind, |count| count - 1);
             if idle.stream.is_idle() {
                 return Some(idle.stream);
             }
@@ -104,56 +108,56 @@
         None
     }
 
-    fn put(&self, addr: SocketAddr, lane: OutboundKind, stream: Stream) {
+    fn put_idle(&self, addr: SocketAddr, kind: OutboundKind, stream: Stream) {
         let mut idle = self.idle.borrow_mut();
         let streams = idle.entry(addr).or_default();
-        if streams.len() < KEEP_MOST {
+        if streams.len() < MAX_IDLE_PER_ADDRESS {
             let since = Instant::now();
-            streams.push(Idle {
+            streams.push(IdleConnection {
                 stream,
-                lane,
+                kind,
                 since,
             });
-            self.count(lane, |kept| kept + 1);
+            self.update_idle_count(kind, |count| count + 1);
         }
     }
 
-    fn count(&self, lane: OutboundKind, change: impl Fn(usize) -> usize) {
-        let mut kept = self.kept.get();
-        kept[lane as usize] = change(kept[lane as usize]);
-        self.kept.set(kept);
+    fn update_idle_count(&self, kind: OutboundKind, change: impl Fn(usize) -> usize) {
+        let mut counts = self.idle_counts.get();
+        counts[kind as usize] = change(counts[kind as usize]);
+        self.idle_counts.set(counts);
     }
 
-    /// How many connections are kept, by lane.
-    pub fn kept(&self) -> [usize; 3] {
-        self.kept.get()
+    /// The number of idle connections, by [`OutboundKind`].
+    pub fn idle_counts(&self) -> [usize; 3] {
+        self.idle_counts.get()
     }
 
-    /// Closes connections that have not been used for a while.
+    /// Closes connections that have been unused for [`IDLE_TIMEOUT`].
     pub fn prune(&self) {
-        self.retain(|idle| idle.since.elapsed() < KEEP);
+        self.retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT);
     }
 
-    /// Closes the longest unused connections of a lane.
-    pub fn close(&self, lane: OutboundKind, count: usize) {
+    /// Closes the `count` longest unused connections of a kind.
+    pub fn close_idle(&self, kind: OutboundKind, count: usize) {
         let mut since: Vec<_> = {
             let idle = self.idle.borrow();
-            let of_lane = idle.values().flatten().filter(|i| i.lane == lane);
-            of_lane.map(|i| i.since).collect()
+            let of_kind = idle.values().flatten().filter(|i| i.kind == kind);
+            of_kind.map(|i| i.since).collect()
         };
         since.sort();
         let Some(last) = since.get(count.min(since.len()).wrapping_sub(1)) else {
             return;
         };
-        self.retain(|idle| idle.lane != lane || idle.since > *last);
+        self.retain(|idle| idle.kind != kind || idle.since > *last);
     }
 
-    fn retain(&self, keep: impl Fn(&Idle) -> bool) {
+    fn retain(&self, keep: impl Fn(&IdleConnection) -> bool) {
         self.idle.borrow_mut().retain(|_, streams| {
             streams.retain(|idle| {
                 let keep = keep(idle);
                 if !keep {
-                    self.count(idle.lane, |kept| kept - 1);
+                    self.update_idle_count(idle.kind, |count| count - 1);
                 }
                 keep
             });
@@ -162,19 +166,19 @@
     }
 }
 
-/// What came of a request.
-struct Exchanged {
+/// The result of a request.
+struct ExchangeResult {
     reply: Reply,
-    /// Whether the connection can be used again.
-    keep: bool,
-    come_back: Option<Duration>,
+    /// Whether the connection can be reused.
+    reusable: bool,
+    retry_after: Option<Duration>,
 }
 
-impl Exchanged {
+impl ExchangeResult {
     const LOST: Self = Self {
         reply: Reply::Lost,
-        keep: false,
-        come_back: None,
+        reusable: false,
+        retry_after: None,
     };
 }
 
@@ -182,8 +186,8 @@
     stream: &Stream,
     addr: SocketAddr,
     call: &Call,
-    kind: Option<&str>,
-) -> http_types::Result<Exchanged> {
+    content_type: Option<&str>,
+) -> http_types::Result<ExchangeResult> {
     let url = Url::parse(&format!("http://{addr}{}", call.path))?;
     let method = match call.method {
         Method::Get | Method::Other => HttpMethod::Get,
@@ -193,23 +197,23 @@
     };
     let mut request = Request::new(method, url);
     request.set_body(call.body.as_slice());
-    if let Some(kind) = kind {
-        request.insert_header(CONTENT_TYPE, kind);
+    if let Some(content_type) = content_type {
+        request.insert_header(CONTENT_TYPE, content_type);
     }
     let mut response = async_h1::client::connect(stream.clone(), request).await?;
     let close = response
         .header(CONNECTION)
         .is_some_and(|c| c.as_str().eq_ignore_ascii_case("close"));
-    let come_back = response.header(RETRY_AFTER).and_then(|after| {
+    let retry_after = response.header(RETRY_AFTER).and_then(|after| {
         let seconds = after.as_str().trim().parse().ok()?;
         Some(Duration::from_secs(seconds))
     });
     let status = u16::from(response.status());
     let mut body = Vec::new();
     response.take_body().read_to_end(&mut body).await?;
-    Ok(Exchanged {
+    Ok(ExchangeResult {
         reply: Reply::Answer { status, body },
-        keep: !close,
-        come_back,
+        reusable: !close,
+        retry_after,
     })
 }
--- a/crates/daemon/src/cwl.rs
+++ b/crates/daemon/src/cwl.rs
@@ -1,4 +1,4 @@
-//! `oliveshift cwl`: looks at CWL documents before they are handed in.
+//! `oliveshift cwl`: checks, plans, submits and follows CWL workflows.
 
 use std::{
     cell::RefCell,
@@ -20,265 +20,267 @@
 use termtree::Tree;
 use thiserror::Error;
 
-use crate::wes::{self, Wes};
+use crate::wes::{self, WesClient};
 
-/// What can be done with a document.
+/// Commands for CWL documents and runs.
 #[derive(Debug, Subcommand)]
 pub enum Cwl {
     /// Checks a document, and its inputs if they are given.
     Check {
         #[command(flatten)]
         document: Document,
-        /// The inputs (YAML or JSON).
+        /// The input values (YAML or JSON).
         inputs: Option<PathBuf>,
     },
-    /// Shows what would be submitted for a document with these inputs.
+    /// Shows the jobs that would be submitted for a document with these inputs.
     Plan {
         #[command(flatten)]
         document: Document,
-        /// The inputs (YAML or JSON).
+        /// The input values (YAML or JSON).
         inputs: PathBuf,
-        /// For programs.
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
-        /// As a graph, in the language of Graphviz.
+        /// Prints a graph in the DOT language of Graphviz.
         #[arg(long, conflicts_with = "json")]
         dot: bool,
     },
-    /// Hands a document in and follows the run to its end.
+    /// Submits a document and follows the run until it ends.
     Run {
         #[command(flatten)]
         document: Document,
-        /// The inputs (YAML or JSON).
+        /// The input values (YAML or JSON).
         inputs: PathBuf,
-        /// Where workflows are served.
+        /// Address of the workflow service.
         #[arg(long, value_name = "HOST:PORT")]
         at: SocketAddrV4,
-        /// Only prints the run's name.
+        /// Only prints the run id and does not wait.
         #[arg(long)]
         detach: bool,
     },
     /// Lists all runs.
     Runs {
-        /// Where workflows are served.
+        /// Address of the workflow service.
         #[arg(long, value_name = "HOST:PORT")]
         at: SocketAddrV4,
-        /// For programs.
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
     /// Cancels a run.
     Cancel {
-        /// Its name.
+        /// The run id.
         run: String,
-        /// Where workflows are served.
+        /// Address of the workflow service.
         #[arg(long, value_name = "HOST:PORT")]
         at: SocketAddrV4,
     },
 }
 
-/// A document.
+/// A CWL document, or one of its processes.
 #[derive(Debug, Args)]
 pub struct Document {
     /// The document (CWL v1.2), or one process of it: `FILE#NAME`.
     file: String,
-    /// The directory that the document and all that it names are in; without
-    /// it, that of the document.
+    /// The directory that contains the document and all files that it refers to [default: the
+    /// directory of the document].
     #[arg(long, value_name = "DIR")]
     root: Option<PathBuf>,
 }
 
-/// How often a run is asked after.
-const FOLLOW_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which the state of a run is polled.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Why there is nothing to show. The exit code says which kind it is.
+/// Why a command failed. The kind determines the exit code.
 #[derive(Debug, Error)]
-enum Trouble {
-    /// The run did not end well: 3.
+enum CwlError {
+    /// The run did not complete: 3.
     #[error("{0} is {1}{2}")]
     Ended(String, String, String),
-    /// Workflows are not served there, or can't be asked now: 4 or 5.
+    /// The request to the workflow service failed: 4 or 5.
     #[error("{0}")]
     Wes(#[from] wes::WesError),
-    /// The document or its inputs are wrong: 1.
+    /// The document or its inputs are invalid: 1.
     #[error("{0}")]
     Fault(#[from] Fault),
-    /// The inputs don't fit the document: 1.
+    /// The inputs do not match the document: 1.
     #[error("{0}")]
     Plan(String),
-    /// A file can't be read: 2.
+    /// A file cannot be read: 2.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    /// It is not where it has to be: 2.
-    #[error("{0} is not below {1}: name the directory of all documents by --root")]
+    /// The document is outside the root directory: 2.
+    #[error("{0} is not below {1}: pass the directory that contains all documents with --root")]
     Outside(String, String),
 }
 
-impl Trouble {
-    fn code(&self) -> ExitCode {
+impl CwlError {
+    fn exit_code(&self) -> ExitCode {
         match self {
             Self::Fault(_) | Self::Plan(_) => ExitCode::from(1),
             Self::Read(..) | Self::Outside(..) => ExitCode::from(2),
             Self::Ended(..) => ExitCode::from(3),
-            Self::Wes(e) => ExitCode::from(e.code()),
+            Self::Wes(e) => ExitCode::from(e.exit_code()),
         }
     }
 }
 
-/// Documents below a directory, and which of them were read.
-struct Directory {
+/// Reads documents below a directory and records the files that were read.
+struct RecordingResolver {
     root: PathBuf,
-    read: RefCell<BTreeMap<String, String>>,
+    read_files: RefCell<BTreeMap<String, String>>,
 }
 
-impl Resolver for Directory {
+impl Resolver for RecordingResolver {
     fn read(&self, path: &str) -> Result<String, String> {
         let text = std::fs::read_to_string(self.root.join(path)).map_err(|e| e.to_string())?;
-        self.read.borrow_mut().insert(path.to_owned(), text.clone());
+        self.read_files
+            .borrow_mut()
+            .insert(path.to_owned(), text.clone());
         Ok(text)
     }
 }
 
-/// Carries a command out.
+/// Runs a command.
 pub fn run(command: &Cwl) -> ExitCode {
-    let done = match command {
+    let result = match command {
         Cwl::Check { document, inputs } => check(document, inputs.as_deref()),
         Cwl::Plan {
             document,
             inputs,
             json,
             dot,
-        } => show(document, inputs, *json, *dot),
+        } => show_plan(document, inputs, *json, *dot),
         Cwl::Run {
             document,
             inputs,
             at,
             detach,
-        } => hand_in(document, inputs, *at, *detach),
-        Cwl::Runs { at, json } => list(*at, *json),
-        Cwl::Cancel { run, at } => Wes(*at)
+        } => submit(document, inputs, *at, *detach),
+        Cwl::Runs { at, json } => list_runs(*at, *json),
+        Cwl::Cancel { run, at } => WesClient(*at)
             .cancel(run)
             .map(|()| format!("{run} is being cancelled"))
-            .map_err(Trouble::from),
+            .map_err(CwlError::from),
     };
-    match done {
+    match result {
         Ok(text) => {
             println!("{text}");
             ExitCode::SUCCESS
         }
-        Err(trouble) => {
-            eprintln!("oliveshift: {trouble}");
-            trouble.code()
+        Err(error) => {
+            eprintln!("oliveshift: {error}");
+            error.exit_code()
         }
     }
 }
 
-/// A document, with all files that it consists of.
-struct Found {
+/// A loaded document and all files that it consists of.
+struct LoadedDocument {
     process: Process,
-    /// Which file it is, or which process of it.
+    /// The path of the document below the root, with `#NAME` if a process was named.
     main: String,
     files: BTreeMap<String, String>,
 }
 
-fn read(document: &Document) -> Result<Found, Trouble> {
+fn load_document(document: &Document) -> Result<LoadedDocument, CwlError> {
     let (file, name) = match document.file.split_once('#') {
         Some((file, name)) => (file, Some(name)),
         None => (document.file.as_str(), None),
     };
     let file = Path::new(file);
-    // Said here, with the system's reason, rather than by the resolver.
-    let unread = |e| Trouble::Read(file.display().to_string(), e);
-    let whole = file.canonicalize().map_err(unread)?;
+    // A missing file is reported here, with the operating system's reason, not by the resolver.
+    let read_error = |e| CwlError::Read(file.display().to_string(), e);
+    let absolute = file.canonicalize().map_err(read_error)?;
     let root = match &document.root {
         Some(root) => {
-            let unread = |e| Trouble::Read(root.display().to_string(), e);
-            root.canonicalize().map_err(unread)?
+            let read_error = |e| CwlError::Read(root.display().to_string(), e);
+            root.canonicalize().map_err(read_error)?
         }
-        None => whole.parent().map(Path::to_owned).unwrap_or_default(),
+        None => absolute.parent().map(Path::to_owned).unwrap_or_default(),
     };
-    let Ok(path) = whole.strip_prefix(&root) else {
+    let Ok(path) = absolute.strip_prefix(&root) else {
         let names = (file.display().to_string(), root.display().to_string());
-        return Err(Trouble::Outside(names.0, names.1));
+        return Err(CwlError::Outside(names.0, names.1));
     };
     let mut path = path.to_string_lossy().into_owned();
     if let Some(name) = name {
         path = format!("{path}#{name}");
     }
-    let directory = Directory {
+    let resolver = RecordingResolver {
         root,
-        read: RefCell::default(),
+        read_files: RefCell::default(),
     };
-    let process = load::load(&directory, &path)?;
-    Ok(Found {
+    let process = load::load(&resolver, &path)?;
+    Ok(LoadedDocument {
         process,
         main: path,
-        files: directory.read.into_inner(),
+        files: resolver.read_files.into_inner(),
     })
 }
 
-/// Hands a document in and tells how it goes on, on standard error, until it
-/// ends.
-fn hand_in(
+/// Submits a document and, unless detached, reports the progress of the run on standard error
+/// until it ends.
+fn submit(
     document: &Document,
     inputs: &Path,
     at: SocketAddrV4,
     detach: bool,
-) -> Result<String, Trouble> {
-    let found = read(document)?;
+) -> Result<String, CwlError> {
+    let loaded = load_document(document)?;
     let inputs = read_inputs(inputs)?;
-    // What is wrong is better told here than by a refusal.
-    plan(&found.process, &inputs).map_err(Trouble::Plan)?;
-    let wes = Wes(at);
-    let run = wes.submit(&found.main, &found.files, &inputs)?;
+    // Invalid inputs are reported here rather than by a rejection from the service.
+    plan(&loaded.process, &inputs).map_err(CwlError::Plan)?;
+    let wes = WesClient(at);
+    let run = wes.submit(&loaded.main, &loaded.files, &inputs)?;
     if detach {
         return Ok(run);
     }
-    eprintln!("{run}: handed in");
-    let mut steps = 0;
+    eprintln!("{run}: submitted");
+    let mut reported_tasks = 0;
     loop {
-        std::thread::sleep(FOLLOW_EVERY);
-        // The service may be away for some time; the run goes on.
+        std::thread::sleep(POLL_INTERVAL);
+        // The service may be unavailable for some time; the run continues.
         let log = match wes.log(&run) {
             Ok(log) => log,
-            Err(e) if e.is_passing() => {
+            Err(e) if e.is_transient() => {
                 eprintln!("{run}: {e}");
                 continue;
             }
             Err(e) => return Err(e.into()),
         };
-        for task in log.task_logs.iter().skip(steps) {
+        for task in log.task_logs.iter().skip(reported_tasks) {
             eprintln!("{run}: {}: {}", task.name, task.system_logs.join(", "));
         }
-        steps = steps.max(log.task_logs.len());
+        reported_tasks = reported_tasks.max(log.task_logs.len());
         match log.state {
             State::Running | State::Canceling => {}
             State::Complete => {
                 let text = serde_json::to_string_pretty(&log.outputs);
-                return text.map_err(|e| Trouble::Plan(e.to_string()));
+                return text.map_err(|e| CwlError::Plan(e.to_string()));
             }
             state => {
-                let why = log.run_log.system_logs.join("; ");
-                let why = if why.is_empty() {
-                    why
+                let reason = log.run_log.system_logs.join("; ");
+                let reason = if reason.is_empty() {
+                    reason
                 } else {
-                    format!(": {why}")
+                    format!(": {reason}")
                 };
-                return Err(Trouble::Ended(run, wes::word(state), why));
+                return Err(CwlError::Ended(run, wes::state_name(state), reason));
             }
         }
     }
 }
 
-fn list(at: SocketAddrV4, json: bool) -> Result<String, Trouble> {
-    let runs = Wes(at).list()?;
+fn list_runs(at: SocketAddrV4, json: bool) -> Result<String, CwlError> {
+    let runs = WesClient(at).list()?;
     if json {
         let text = serde_json::to_string_pretty(&runs);
-        return text.map_err(|e| Trouble::Plan(e.to_string()));
+        return text.map_err(|e| CwlError::Plan(e.to_string()));
     }
     let lines = runs.iter().map(|run| {
         let ended = run.end_time.as_deref().unwrap_or("");
-        let state = wes::word(run.state);
+        let state = wes::state_name(run.state);
         format!("{}  {state:<14}  {}  {ended}", run.run_id, run.start_time)
     });
     let lines: Vec<_> = lines.map(|l| l.trim_end().to_owned()).collect();
@@ -288,15 +290,15 @@
     })
 }
 
-fn read_inputs(file: &Path) -> Result<serde_json::Value, Trouble> {
+fn read_inputs(file: &Path) -> Result<serde_json::Value, CwlError> {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| Trouble::Read(name.clone(), e))?;
+    let text = std::fs::read_to_string(file).map_err(|e| CwlError::Read(name.clone(), e))?;
     Ok(load::values(&name, &text)?.to_value())
 }
 
-fn check(document: &Document, inputs: Option<&Path>) -> Result<String, Trouble> {
-    let process = read(document)?.process;
-    let what = match &process {
+fn check(document: &Document, inputs: Option<&Path>) -> Result<String, CwlError> {
+    let process = load_document(document)?.process;
+    let description = match &process {
         Process::Tool(_) => "a command line tool".to_owned(),
         Process::Expression(_) => "an expression".to_owned(),
         Process::Workflow(workflow) => format!("a workflow of {} steps", workflow.steps.len()),
@@ -304,55 +306,61 @@
     let common = process.common();
     let inputs = match inputs {
         Some(inputs) => {
-            plan(&process, &read_inputs(inputs)?).map_err(Trouble::Plan)?;
+            plan(&process, &read_inputs(inputs)?).map_err(CwlError::Plan)?;
             ", and so are the inputs"
         }
         None => "",
     };
-    let takes = common
+    let input_list = common
         .inputs
         .iter()
         .map(|i| format!("{} ({})", i.name, i.kind));
-    let gives = common
+    let output_list = common
         .outputs
         .iter()
         .map(|o| format!("{} ({})", o.name, o.kind));
     let list = |names: Vec<String>| match names.is_empty() {
-        true => "nothing".to_owned(),
+        true => "none".to_owned(),
         false => names.join(", "),
     };
     Ok(format!(
-        "{}: {what}, is good{inputs}\n  takes {}\n  gives {}",
+        "{}: {description}, is valid{inputs}\n  inputs:  {}\n  outputs: {}",
         common.id,
-        list(takes.collect()),
-        list(gives.collect())
+        list(input_list.collect()),
+        list(output_list.collect())
     ))
 }
 
-fn show(document: &Document, inputs: &Path, json: bool, dot: bool) -> Result<String, Trouble> {
-    let plan = plan(&read(document)?.process, &read_inputs(inputs)?).map_err(Trouble::Plan)?;
+fn show_plan(
+    document: &Document,
+    inputs: &Path,
+    json: bool,
+    dot: bool,
+) -> Result<String, CwlError> {
+    let plan =
+        plan(&load_document(document)?.process, &read_inputs(inputs)?).map_err(CwlError::Plan)?;
     if json {
         let text = serde_json::to_string_pretty(&plan);
-        return text.map_err(|e| Trouble::Plan(e.to_string()));
+        return text.map_err(|e| CwlError::Plan(e.to_string()));
     }
     Ok(match dot {
-        true => graph(&plan),
-        false => tree(&plan).to_string().trim_end().to_owned(),
+        true => plan_graph(&plan),
+        false => plan_tree(&plan).to_string().trim_end().to_owned(),
     })
 }
 
-/// The plan as a graph: what is known later has a dashed frame.
-fn graph(plan: &Plan) -> String {
+/// The plan as a DOT graph. Steps whose jobs are not known yet have a dashed frame.
+fn plan_graph(plan: &Plan) -> String {
     let quoted = |text: &str| format!("\"{}\"", text.replace('\\', "\\\\").replace('"', "\\\""));
     let mut lines = vec![
         format!("digraph {} {{", quoted(&plan.name)),
         "  node [shape=box];".into(),
     ];
     for job in &plan.jobs {
-        let (step, line) = (quoted(&job.step), quoted(&line(job)));
+        let (step, line) = (quoted(&job.step), quoted(&describe_job(job)));
         lines.push(format!("  {step} [label={line}];"));
         let awaits = job.awaits.iter();
-        lines.extend(awaits.map(|before| format!("  {} -> {step};", quoted(before))));
+        lines.extend(awaits.map(|awaited| format!("  {} -> {step};", quoted(awaited))));
     }
     for later in &plan.later {
         let label = quoted(&format!("{}: {}", later.step, later.why));
@@ -365,12 +373,12 @@
     lines.join("\n")
 }
 
-/// The plan as a tree: jobs below the last of those that they await.
-fn tree(plan: &Plan) -> Tree<String> {
+/// The plan as a tree. Each job is below the last of the jobs that it awaits.
+fn plan_tree(plan: &Plan) -> Tree<String> {
     let mut tree = Tree::new(plan.name.clone());
     for (i, job) in plan.jobs.iter().enumerate() {
         if job.awaits.is_empty() {
-            tree.push(branch(plan, i));
+            tree.push(job_tree(plan, i));
         }
     }
     for later in &plan.later {
@@ -379,20 +387,20 @@
     tree
 }
 
-fn branch(plan: &Plan, job: usize) -> Tree<String> {
-    let mut tree = Tree::new(line(&plan.jobs[job]));
+fn job_tree(plan: &Plan, job: usize) -> Tree<String> {
+    let mut tree = Tree::new(describe_job(&plan.jobs[job]));
     for (i, other) in plan.jobs.iter().enumerate() {
-        let place = |step: &String| plan.jobs.iter().position(|j| j.step == *step);
-        let last = other.awaits.iter().filter_map(place).max();
-        // Those behind it in the list only, so that this comes to an end.
+        let position = |step: &String| plan.jobs.iter().position(|j| j.step == *step);
+        let last = other.awaits.iter().filter_map(position).max();
+        // Only jobs later in the list, so that the recursion terminates.
         if last == Some(job) && i > job {
-            tree.push(branch(plan, i));
+            tree.push(job_tree(plan, i));
         }
     }
     tree
 }
 
-fn line(job: &Planned) -> String {
+fn describe_job(job: &Planned) -> String {
     let tasks = match job.tasks {
         1 => "1 task".to_owned(),
         n => format!("{n} tasks"),
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,13 +1,13 @@
-//! Logging to standard error, at the level that `LOG_LEVEL` names.
+//! Logging to standard error at the level given by `LOG_LEVEL`.
 
 use std::io::Write;
 
 use log::LevelFilter;
 
-/// Starts logging. A level that we don't know is worth a warning, not an end.
-pub fn start() {
-    let wanted = std::env::var("LOG_LEVEL").unwrap_or_default();
-    let level = match wanted.to_ascii_lowercase().as_str() {
+/// Initializes logging. An unknown level falls back to `info` with a warning.
+pub fn init() {
+    let name = std::env::var("LOG_LEVEL").unwrap_or_default();
+    let level = match name.to_ascii_lowercase().as_str() {
         "error" => Some(LevelFilter::Error),
         "warn" => Some(LevelFilter::Warn),
         "" | "info" => Some(LevelFilter::Info),
@@ -17,9 +17,9 @@
     env_logger::Builder::new()
         .filter_level(LevelFilter::Off)
         .filter_module("oliveshift", level.unwrap_or(LevelFilter::Info))
-        .format(|to, record| writeln!(to, "{} {}", record.level(), record.args()))
+        .format(|out, record| writeln!(out, "{} {}", record.level(), record.args()))
         .init();
     if level.is_none() {
-        log::warn!("LOG_LEVEL `{wanted}` is unknown; using `info`");
+        log::warn!("LOG_LEVEL `{name}` is unknown; using `info`");
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `oliveshift`: one controller of the service.
+//! `oliveshift`: runs a controller, and holds the commands for operators and users.
 
 mod admin;
 mod client;
@@ -42,50 +42,50 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Checks a settings file and says what follows from it.
+    /// Checks a settings file and prints the limits derived from it.
     Check {
         /// The settings file (JSON).
         file: PathBuf,
     },
-    /// Asks a running controller.
+    /// Sends requests to a running controller.
     #[command(subcommand)]
     Admin(admin::Admin),
     /// Serves CWL workflows (GA4GH WES).
     Workflows(workflows::Workflows),
-    /// Looks at CWL documents.
+    /// Checks, plans and runs CWL documents.
     #[command(subcommand)]
     Cwl(cwl::Cwl),
 }
 
-/// Why the program can't start.
+/// Why the settings could not be loaded.
 #[derive(Debug, Error)]
-enum StartError {
+enum LoadError {
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
     #[error("{0}: {1}")]
     Settings(String, BadSettings),
 }
 
-fn read(file: &PathBuf) -> Result<Settings, StartError> {
+fn load_settings(file: &PathBuf) -> Result<Settings, LoadError> {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| StartError::Read(name.clone(), e))?;
-    Settings::parse(&text).map_err(|e| StartError::Settings(name, e))
+    let text = std::fs::read_to_string(file).map_err(|e| LoadError::Read(name.clone(), e))?;
+    Settings::parse(&text).map_err(|e| LoadError::Settings(name, e))
 }
 
-fn check(settings: &Settings) {
-    println!("{}: settings are good", settings.node);
+fn print_summary(settings: &Settings) {
+    println!("{}: settings are valid", settings.node);
     println!("controllers:   {}", settings.peers_and_me());
-    let limits = |limits: &StateLimits| {
+    let describe = |limits: &StateLimits| {
         format!(
-            "{} KiB a value, {} changes a transaction, {} a second",
+            "at most {} KiB per value, {} changes per transaction, {} changes per second",
             limits.value_kb, limits.txn_ops, limits.write_rps
         )
     };
-    println!("state service: {}", limits(&settings.params.state));
+    println!("state service: {}", describe(&settings.params.state));
     if settings.params.state.next.is_some() {
         println!(
-            "  to come:     {}",
-            limits(&settings.params.state.lowered())
+            "  announced:   {}",
+            describe(&settings.params.state.lowered())
         );
     }
     let sockets = Shares::new(settings);
@@ -107,10 +107,10 @@
         (Some(Command::Cwl(command)), _) => return cwl::run(command),
         (Some(Command::Workflows(command)), _) => return workflows::run(command),
         (Some(Command::Check { file }), _) | (None, Some(file)) => file,
-        // `clap` asks for one of both.
+        // `clap` requires a subcommand or `--config`.
         (None, None) => return ExitCode::from(2),
     };
-    let settings = match read(file) {
+    let settings = match load_settings(file) {
         Ok(settings) => settings,
         Err(e) => {
             eprintln!("oliveshift: {e}");
@@ -118,9 +118,9 @@
         }
     };
     if cli.command.is_some() {
-        check(&settings);
+        print_summary(&settings);
         return ExitCode::SUCCESS;
     }
-    logging::start();
+    logging::init();
     runtime::run(settings)
 }
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Runs the state machine: carries what goes in and out, and keeps time.
+//! Runs the controller state machine: network I/O, timers and its turns.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,126 +21,129 @@
 
 use crate::{client::Client, executor::PriorityExecutor, server, stream};
 
-/// How often the state machine hears that time has passed.
-const TICK: Duration = Duration::from_millis(50);
-/// How often idle connections are looked through.
-const PRUNE_EVERY: u32 = 200;
+/// Interval of the ticks passed to the state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of ticks between two checks for expired idle connections.
+const PRUNE_INTERVAL_TICKS: u32 = 200;
 
-/// The process around the state machine.
+/// Connects the state machine to sockets and timers.
 pub struct Runtime {
     executor: PriorityExecutor,
     controller: RefCell<Controller>,
     client: Client,
     started: Instant,
-    waiting: RefCell<HashMap<ConnId, Sender<Answer>>>,
+    pending_answers: RefCell<HashMap<ConnId, Sender<Answer>>>,
     next_conn: Cell<ConnId>,
-    /// What serves each connection that came in; dropped, it closes.
-    serving: RefCell<HashMap<SocketId, Task<()>>>,
-    /// Connections that have something to say and are not read yet.
-    lobby: RefCell<HashMap<SocketId, Sender<()>>>,
+    /// The task that serves each inbound connection; dropping it closes the connection.
+    connection_tasks: RefCell<HashMap<SocketId, Task<()>>>,
+    /// Connections with data to read that the state machine has not allowed to be read yet.
+    awaiting_read: RefCell<HashMap<SocketId, Sender<()>>>,
     next_socket: Cell<u64>,
-    /// Wakes what gives the state machine its turns, urgent ones and others.
-    due: [Sender<()>; 2],
-    /// What the state machine knows of the connections that we keep.
-    kept: Cell<[usize; 3]>,
-    ended: Cell<bool>,
+    /// Wake the tasks that run turns of the state machine: urgent, and background.
+    turn_wakeups: [Sender<()>; 2],
+    /// The numbers of idle outbound connections last reported to the state machine.
+    reported_idle_counts: Cell<[usize; 3]>,
+    exit_requested: Cell<bool>,
     peers: HashMap<String, SocketAddr>,
     state: SocketAddr,
     cloud: SocketAddr,
 }
 
-/// Forgets that somebody waits for an answer.
-struct Forget<'a>(&'a Runtime, ConnId);
+/// Removes a pending answer on drop.
+struct PendingAnswerGuard<'a>(&'a Runtime, ConnId);
 
-/// Forgets that a connection waits to be read.
-struct Leave<'a>(&'a Runtime, SocketId);
+/// Removes a connection from those that await permission to be read, on drop.
+struct AwaitingReadGuard<'a>(&'a Runtime, SocketId);
 
-impl Drop for Leave<'_> {
+impl Drop for AwaitingReadGuard<'_> {
     fn drop(&mut self) {
-        self.0.lobby.borrow_mut().remove(&self.1);
+        self.0.awaiting_read.borrow_mut().remove(&self.1);
     }
 }
 
-impl Drop for Forget<'_> {
+impl Drop for PendingAnswerGuard<'_> {
     fn drop(&mut self) {
-        self.0.waiting.borrow_mut().remove(&self.1);
+        self.0.pending_answers.borrow_mut().remove(&self.1);
     }
 }
 
-/// Runs a controller until the process is killed, or until it finds that it
-/// must not run.
+/// Runs a controller until the process is killed or the state machine requests the exit.
 pub fn run(settings: Settings) -> ExitCode {
     let (public, internal) = (settings.listen, settings.peer_listen);
     let services = &settings.services;
     let peers = settings.peers.iter();
     let node = settings.node.clone();
-    let (urgent, is_urgent) = async_channel::bounded(1);
-    let (due, is_due) = async_channel::bounded(1);
+    let (urgent, urgent_wakeups) = async_channel::bounded(1);
+    let (background, background_wakeups) = async_channel::bounded(1);
     let runtime = Rc::new(Runtime {
         executor: PriorityExecutor::default(),
         client: Client::default(),
         started: Instant::now(),
-        waiting: RefCell::default(),
+        pending_answers: RefCell::default(),
         next_conn: Cell::new(0),
-        serving: RefCell::default(),
-        lobby: RefCell::default(),
+        connection_tasks: RefCell::default(),
+        awaiting_read: RefCell::default(),
         next_socket: Cell::new(1),
-        due: [urgent, due],
-        kept: Cell::new([0; 3]),
-        ended: Cell::new(false),
+        turn_wakeups: [urgent, background],
+        reported_idle_counts: Cell::new([0; 3]),
+        exit_requested: Cell::new(false),
         peers: peers.map(|p| (p.node.clone(), p.addr.into())).collect(),
         state: services.state.into(),
         cloud: services.cloud.into(),
         controller: RefCell::new(controller(settings)),
     });
     log::info!("{node}: starting, users and workers on {public}, controllers on {internal}");
-    let tasks = runtime.clone();
-    block_on(tasks.executor.run(async move {
+    let executor_owner = runtime.clone();
+    block_on(executor_owner.executor.run(async move {
         runtime.spawn_listener(public, Listener::Public);
         runtime.spawn_listener(internal, Listener::Internal);
         let executor = &runtime.executor;
         executor
-            .spawn_urgent(runtime.clone().turns(is_urgent))
+            .spawn_urgent(runtime.clone().run_turns(urgent_wakeups))
             .detach();
         executor
-            .spawn_background(runtime.clone().turns(is_due))
+            .spawn_background(runtime.clone().run_turns(background_wakeups))
             .detach();
         let mut ticks = 0u32;
         loop {
-            runtime.input(Input::Tick);
-            if runtime.ended.get() {
+            runtime.handle_input(Input::Tick);
+            if runtime.exit_requested.get() {
                 return ExitCode::from(3);
             }
-            Timer::after(TICK).await;
+            Timer::after(TICK_INTERVAL).await;
             ticks = ticks.wrapping_add(1);
-            if ticks.is_multiple_of(PRUNE_EVERY) {
+            if ticks.is_multiple_of(PRUNE_INTERVAL_TICKS) {
                 runtime.client.prune();
             }
         }
     }))
 }
 
-/// The state machine, whole.
+/// Creates the state machine.
 #[cfg(not(feature = "sabotage"))]
 fn controller(settings: Settings) -> Controller {
     Controller::new(settings, seed())
 }
 
-/// The state machine, with the guard switched off that `OLIVESHIFT_SABOTAGE` names.
+/// Creates the state machine, with the fault injected that `OLIVESHIFT_SABOTAGE` names.
 #[cfg(feature = "sabotage")]
 fn controller(settings: Settings) -> Controller {
     let mut controller = Controller::new(settings, seed());
     if let Ok(name) = std::env::var("OLIVESHIFT_SABOTAGE") {
         controller.sabotage = oliveshift_core::Sabotage::from_name(&name);
-        log::error!("broken on purpose: {:?}", controller.sabotage);
+        log::error!(
+            "fault injected by OLIVESHIFT_SABOTAGE: {:?}",
+            controller.sabotage
+        );
     }
     controller
 }
 
-/// Another one at each start, even where the system's randomness is poor.
+/// A random seed, mixed with the time of day so that it differs at each start even where the
+/// system's randomness is poor.
 fn seed() -> u64 {
-    let day = SystemTime::now().duration_since(UNIX_EPOCH);
-    fastrand::u64(..) ^ day.unwrap_or_default().as_nanos() as u64
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    fastrand::u64(..) ^ since_epoch.unwrap_or_default().as_nanos() as u64
 }
 
 impl Runtime {
@@ -153,85 +156,85 @@
         }
     }
 
-    /// Gives the state machine an input.
-    fn input(self: &Rc<Self>, input: Input) {
+    /// Passes an input to the state machine and processes its outputs.
+    fn handle_input(self: &Rc<Self>, input: Input) {
         let now = self.now();
         let mut controller = self.controller.borrow_mut();
-        let kept = self.client.kept();
-        if self.kept.replace(kept) != kept {
-            controller.receive(now, Input::IdleConnections(kept));
+        let idle_counts = self.client.idle_counts();
+        if self.reported_idle_counts.replace(idle_counts) != idle_counts {
+            controller.receive(now, Input::IdleConnections(idle_counts));
         }
         let outputs = controller.receive(now, input);
-        self.wake(&controller);
+        self.schedule_turn(&controller);
         drop(controller);
-        self.put_out(outputs);
+        self.process_outputs(outputs);
     }
 
-    /// Sees to the next turn.
-    fn wake(&self, controller: &Controller) {
-        let [urgent, due] = &self.due;
-        // Full: it has been woken already.
+    /// Schedules the next turn if there is work.
+    fn schedule_turn(&self, controller: &Controller) {
+        let [urgent, background] = &self.turn_wakeups;
+        // A full channel means that the task has been woken already.
         if controller.has_urgent_work() {
             let _ = urgent.try_send(());
         } else if controller.has_pending_work() {
-            let _ = due.try_send(());
+            let _ = background.try_send(());
         }
     }
 
-    /// Gives the state machine its turns: after all that is ready to come in,
-    /// so that it has the choice what goes first when it is behind.
-    async fn turns(self: Rc<Self>, is_due: Receiver<()>) {
-        while is_due.recv().await.is_ok() {
-            self.turn();
+    /// Runs a turn of the state machine at each wake-up. A turn comes after the inputs that are
+    /// ready, so that the state machine can choose what to process first if it has a backlog.
+    async fn run_turns(self: Rc<Self>, wakeups: Receiver<()>) {
+        while wakeups.recv().await.is_ok() {
+            self.run_turn();
             yield_now().await;
         }
     }
 
-    fn turn(self: &Rc<Self>) {
+    fn run_turn(self: &Rc<Self>) {
         let now = self.now();
         let mut controller = self.controller.borrow_mut();
         let outputs = controller.run_turn(now);
-        self.wake(&controller);
+        self.schedule_turn(&controller);
         drop(controller);
-        self.put_out(outputs);
+        self.process_outputs(outputs);
     }
 
-    /// Does what the state machine says.
-    fn put_out(self: &Rc<Self>, outputs: Vec<Output>) {
+    /// Carries out the outputs of the state machine.
+    fn process_outputs(self: &Rc<Self>, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Answer(answer) => {
-                    let waiting = self.waiting.borrow_mut().remove(&answer.conn);
-                    if let Some(waiting) = waiting {
-                        let _ = waiting.try_send(answer);
+                    let sender = self.pending_answers.borrow_mut().remove(&answer.conn);
+                    if let Some(sender) = sender {
+                        let _ = sender.try_send(answer);
                     }
                 }
                 Output::Call(call) => {
                     let is_order = matches!(call.to, Target::Worker(_));
-                    let make = self.clone().make(call);
+                    let call_task = self.clone().make_call(call);
                     match is_order {
-                        true => self.executor.spawn_background(make).detach(),
-                        false => self.executor.spawn_urgent(make).detach(),
+                        true => self.executor.spawn_background(call_task).detach(),
+                        false => self.executor.spawn_urgent(call_task).detach(),
                     }
                 }
                 Output::ReadFrom(id) => {
-                    if let Some(waiting) = self.lobby.borrow().get(&id) {
-                        let _ = waiting.try_send(());
+                    if let Some(sender) = self.awaiting_read.borrow().get(&id) {
+                        let _ = sender.try_send(());
                     }
                 }
                 Output::Close(Close::Inbound(id)) => {
-                    self.serving.borrow_mut().remove(&id);
+                    self.connection_tasks.borrow_mut().remove(&id);
                 }
-                Output::Close(Close::Idle(lane, count)) => self.client.close(lane, count),
-                Output::Exit(why) => {
-                    log::error!("{why}");
-                    self.ended.set(true);
+                Output::Close(Close::Idle(kind, count)) => self.client.close_idle(kind, count),
+                Output::Exit(reason) => {
+                    log::error!("{reason}");
+                    self.exit_requested.set(true);
                 }
             }
         }
     }
 
-    async fn make(self: Rc<Self>, call: Call) {
+    async fn make_call(self: Rc<Self>, call: Call) {
         let addr = match &call.to {
             Target::State => Some(self.state),
             Target::Cloud => Some(self.cloud),
@@ -242,36 +245,37 @@
             Some(addr) => self.client.call(addr, &call).await,
             None => Reply::NotSent,
         };
-        self.input(Input::Reply(call.id, reply));
+        self.handle_input(Input::Reply(call.id, reply));
     }
 
-    /// Goes on with a connection among what can wait.
-    pub fn serve_later(&self, id: SocketId, serve: impl Future<Output = ()> + 'static) {
+    /// Continues to serve a connection as a background task.
+    pub fn serve_in_background(&self, id: SocketId, serve: impl Future<Output = ()> + 'static) {
         let serve = self.executor.spawn_background(serve);
-        // The one that calls this ends with this call.
-        if let Some(before) = self.serving.borrow_mut().insert(id, serve) {
-            before.detach();
+        // The previous task calls this and ends right after it; dropping it would cancel it.
+        if let Some(previous) = self.connection_tasks.borrow_mut().insert(id, serve) {
+            previous.detach();
         }
     }
 
-    /// A connection is at its end, and what served it, too.
-    pub fn served(self: &Rc<Self>, id: SocketId) {
-        if let Some(serve) = self.serving.borrow_mut().remove(&id) {
+    /// Reports that a connection and the task that served it have ended.
+    pub fn connection_ended(self: &Rc<Self>, id: SocketId) {
+        if let Some(serve) = self.connection_tasks.borrow_mut().remove(&id) {
             serve.detach();
         }
-        self.input(Input::Closed(id));
+        self.handle_input(Input::Closed(id));
     }
 
-    /// Waits until a connection is to be read, whose first bytes are these.
-    pub async fn may_read(self: &Rc<Self>, id: SocketId, beginning: Vec<u8>) {
+    /// Reports the first bytes of a connection and waits until the state machine allows it to be
+    /// read.
+    pub async fn wait_for_read_permission(self: &Rc<Self>, id: SocketId, prefix: Vec<u8>) {
         let (send, receive) = async_channel::bounded(1);
-        self.lobby.borrow_mut().insert(id, send);
-        let _leave = Leave(self, id);
-        self.input(Input::Readable(id, beginning));
+        self.awaiting_read.borrow_mut().insert(id, send);
+        let _guard = AwaitingReadGuard(self, id);
+        self.handle_input(Input::Readable(id, prefix));
         let _ = receive.recv().await;
     }
 
-    /// Puts a request to the state machine and waits for its answer.
+    /// Passes a request to the state machine and waits for its answer.
     pub async fn request(
         self: &Rc<Self>,
         socket: SocketId,
@@ -283,10 +287,10 @@
         let conn = self.next_conn.get();
         self.next_conn.set(conn + 1);
         let (send, receive) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(conn, send);
-        // Whoever serves a connection that is closed ends right here.
-        let _forget = Forget(self, conn);
-        self.input(Input::Request(Request {
+        self.pending_answers.borrow_mut().insert(conn, send);
+        // If the connection is closed, its task is dropped while it waits below.
+        let _guard = PendingAnswerGuard(self, conn);
+        self.handle_input(Input::Request(Request {
             conn,
             socket,
             listener,
@@ -310,10 +314,10 @@
             let tcp = stream::accept(&tcp_listener).await;
             let id = SocketId(self.next_socket.get());
             self.next_socket.set(id.0 + 1);
-            let serve = server::begin(self.clone(), id, tcp, listener);
+            let serve = server::handle_connection(self.clone(), id, tcp, listener);
             let serve = self.executor.spawn_urgent(serve);
-            self.serving.borrow_mut().insert(id, serve);
-            self.input(Input::Opened(id, listener));
+            self.connection_tasks.borrow_mut().insert(id, serve);
+            self.handle_input(Input::Opened(id, listener));
         }
     }
 }
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -1,4 +1,4 @@
-//! Requests that come in.
+//! The HTTP server for requests to the controller.
 
 use std::{net::TcpStream, rc::Rc, time::Duration};
 
@@ -13,75 +13,80 @@
 
 use crate::{runtime::Runtime, stream::Stream};
 
-/// For how long a body may take to arrive.
-const BODY_PATIENCE: Duration = Duration::from_secs(4);
-/// What headers may take.
-const MAX_HEAD: usize = 8 * 1024;
-/// How long the other side gets to read a last answer before we close.
-const LINGER: Duration = Duration::from_millis(500);
+/// How long a request body may take to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum size of the request line and headers, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// How long the peer has to read the last answer before the connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Begins to serve a connection. That of a worker that reports waits until it
-/// may be read, and goes on among what is not urgent.
-pub async fn begin(runtime: Rc<Runtime>, id: SocketId, tcp: Async<TcpStream>, listener: Listener) {
+/// Handles an inbound connection. On the public address it is read only when the controller
+/// allows it, and a worker's reports are then served as a background task.
+pub async fn handle_connection(
+    runtime: Rc<Runtime>,
+    id: SocketId,
+    tcp: Async<TcpStream>,
+    listener: Listener,
+) {
     let stream = Stream::new(tcp);
     if listener == Listener::Internal {
         serve(&runtime, id, &stream, listener).await;
-        return runtime.served(id);
+        return runtime.connection_ended(id);
     }
-    // Reading a request costs more than all that is done until then, so
-    // whoever is behind does not even begin with some.
-    let Some(beginning) = stream.beginning().await else {
-        return runtime.served(id);
+    // Reading a request costs more than all steps before it, so a controller with a backlog
+    // does not start to read some of them.
+    let Some(prefix) = stream.peek_prefix().await else {
+        return runtime.connection_ended(id);
     };
-    let is_report = is_report(&beginning);
-    runtime.may_read(id, beginning).await;
-    if stream.is_gone() {
-        return runtime.served(id);
+    let is_report = is_report(&prefix);
+    runtime.wait_for_read_permission(id, prefix).await;
+    if stream.is_closed() {
+        return runtime.connection_ended(id);
     }
     if is_report {
-        let later = runtime.clone();
-        runtime.serve_later(id, async move {
-            serve(&later, id, &stream, listener).await;
-            later.served(id);
+        let background_runtime = runtime.clone();
+        runtime.serve_in_background(id, async move {
+            serve(&background_runtime, id, &stream, listener).await;
+            background_runtime.connection_ended(id);
         });
     } else {
         serve(&runtime, id, &stream, listener).await;
-        runtime.served(id);
+        runtime.connection_ended(id);
     }
 }
 
-/// Serves one connection until it ends. How long it may be idle or take over
-/// one request is decided where the sockets are counted: then this is dropped.
+/// Serves the requests of one connection until it ends. The idle and request timeouts are
+/// enforced by the controller's socket accounting, which drops this future.
 async fn serve(runtime: &Rc<Runtime>, id: SocketId, stream: &Stream, listener: Listener) {
-    let endpoint = |request| answer(runtime, id, stream, request, listener);
+    let endpoint = |request| handle_request(runtime, id, stream, request, listener);
     let mut server = Server::new(stream.clone(), endpoint);
     loop {
-        stream.allow(MAX_HEAD + MAX_BODY);
+        stream.set_read_budget(MAX_HEAD_BYTES + MAX_BODY);
         match server.accept_one().await {
             Ok(ConnectionStatus::KeepAlive) => {}
             Ok(ConnectionStatus::Close) | Err(_) => break,
         }
     }
-    if stream.is_gone() {
+    if stream.is_closed() {
         return;
     }
-    // A close with bytes unread would reset the connection, and the answer
-    // could be lost with it.
-    stream.finish();
-    stream.allow(4 * MAX_BODY);
-    let mut rest = stream.clone();
+    // Closing with unread bytes would reset the connection, and the peer could lose the
+    // answer.
+    stream.shutdown_write();
+    stream.set_read_budget(4 * MAX_BODY);
+    let mut reader = stream.clone();
     let drain = async {
         let mut sink = [0; 1024];
-        while matches!(rest.read(&mut sink).await, Ok(n) if n > 0) {}
+        while matches!(reader.read(&mut sink).await, Ok(n) if n > 0) {}
     };
     drain
         .or(async {
-            Timer::after(LINGER).await;
+            Timer::after(LINGER_TIMEOUT).await;
         })
         .await;
 }
 
-async fn answer(
+async fn handle_request(
     runtime: &Rc<Runtime>,
     id: SocketId,
     stream: &Stream,
@@ -89,25 +94,28 @@
     listener: Listener,
 ) -> http_types::Result<Response> {
     if request.len().is_some_and(|len| len > MAX_BODY) {
-        return Ok(unread(stream, "the body is larger than 64 KiB"));
+        return Ok(reject_unread(stream, "the body is larger than 64 KiB"));
     }
     let mut body = Vec::new();
-    let mut taken = request.take_body().take(MAX_BODY as u64 + 1);
-    let read = async { taken.read_to_end(&mut body).await.is_ok() };
-    let late = async {
-        Timer::after(BODY_PATIENCE).await;
+    let mut limited_body = request.take_body().take(MAX_BODY as u64 + 1);
+    let read = async { limited_body.read_to_end(&mut body).await.is_ok() };
+    let timed_out = async {
+        Timer::after(BODY_TIMEOUT).await;
         false
     };
-    if !read.or(late).await {
-        return Ok(unread(stream, "the body did not arrive"));
+    if !read.or(timed_out).await {
+        return Ok(reject_unread(stream, "the body did not arrive completely"));
     }
     if body.len() > MAX_BODY {
-        return Ok(unread(stream, "the body is larger than 64 KiB"));
+        return Ok(reject_unread(stream, "the body is larger than 64 KiB"));
     }
-    if stream.is_gone() {
-        // Given up meanwhile. Whoever is behind and still answers what nobody
-        // reads any more stays behind: those who gave up come again.
-        return Err(Error::from_str(StatusCode::RequestTimeout, "given up"));
+    if stream.is_closed() {
+        // The client has given up. A controller with a backlog that answered abandoned
+        // requests would not catch up, since their clients send them again.
+        return Err(Error::from_str(
+            StatusCode::RequestTimeout,
+            "the client closed the connection",
+        ));
     }
     let method = match request.method() {
         HttpMethod::Get => Method::Get,
@@ -117,32 +125,35 @@
         _ => Method::Other,
     };
     let path = request.url().path().to_owned();
-    // Operators speak JSON, everybody else MessagePack.
-    let form = if path.starts_with("/admin/") {
+    // Operators use JSON, all other clients MessagePack.
+    let content_type = if path.starts_with("/admin/") {
         "application/json"
     } else {
         "application/msgpack"
     };
     let answer = runtime.request(id, listener, method, path, body).await;
     let Some(answer) = answer else {
-        return Ok(refusal(StatusCode::ServiceUnavailable, "no answer"));
+        return Ok(refusal(
+            StatusCode::ServiceUnavailable,
+            "the controller gave no answer",
+        ));
     };
     let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
     response.set_body(answer.body);
-    response.insert_header(headers::CONTENT_TYPE, form);
+    response.insert_header(headers::CONTENT_TYPE, content_type);
     if let Some(after) = answer.retry_after {
-        // Whole seconds, and not before the time.
+        // `Retry-After` is in whole seconds; rounded up so that the client does not come early.
         let seconds = after.as_secs_f64().ceil().max(1.0);
         response.insert_header(headers::RETRY_AFTER, seconds.to_string());
     }
     Ok(response)
 }
 
-/// Refuses a request whose body is not read to its end; the connection can't
-/// go on after that.
-fn unread(stream: &Stream, error: &str) -> Response {
-    stream.allow(0);
+/// Rejects a request whose body is not read to its end; the connection cannot be reused after
+/// that.
+fn reject_unread(stream: &Stream, error: &str) -> Response {
+    stream.set_read_budget(0);
     let mut response = refusal(StatusCode::BadRequest, error);
     response.insert_header(headers::CONNECTION, "close");
     response
--- a/crates/daemon/src/stream.rs
+++ b/crates/daemon/src/stream.rs
@@ -1,5 +1,4 @@
-//! Listening, and a TCP stream that several owners may read and write, and that
-//! stops giving out bytes once its allowance is used up.
+//! Listening, and a TCP stream that has several owners and limits how many bytes are read.
 
 use std::{
     io,
@@ -16,57 +15,57 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncWrite};
 
-/// How long to wait after an address could not be bound or accepted from.
-const RETRY: Duration = Duration::from_millis(200);
+/// Delay before binding an address or accepting a connection is retried.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Listens at an address; if that can't be had, it is tried until it can.
+/// Listens on an address; retries until it can be bound.
 pub async fn bind(addr: SocketAddrV4) -> Async<TcpListener> {
     loop {
         match Async::<TcpListener>::bind(addr) {
             Ok(listener) => return listener,
-            Err(e) => log::error!("{addr} can not be listened on: {e}"),
+            Err(e) => log::error!("{addr}: cannot listen, retrying: {e}"),
         }
-        Timer::after(RETRY).await;
+        Timer::after(RETRY_INTERVAL).await;
     }
 }
 
-/// The next connection.
+/// Accepts the next connection; retries after errors.
 pub async fn accept(listener: &Async<TcpListener>) -> Async<TcpStream> {
     loop {
         match listener.accept().await {
             Ok((tcp, _)) => return tcp,
-            Err(e) => log::error!("connections can not be accepted: {e}"),
+            Err(e) => log::error!("cannot accept connections, retrying: {e}"),
         }
-        Timer::after(RETRY).await;
+        Timer::after(RETRY_INTERVAL).await;
     }
 }
 
-/// The stream; clones share it.
+/// A TCP stream; clones share the connection and the read budget.
 #[derive(Clone, Debug)]
 pub struct Stream {
     tcp: Arc<Async<TcpStream>>,
-    allowance: Arc<AtomicUsize>,
+    read_budget: Arc<AtomicUsize>,
 }
 
 impl Stream {
-    /// A stream without limit.
+    /// Creates a stream without a read limit.
     pub fn new(tcp: Async<TcpStream>) -> Self {
-        // Our messages are small and waited for.
+        // Messages are small, and the peer waits for each of them.
         let _ = tcp.get_ref().set_nodelay(true);
         Self {
             tcp: Arc::new(tcp),
-            allowance: Arc::new(AtomicUsize::new(usize::MAX)),
+            read_budget: Arc::new(AtomicUsize::new(usize::MAX)),
         }
     }
 
-    /// Sets how many bytes may still be read; after that the stream looks as
-    /// if it had ended.
-    pub fn allow(&self, bytes: usize) {
-        self.allowance.store(bytes, Ordering::Relaxed);
+    /// Sets how many more bytes may be read; after that, reads return end of stream.
+    pub fn set_read_budget(&self, bytes: usize) {
+        self.read_budget.store(bytes, Ordering::Relaxed);
     }
 
-    /// The first bytes that come, left to be read again; none: it was closed.
-    pub async fn beginning(&self) -> Option<Vec<u8>> {
+    /// Waits for the first bytes of a request and returns them without consuming them; `None`
+    /// if the connection was closed or has failed.
+    pub async fn peek_prefix(&self) -> Option<Vec<u8>> {
         let mut bytes = [0; 16];
         match self.tcp.peek(&mut bytes).await {
             Ok(0) | Err(_) => None,
@@ -74,21 +73,21 @@
         }
     }
 
-    /// Whether nothing unexpected has come in on an idle connection.
+    /// Whether the connection is open and no data is waiting to be read.
     pub fn is_idle(&self) -> bool {
         let peeked = self.tcp.get_ref().peek(&mut [0]);
         matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether the other side has closed it.
-    pub fn is_gone(&self) -> bool {
+    /// Whether the peer has closed the connection, or it has failed.
+    pub fn is_closed(&self) -> bool {
         let peeked = self.tcp.get_ref().peek(&mut [0]);
         !matches!(peeked, Ok(1..))
             && !matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Says that we write no more.
-    pub fn finish(&self) {
+    /// Closes the connection for writing.
+    pub fn shutdown_write(&self) {
         let _ = self.tcp.get_ref().shutdown(Shutdown::Write);
     }
 }
@@ -99,22 +98,22 @@
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let left = self.allowance.load(Ordering::Relaxed);
-        if left == 0 {
+        let remaining = self.read_budget.load(Ordering::Relaxed);
+        if remaining == 0 {
             return Poll::Ready(Ok(0));
         }
-        let most = buf.len().min(left);
-        let read = Pin::new(&mut &*self.tcp).poll_read(cx, &mut buf[..most]);
+        let max_len = buf.len().min(remaining);
+        let read = Pin::new(&mut &*self.tcp).poll_read(cx, &mut buf[..max_len]);
         if let Poll::Ready(Ok(n)) = read {
-            let _ = self
-                .allowance
-                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
-                    Some(if left == usize::MAX {
-                        left
-                    } else {
-                        left - n.min(left)
-                    })
-                });
+            let _ =
+                self.read_budget
+                    .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |remaining| {
+                        Some(if remaining == usize::MAX {
+                            remaining
+                        } else {
+                            remaining - n.min(remaining)
+                        })
+                    });
         }
         read
     }
--- a/crates/daemon/src/wes.rs
+++ b/crates/daemon/src/wes.rs
@@ -1,4 +1,4 @@
-//! A client of the Workflow Execution Service.
+//! A client of the GA4GH Workflow Execution Service (WES).
 
 use std::{collections::BTreeMap, net::SocketAddrV4, time::Duration};
 
@@ -10,61 +10,61 @@
 
 use crate::client::Client;
 
-/// When to give an answer up.
-const TIMEOUT: Duration = Duration::from_secs(30);
-/// How often something that can't be done now is tried again.
-const TRIES: u32 = 20;
-/// The most runs that are listed.
-const MOST_LISTED: usize = 100_000;
+/// How long the service may take to answer a request.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of attempts while the service answers with status 503.
+const MAX_ATTEMPTS: u32 = 20;
+/// No further page is requested once this many runs are listed.
+const MAX_LISTED_RUNS: usize = 100_000;
 
-/// Why there is no result.
+/// Why a request failed.
 #[derive(Debug, Error)]
 pub enum WesError {
-    /// Nobody answers.
-    #[error("{0} can not be reached")]
-    Unreached(SocketAddrV4),
-    /// Not now.
-    #[error("{0} can not do it now")]
-    Later(SocketAddrV4),
-    /// Not ever.
+    /// No connection could be made, or no answer came in time.
+    #[error("{0} cannot be reached")]
+    Unreachable(SocketAddrV4),
+    /// The service answered with status 503 at each attempt.
+    #[error("{0} cannot process the request now (status 503); try again later")]
+    Unavailable(SocketAddrV4),
+    /// The service rejected the request.
     #[error("{0} refuses: {1}")]
     Refused(SocketAddrV4, String),
-    /// Something else is served there.
-    #[error("{0} answers what this program can not read: {1}")]
+    /// The answer is not the JSON that WES defines; probably another service listens there.
+    #[error("{0} sent an answer that is not valid for WES: {1}")]
     Unreadable(SocketAddrV4, serde_json::Error),
 }
 
 impl WesError {
-    /// The exit code.
-    pub fn code(&self) -> u8 {
+    /// The exit code of the program.
+    pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Unreached(_) | Self::Later(_) => 4,
+            Self::Unreachable(_) | Self::Unavailable(_) => 4,
             Self::Refused(..) | Self::Unreadable(..) => 5,
         }
     }
 
-    /// Whether it may be over soon.
-    pub fn is_passing(&self) -> bool {
-        matches!(self, Self::Unreached(_) | Self::Later(_))
+    /// Whether a later attempt may succeed.
+    pub fn is_transient(&self) -> bool {
+        matches!(self, Self::Unreachable(_) | Self::Unavailable(_))
     }
 }
 
-/// A state by its name in the protocol.
-pub fn word(state: State) -> String {
+/// The name of a state in the protocol.
+pub fn state_name(state: State) -> String {
     let text = serde_json::to_value(state).unwrap_or_default();
     text.as_str().unwrap_or_default().to_owned()
 }
 
-/// Where workflows are served.
+/// A client of the service at this address.
 #[derive(Clone, Copy, Debug)]
-pub struct Wes(pub SocketAddrV4);
+pub struct WesClient(pub SocketAddrV4);
 
-impl Wes {
-    fn ask<T: DeserializeOwned>(
+impl WesClient {
+    fn request<T: DeserializeOwned>(
         self,
         method: Method,
         path: &str,
-        kind: Option<&str>,
+        content_type: Option<&str>,
         body: Vec<u8>,
     ) -> Result<T, WesError> {
         let call = Call {
@@ -73,45 +73,47 @@
             method,
             path: format!("{BASE}{path}"),
             body,
-            timeout: TIMEOUT,
+            timeout: ANSWER_TIMEOUT,
         };
-        for i in 0..TRIES {
+        for i in 0..MAX_ATTEMPTS {
             if i > 0 {
                 std::thread::sleep(Duration::from_secs(1));
             }
             let client = Client::default();
-            let (status, body) = match block_on(client.call_kind(self.0.into(), &call, kind)).0 {
-                Reply::Answer { status, body } => (status, body),
-                // It may have been executed: a second run would be one too many.
-                Reply::NotSent | Reply::Lost => return Err(WesError::Unreached(self.0)),
-            };
+            let (status, body) =
+                match block_on(client.call_with_content_type(self.0.into(), &call, content_type)).0
+                {
+                    Reply::Answer { status, body } => (status, body),
+                    // The service may have executed the request; a retry could start a second run.
+                    Reply::NotSent | Reply::Lost => return Err(WesError::Unreachable(self.0)),
+                };
             match status {
                 200 => {
-                    let read = serde_json::from_slice(&body);
-                    return read.map_err(|e| WesError::Unreadable(self.0, e));
+                    let parsed = serde_json::from_slice(&body);
+                    return parsed.map_err(|e| WesError::Unreadable(self.0, e));
                 }
                 503 => {}
                 status => {
                     let problem = serde_json::from_slice::<Problem>(&body);
-                    let why = problem.map_or_else(|_| format!("status {status}"), |p| p.msg);
-                    return Err(WesError::Refused(self.0, why));
+                    let reason = problem.map_or_else(|_| format!("status {status}"), |p| p.msg);
+                    return Err(WesError::Refused(self.0, reason));
                 }
             }
         }
-        Err(WesError::Later(self.0))
+        Err(WesError::Unavailable(self.0))
     }
 
-    /// Hands a document in and returns the run's name.
+    /// Submits a document with its inputs and returns the run id.
     pub fn submit(
         self,
         main: &str,
         files: &BTreeMap<String, String>,
         inputs: &serde_json::Value,
     ) -> Result<String, WesError> {
-        // One that is in none of the parts.
+        // The boundary must not occur in any file.
         let mut boundary = String::new();
-        let holds = |boundary: &str| files.values().any(|text| text.contains(boundary));
-        while boundary.is_empty() || holds(&boundary) {
+        let occurs = |boundary: &str| files.values().any(|text| text.contains(boundary));
+        while boundary.is_empty() || occurs(&boundary) {
             boundary = format!("oliveshift-{:016x}", fastrand::u64(..));
         }
         let mut body = String::new();
@@ -131,24 +133,29 @@
             part("workflow_attachment", Some(name), text);
         }
         body += &format!("--{boundary}--\r\n");
-        let kind = format!("multipart/form-data; boundary={boundary}");
-        let run: RunId = self.ask(Method::Post, "/runs", Some(&kind), body.into_bytes())?;
+        let content_type = format!("multipart/form-data; boundary={boundary}");
+        let run: RunId = self.request(
+            Method::Post,
+            "/runs",
+            Some(&content_type),
+            body.into_bytes(),
+        )?;
         Ok(run.run_id)
     }
 
-    /// All about a run.
+    /// Returns the full record of a run.
     pub fn log(self, run: &str) -> Result<RunLog, WesError> {
-        self.ask(Method::Get, &format!("/runs/{run}"), None, Vec::new())
+        self.request(Method::Get, &format!("/runs/{run}"), None, Vec::new())
     }
 
-    /// Cancels a run.
+    /// Requests the cancellation of a run.
     pub fn cancel(self, run: &str) -> Result<(), WesError> {
         let path = format!("/runs/{run}/cancel");
-        let done: Result<RunId, _> = self.ask(Method::Post, &path, None, Vec::new());
+        let done: Result<RunId, _> = self.request(Method::Post, &path, None, Vec::new());
         done.map(|_| ())
     }
 
-    /// All runs.
+    /// Lists all runs.
     pub fn list(self) -> Result<Vec<RunSummary>, WesError> {
         let mut all = Vec::new();
         let mut token = String::new();
@@ -157,9 +164,9 @@
                 "" => "/runs".to_owned(),
                 token => format!("/runs?page_token={token}"),
             };
-            let page: RunList = self.ask(Method::Get, &path, None, Vec::new())?;
+            let page: RunList = self.request(Method::Get, &path, None, Vec::new())?;
             all.extend(page.runs);
-            if page.next_page_token.is_empty() || all.len() >= MOST_LISTED {
+            if page.next_page_token.is_empty() || all.len() >= MAX_LISTED_RUNS {
                 return Ok(all);
             }
             token = page.next_page_token;
--- a/crates/daemon/src/workflows.rs
+++ b/crates/daemon/src/workflows.rs
@@ -1,5 +1,5 @@
-//! `oliveshift workflows`: serves CWL workflows by the GA4GH Workflow Execution
-//! Service, and runs them by the users' API.
+//! `oliveshift workflows`: serves CWL workflows through the GA4GH Workflow Execution Service
+//! (WES) and runs them through the controllers' user API.
 
 mod config;
 mod object_store;
@@ -14,15 +14,15 @@
 /// Serves CWL workflows.
 #[derive(Debug, Args)]
 pub struct Workflows {
-    /// The settings (TOML).
+    /// The settings file (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Only checks the settings and says what follows from them.
+    /// Only checks the settings and prints a summary.
     #[arg(long)]
     check: bool,
 }
 
-/// Runs until the process is killed.
+/// Checks the settings, or serves workflows until the process is killed.
 pub fn run(command: &Workflows) -> ExitCode {
     let config = match Config::read(&command.config) {
         Ok(config) => config,
@@ -35,6 +35,6 @@
         println!("{config}");
         return ExitCode::SUCCESS;
     }
-    crate::logging::start();
+    crate::logging::init();
     server::run(config)
 }
--- a/crates/daemon/src/workflows/object_store.rs
+++ b/crates/daemon/src/workflows/object_store.rs
@@ -1,8 +1,7 @@
-//! A directory that stands for the object store.
+//! The object store, represented by a directory.
 //!
-//! `store://a/b` is the file `a/b`. What task 3 of a job has left behind is
-//! `results/JOB/3.json`, a [`TaskResult`], which its agent writes whole before
-//! it says that the task is done.
+//! `store://a/b` is the file `a/b`. The result of task 3 of a job is `results/JOB/3.json`, a
+//! [`TaskResult`]; its agent writes the complete file before it reports the task as done.
 
 use std::{io::Read, path::PathBuf};
 
@@ -10,12 +9,12 @@
 use oliveshift_wire::JobId;
 use oliveshift_workflow::job::TaskResult;
 
-/// The directory.
+/// The object store in this directory.
 #[derive(Clone, Debug)]
 pub struct ObjectStore(pub PathBuf);
 
 impl ObjectStore {
-    /// What all tasks of a job have left behind; none: not all of it is there.
+    /// The results of all tasks of a job; `None` if any of them is missing or unreadable.
     pub fn results(&self, job: &JobId, tasks: u32) -> Option<Vec<TaskResult>> {
         let dir = self.0.join("results").join(job.as_str());
         let read = |i: u32| -> Option<TaskResult> {
@@ -25,7 +24,7 @@
         (0..tasks).map(read).collect()
     }
 
-    /// The beginning of a file; none: there is no such file, or it is no text.
+    /// The first [`MAX_CONTENTS`] bytes of a file; `None` if it cannot be read or is not UTF-8.
     pub fn text(&self, location: &str) -> Option<String> {
         let path = location.strip_prefix("store://")?;
         if path.split('/').any(|part| matches!(part, "" | "." | "..")) {
--- a/crates/daemon/src/workflows/server.rs
+++ b/crates/daemon/src/workflows/server.rs
@@ -1,4 +1,4 @@
-//! Carries what goes in and out of the state machine, and speaks WES.
+//! The workflow service process: serves WES over HTTP and performs the I/O of the state machine.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,17 +31,20 @@
     stream::{self, Stream},
 };
 
-/// How often the state machine hears that time has passed.
-const TICK: Duration = Duration::from_millis(100);
-/// How long the state service and the users' API may take.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// How long a partner may take over a request, and be silent.
-const PARTNER_PATIENCE: Duration = Duration::from_secs(30);
-/// When a partner is told to come back if no answer was found.
-const ANSWER_WITHIN: Duration = Duration::from_secs(20);
-/// The most partners at a time.
-const MOST_PARTNERS: usize = 256;
+/// Interval of the ticks passed to the state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of requests to the state service and the user API. Clients whose request was not
+/// answered are told to retry after the same time.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a client connection may be idle or take over one request, including the answer.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long the state machine may take to answer a request; after that the client is told to
+/// retry later.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of client connections; further ones are closed.
+const MAX_CLIENT_CONNECTIONS: usize = 256;
 
+/// The process around the state machine of an instance.
 struct WesServer {
     executor: LocalExecutor<'static>,
     service: RefCell<Service>,
@@ -49,9 +52,10 @@
     object_store: ObjectStore,
     config: Config,
     started: Instant,
-    waiting: RefCell<HashMap<AskId, Sender<Answer>>>,
-    next: Cell<u64>,
-    partners: Cell<usize>,
+    pending_answers: RefCell<HashMap<AskId, Sender<Answer>>>,
+    /// Numbers requests of clients, and selects the next address of the user API.
+    next_number: Cell<u64>,
+    client_connections: Cell<usize>,
 }
 
 /// Runs until the process is killed.
@@ -63,9 +67,9 @@
         client: Client::default(),
         object_store: ObjectStore(config.objects.clone()),
         started: Instant::now(),
-        waiting: RefCell::default(),
-        next: Cell::new(0),
-        partners: Cell::new(0),
+        pending_answers: RefCell::default(),
+        next_number: Cell::new(0),
+        client_connections: Cell::new(0),
         config,
     });
     log::info!(
@@ -73,13 +77,13 @@
         server.config.name,
         server.config.listen
     );
-    let tasks = server.clone();
-    block_on(tasks.executor.run(async move {
+    let executor_owner = server.clone();
+    block_on(executor_owner.executor.run(async move {
         server.executor.spawn(server.clone().listen()).detach();
         let mut ticks = 0u32;
         loop {
-            server.input(Input::Tick);
-            Timer::after(TICK).await;
+            server.handle_input(Input::Tick);
+            Timer::after(TICK_INTERVAL).await;
             ticks = ticks.wrapping_add(1);
             if ticks.is_multiple_of(100) {
                 server.client.prune();
@@ -89,29 +93,29 @@
 }
 
 impl WesServer {
-    fn input(self: &Rc<Self>, input: Input) {
-        let day = SystemTime::now().duration_since(UNIX_EPOCH);
-        let day_s = day.unwrap_or_default().as_secs();
+    /// Passes an input to the state machine and starts to carry out its outputs.
+    fn handle_input(self: &Rc<Self>, input: Input) {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        let now_s = since_epoch.unwrap_or_default().as_secs();
         let now = self.started.elapsed();
-        let outputs = self.service.borrow_mut().handle(now, day_s, input);
+        let outputs = self.service.borrow_mut().handle(now, now_s, input);
         for output in outputs {
             match output {
                 Output::Answer(asker, answer) => {
-                    if let Some(waiting) = self.waiting.borrow_mut().remove(&asker) {
-                        let _ = waiting.try_send(answer);
+                    if let Some(sender) = self.pending_answers.borrow_mut().remove(&asker) {
+                        let _ = sender.try_send(answer);
                     }
                 }
                 other => {
                     let server = self.clone();
-                    self.executor.spawn(server.carry_out(other)).detach();
+                    self.executor.spawn(server.perform(other)).detach();
                 }
             }
         }
     }
 
-    /// Does what the state machine wants of others and tells it what came of
-    /// it.
-    async fn carry_out(self: Rc<Self>, output: Output) {
+    /// Performs an output of the state machine and passes the result back to it.
+    async fn perform(self: Rc<Self>, output: Output) {
         let input = match output {
             Output::Store(call, ask) => {
                 let request = api::store_request(&ask);
@@ -122,15 +126,15 @@
             }
             Output::Submit(call, spec) => {
                 let path = "/work".to_owned();
-                Input::Job(call, self.ask_users("POST", path, encode(&*spec)).await)
+                Input::Job(call, self.call_user_api("POST", path, encode(&*spec)).await)
             }
             Output::Poll(call, id) => {
                 let path = format!("/work/{id}");
-                Input::Job(call, self.ask_users("GET", path, Vec::new()).await)
+                Input::Job(call, self.call_user_api("GET", path, Vec::new()).await)
             }
             Output::Abort(call, id) => {
                 let path = format!("/work/{id}/abort");
-                Input::Job(call, self.ask_users("POST", path, Vec::new()).await)
+                Input::Job(call, self.call_user_api("POST", path, Vec::new()).await)
             }
             Output::Results(call, id, tasks) => {
                 Input::Results(call, self.object_store.results(&id, tasks))
@@ -138,10 +142,10 @@
             Output::Text(call, location) => Input::Text(call, self.object_store.text(&location)),
             Output::Answer(..) => return,
         };
-        self.input(input);
+        self.handle_input(input);
     }
 
-    async fn ask_users(
+    async fn call_user_api(
         &self,
         method: &'static str,
         path: String,
@@ -155,9 +159,10 @@
         let addr = match to {
             Target::State => self.config.state,
             _ => {
-                // One after the other, so that a dead one costs its part only.
-                let next = self.next.get();
-                self.next.set(next + 1);
+                // Round robin, so that an unreachable address fails only its share of the
+                // requests.
+                let next = self.next_number.get();
+                self.next_number.set(next + 1);
                 self.config.users[next as usize % self.config.users.len()]
             }
         };
@@ -171,11 +176,11 @@
             },
             path,
             body,
-            timeout: PATIENCE,
+            timeout: CALL_TIMEOUT,
         };
-        let (reply, after) = self.client.call_told(addr.into(), &call).await;
+        let (reply, retry_after) = self.client.call_with_retry_after(addr.into(), &call).await;
         match reply {
-            CoreReply::Answer { status, body } => Reply::Answer(status, body, after),
+            CoreReply::Answer { status, body } => Reply::Answer(status, body, retry_after),
             CoreReply::NotSent => Reply::NotSent,
             CoreReply::Lost => Reply::Lost,
         }
@@ -185,49 +190,52 @@
         let listener = stream::bind(self.config.listen).await;
         loop {
             let tcp = stream::accept(&listener).await;
-            if self.partners.get() >= MOST_PARTNERS {
+            if self.client_connections.get() >= MAX_CLIENT_CONNECTIONS {
                 continue;
             }
-            self.partners.set(self.partners.get() + 1);
+            self.client_connections
+                .set(self.client_connections.get() + 1);
             let server = self.clone();
             let serve = async move {
-                server.serve(Stream::new(tcp)).await;
-                server.partners.set(server.partners.get() - 1);
+                server.serve_connection(Stream::new(tcp)).await;
+                server
+                    .client_connections
+                    .set(server.client_connections.get() - 1);
             };
             self.executor.spawn(serve).detach();
         }
     }
 
-    async fn serve(self: &Rc<Self>, stream: Stream) {
-        let endpoint = |request| async { Ok(self.answer(request).await) };
+    async fn serve_connection(self: &Rc<Self>, stream: Stream) {
+        let endpoint = |request| async { Ok(self.handle_request(request).await) };
         let mut server = async_h1::server::Server::new(stream.clone(), endpoint);
         loop {
-            stream.allow(MAX_BUNDLE + 64 * 1024);
-            let one = async { server.accept_one().await.ok() };
-            let late = async {
-                Timer::after(PARTNER_PATIENCE).await;
+            stream.set_read_budget(MAX_BUNDLE + 64 * 1024);
+            let served = async { server.accept_one().await.ok() };
+            let timed_out = async {
+                Timer::after(CLIENT_TIMEOUT).await;
                 None
             };
-            match one.or(late).await {
+            match served.or(timed_out).await {
                 Some(async_h1::server::ConnectionStatus::KeepAlive) => {}
                 _ => break,
             }
         }
     }
 
-    async fn answer(self: &Rc<Self>, mut request: Request) -> Response {
+    async fn handle_request(self: &Rc<Self>, mut request: Request) -> Response {
         let path = request.url().path().to_owned();
         let Some(path) = path.strip_prefix(BASE) else {
             return problem(404, "no such path");
         };
         let parts: Vec<_> = path.trim_matches('/').split('/').collect();
         match (request.method(), parts.as_slice()) {
-            (HttpMethod::Get, ["service-info"]) => json(&self.info()),
-            (HttpMethod::Get, ["runs"]) => self.list(&request).await,
-            (HttpMethod::Post, ["runs"]) => match self.bundle(&mut request).await {
+            (HttpMethod::Get, ["service-info"]) => json(&self.service_info()),
+            (HttpMethod::Get, ["runs"]) => self.list_runs(&request).await,
+            (HttpMethod::Post, ["runs"]) => match self.read_bundle(&mut request).await {
                 Ok(bundle) => {
                     let answer = self.ask(Ask::Submit(Box::new(bundle))).await;
-                    told(answer)
+                    common_response(answer)
                 }
                 Err(why) => problem(400, &why),
             },
@@ -239,10 +247,11 @@
                     (HttpMethod::Get, []) => Ask::Log(id),
                     (HttpMethod::Get, ["status"]) => Ask::Status(id),
                     (HttpMethod::Post, ["cancel"]) => {
-                        // Of a run that there is not, nothing is written.
+                        // Only existing runs are cancelled: the request is written without
+                        // reading the run.
                         match self.ask(Ask::Status(id)).await {
                             Answer::Is(_) => Ask::Cancel(id),
-                            other => return told(other),
+                            other => return common_response(other),
                         }
                     }
                     _ => return problem(404, "no such path"),
@@ -250,13 +259,13 @@
                 match self.ask(ask).await {
                     Answer::Is(record) => json(&wes::RunStatus {
                         run_id: id.to_string(),
-                        state: shown(record.state),
+                        state: wes_state(record.state),
                     }),
                     Answer::Cancelling => json(&wes::RunId {
                         run_id: id.to_string(),
                     }),
                     Answer::Log(log) => json(&run_log(id, *log)),
-                    other => told(other),
+                    other => common_response(other),
                 }
             }
             _ => problem(404, "no such path"),
@@ -264,25 +273,25 @@
     }
 
     async fn ask(self: &Rc<Self>, ask: Ask) -> Answer {
-        let asker = self.next.get();
-        self.next.set(asker + 1);
+        let asker = self.next_number.get();
+        self.next_number.set(asker + 1);
         let (send, receive) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(asker, send);
-        self.input(Input::Ask(asker, ask));
-        let late = async {
-            Timer::after(ANSWER_WITHIN).await;
-            Answer::ComeBack(PATIENCE)
+        self.pending_answers.borrow_mut().insert(asker, send);
+        self.handle_input(Input::Ask(asker, ask));
+        let timed_out = async {
+            Timer::after(ANSWER_TIMEOUT).await;
+            Answer::ComeBack(CALL_TIMEOUT)
         };
         let answer = async {
             let answer = receive.recv().await;
-            answer.unwrap_or(Answer::ComeBack(PATIENCE))
+            answer.unwrap_or(Answer::ComeBack(CALL_TIMEOUT))
         };
-        let answer = answer.or(late).await;
-        self.waiting.borrow_mut().remove(&asker);
+        let answer = answer.or(timed_out).await;
+        self.pending_answers.borrow_mut().remove(&asker);
         answer
     }
 
-    async fn list(self: &Rc<Self>, request: &Request) -> Response {
+    async fn list_runs(self: &Rc<Self>, request: &Request) -> Response {
         let token = request
             .url()
             .query_pairs()
@@ -294,15 +303,15 @@
             .as_ref()
             .is_some_and(|t| !t.starts_with("wf/r/") || t.contains(['&', '?', '#', ' ']))
         {
-            return problem(400, "not a token of a page before");
+            return problem(400, "page_token is not one that a previous page returned");
         }
         match self.ask(Ask::List(token)).await {
             Answer::Runs(runs, next) => {
                 let runs = runs.into_iter().map(|(id, record)| wes::RunSummary {
                     run_id: id.to_string(),
-                    state: shown(record.state),
-                    start_time: time(record.begun_s),
-                    end_time: record.ended_s.map(time),
+                    state: wes_state(record.state),
+                    start_time: format_time(record.begun_s),
+                    end_time: record.ended_s.map(format_time),
                     tags: BTreeMap::new(),
                 });
                 json(&wes::RunList {
@@ -310,11 +319,11 @@
                     next_page_token: next.unwrap_or_default(),
                 })
             }
-            other => told(other),
+            other => common_response(other),
         }
     }
 
-    fn info(&self) -> wes::ServiceInfo {
+    fn service_info(&self) -> wes::ServiceInfo {
         let version = env!("CARGO_PKG_VERSION").to_owned();
         let cwl = wes::TypeVersions {
             workflow_type_version: vec![oliveshift_cwl::load::VERSION.to_owned()],
@@ -347,18 +356,19 @@
         }
     }
 
-    /// The document and inputs that a partner hands in.
-    async fn bundle(&self, request: &mut Request) -> Result<Bundle, String> {
+    /// Reads a submitted document and its inputs from the multipart body of a request.
+    async fn read_bundle(&self, request: &mut Request) -> Result<Bundle, String> {
         let kind = request.header(headers::CONTENT_TYPE);
         let kind = kind.map(|k| k.as_str().to_owned()).unwrap_or_default();
         let boundary = multer::parse_boundary(kind);
-        let boundary = boundary.map_err(|_| "multipart/form-data is expected".to_owned())?;
+        let boundary =
+            boundary.map_err(|_| "expected a body of type multipart/form-data".to_owned())?;
         let mut body = Vec::new();
         let mut taken = request.take_body().take(MAX_BUNDLE as u64 + 1);
         let read = taken.read_to_end(&mut body).await;
-        read.map_err(|e| format!("the body can't be read: {e}"))?;
+        read.map_err(|e| format!("the body cannot be read: {e}"))?;
         if body.len() > MAX_BUNDLE {
-            return Err(format!("larger than {MAX_BUNDLE} bytes"));
+            return Err(format!("the body is larger than {MAX_BUNDLE} bytes"));
         }
         let body = once(Ok::<_, std::io::Error>(body));
         let mut parts = multer::Multipart::new(body, boundary);
@@ -385,25 +395,27 @@
                     let file = file.ok_or("a workflow_attachment needs a file name")?;
                     bundle.files.insert(file, text);
                 }
-                // Tags and parameters of engines change nothing here.
+                // Tags and engine parameters are ignored.
                 _ => {}
             }
         }
         if kind != "CWL" || version != oliveshift_cwl::load::VERSION {
-            let known = oliveshift_cwl::load::VERSION;
-            return Err(format!("workflow_type CWL, version {known}, is understood"));
+            let version = oliveshift_cwl::load::VERSION;
+            return Err(format!(
+                "only workflow_type CWL with workflow_type_version {version} is supported"
+            ));
         }
         if bundle.main.is_empty() {
-            return Err("workflow_url is missing: name one of the attachments".into());
+            return Err("workflow_url is missing: it must name one of the attachments".into());
         }
         Ok(bundle)
     }
 }
 
-/// A state as partners see it.
-fn shown(state: RunState) -> State {
+/// The state of a run in WES terms.
+fn wes_state(state: RunState) -> State {
     match state {
-        // What runs is still being ended, and how it ends is certain only then.
+        // A failing run still has jobs to be ended, and its final state is certain only then.
         RunState::Running | RunState::Failing => State::Running,
         RunState::Canceling => State::Canceling,
         RunState::Complete => State::Complete,
@@ -413,8 +425,8 @@
     }
 }
 
-fn time(day_s: u64) -> String {
-    humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_secs(day_s)).to_string()
+fn format_time(unix_s: u64) -> String {
+    humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_secs(unix_s)).to_string()
 }
 
 fn run_log(id: RunId, log: Whole) -> wes::RunLog {
@@ -433,11 +445,11 @@
     });
     wes::RunLog {
         run_id: id.to_string(),
-        state: shown(record.state),
+        state: wes_state(record.state),
         run_log: wes::Log {
             name: log.bundle.main.clone(),
-            start_time: Some(time(record.begun_s)),
-            end_time: record.ended_s.map(time),
+            start_time: Some(format_time(record.begun_s)),
+            end_time: record.ended_s.map(format_time),
             system_logs: reason.into_iter().collect(),
         },
         task_logs: tasks.collect(),
@@ -451,8 +463,8 @@
     }
 }
 
-/// Answers that are the same for all requests.
-fn told(answer: Answer) -> Response {
+/// The response for the answers that any request may get.
+fn common_response(answer: Answer) -> Response {
     match answer {
         Answer::Begun(id) => json(&wes::RunId {
             run_id: id.to_string(),
@@ -460,12 +472,15 @@
         Answer::Bad(why) => problem(400, &why),
         Answer::Unknown => problem(404, "no such run"),
         Answer::ComeBack(after) => {
-            let mut response = problem(503, "not now; come back later");
+            let mut response = problem(
+                503,
+                "the service cannot process the request now; retry later",
+            );
             let after = after.as_secs().max(1).to_string();
             response.insert_header(headers::RETRY_AFTER, after);
             response
         }
-        _ => problem(500, "an answer that was not asked for"),
+        _ => problem(500, "internal error: the answer does not match the request"),
     }
 }
 
@@ -476,9 +491,9 @@
     response
 }
 
-fn problem(status: u16, why: &str) -> Response {
+fn problem(status: u16, message: &str) -> Response {
     let mut response = json(&wes::Problem {
-        msg: why.to_owned(),
+        msg: message.to_owned(),
         status_code: status,
     });
     response.set_status(StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError));
