--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -208,7 +208,7 @@
     fn record(self, options: &Options, seed: u64, interrupted: bool) -> Record {
         let (accepted, open) = self.users.counts();
         let site = self.site.borrow();
-        let broken = site.rules.broken.iter().map(|(at, rule, what)| Break {
+        let broken = site.rules.violations.iter().map(|(at, rule, what)| Break {
             at_ms: at.as_millis() as u64,
             rule: format!("{rule:?}"),
             what: what.clone(),
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -14,7 +14,7 @@
     records::{BlockRecord, Key, Term, from_value},
 };
 use oliveshift_testkit::{
-    Rules, State, StateLimits, cloud::Cloud, rules::Site as Place, worker::Worker,
+    RuleChecker, StateLimits, StateService, cloud::Cloud, rules::Site as Place, worker::Worker,
 };
 use oliveshift_wire::{
     state::{Change, Txn, TxnAnswer},
@@ -90,13 +90,13 @@
     /// Who took a block, by its term.
     holders: BTreeMap<Term, usize>,
     /// The state service.
-    pub state: State,
+    pub state: StateService,
     /// The cloud.
     pub cloud: Cloud,
     /// Machines that are up, by name.
     pub machines: BTreeMap<String, Machine>,
     /// Watches the rules.
-    pub rules: Rules,
+    pub rules: RuleChecker,
     /// What goes wrong when.
     pub faults: Vec<Timed>,
     /// For what is drawn while it runs.
@@ -117,14 +117,14 @@
         cloud.capacity = (cloud.capacity as f64 * factor).ceil() as usize;
         for i in 0..machines as usize {
             let kind = if i % 6 < 4 { "small" } else { "large" };
-            cloud.give(Duration::ZERO, kind, ZONES[i % 2], i % 3 == 0);
+            cloud.add_running(Duration::ZERO, kind, ZONES[i % 2], i % 3 == 0);
         }
-        let mut state = State::new(StateLimits {
+        let mut state = StateService::new(StateLimits {
             txn_ops: TXN_OPS,
             value_bytes: VALUE_KB * 1024,
             write_rps,
         });
-        state.keep_changes(rng.usize(KEPT_CHANGES));
+        state.retain_changes(rng.usize(KEPT_CHANGES));
         Self {
             started: Instant::now(),
             state,
@@ -132,7 +132,7 @@
             machines: BTreeMap::new(),
             timing,
             holders: BTreeMap::new(),
-            rules: Rules::new(limits.into(), timing.cancel()),
+            rules: RuleChecker::new(limits.into(), timing.cancel()),
             faults: Vec::new(),
             rng,
             passed: Duration::ZERO,
@@ -241,16 +241,16 @@
             self.state.refresh_leases(now);
         }
         if !is_out {
-            self.state.pass(now);
+            self.state.expire_leases(now);
         }
         let hanging: Vec<_> = self.machines.keys().map(|name| self.hangs(name)).collect();
         for (machine, hangs) in self.machines.values_mut().zip(hanging) {
             match hangs {
-                Some(_) => machine.worker.hangs(now, &mut self.rules),
-                None => machine.worker.pass(now, &mut self.rules),
+                Some(_) => machine.worker.check_lease_while_hung(now, &mut self.rules),
+                None => machine.worker.advance(now, &mut self.rules),
             }
         }
-        self.rules.watch_cancelled(now);
+        self.rules.check_cancelled_jobs(now);
     }
 
     /// The names of machines that are up and have no worker yet.
@@ -258,7 +258,7 @@
         let now = self.now();
         let cloud = self.cloud.machines.iter();
         let up = cloud.filter(|(name, m)| {
-            let is_up = m.gone.is_none() && m.up.is_some_and(|up| up <= now);
+            let is_up = m.gone_at.is_none() && m.running_at.is_some_and(|up| up <= now);
             is_up && !self.machines.contains_key(*name)
         });
         up.map(|(name, _)| name.clone()).collect()
@@ -286,7 +286,7 @@
     /// A machine is gone with all that is on it.
     pub fn remove(&mut self, name: &str) {
         if let Some(mut machine) = self.machines.remove(name) {
-            machine.worker.die(&mut self.rules);
+            machine.worker.drop_tasks(&mut self.rules);
         }
     }
 
--- a/crates/soak/src/state.rs
+++ b/crates/soak/src/state.rs
@@ -4,7 +4,7 @@
 
 use async_io::Timer;
 use oliveshift_core::{Method, Target};
-use oliveshift_testkit::Done;
+use oliveshift_testkit::StateResponse;
 use oliveshift_wire::{
     decode,
     state::{Txn, TxnAnswer},
@@ -88,7 +88,7 @@
         let now = site.now();
         let txn = decode::<Txn>(&asked.body);
         let done = site.state.execute(now, &call(Target::State, asked));
-        if let (Ok(txn), Done::Answer(200, body)) = (txn, &done)
+        if let (Ok(txn), StateResponse::Answer(200, body)) = (txn, &done)
             && let Ok(answer) = decode::<TxnAnswer>(body)
         {
             site.note_holders(txn, &answer);
@@ -96,8 +96,8 @@
         done
     };
     match done {
-        Done::Answer(status, body) => Told { status, body },
-        Done::Wait { after, block } => {
+        StateResponse::Answer(status, body) => Told { status, body },
+        StateResponse::Wait { after, block } => {
             let (status, body) = watch(site, controller, after, block).await;
             Told { status, body }
         }
--- a/crates/soak/src/users.rs
+++ b/crates/soak/src/users.rs
@@ -134,7 +134,7 @@
         };
         match (status, decode::<JobStatus>(&body)) {
             (200 | 201, Ok(status)) => {
-                site.rules.told(now, sent, job, status.phase);
+                site.rules.phase_reported(now, sent, job, status.phase);
                 if question == Question::Unknown {
                     return;
                 }
@@ -144,7 +144,7 @@
             }
             (404, _) if question == Question::Unknown => {}
             (400 | 404 | 422, _) => {
-                site.rules.denied(now, sent, job);
+                site.rules.job_denied(now, sent, job);
                 user.refused |= question == Question::Submit && !user.accepted;
             }
             _ => {}
@@ -180,7 +180,7 @@
             (job, request(Method::Get, &path, Vec::new()))
         }
         Question::Abort => {
-            site.rules.asks_to_cancel(&job);
+            site.rules.cancel_requested(&job);
             let path = format!("/work/{job}/abort");
             (job, request(Method::Post, &path, Vec::new()))
         }
--- a/crates/soak/src/workers.rs
+++ b/crates/soak/src/workers.rs
@@ -70,7 +70,9 @@
     let now = site.now();
     let site = &mut *site;
     let machine = site.machines.get_mut(name)?;
-    let status = machine.worker.direct(now, orders, &mut site.rules);
+    let status = machine
+        .worker
+        .handle_direct_orders(now, orders, &mut site.rules);
     let body = encode(&site.report(name)?);
     Some(Told { status, body })
 }
@@ -169,7 +171,7 @@
             if worker.session() == session
                 && let Ok(answer) = decode::<ReportAnswer>(&body)
             {
-                worker.answered(now, sent, answer, &mut site.rules);
+                worker.handle_report_answer(now, sent, answer, &mut site.rules);
             }
         }
         Some(Told { status: 421, body }) => {
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -14,7 +14,7 @@
 
 /// A machine that the cloud has rented out.
 #[derive(Clone, Debug)]
-pub struct Rented {
+pub struct RentedMachine {
     /// Its type.
     pub kind: String,
     /// Its zone.
@@ -22,11 +22,11 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// When it was rented.
-    pub since: Duration,
+    pub rented_at: Duration,
     /// When it is up; none: never.
-    pub up: Option<Duration>,
+    pub running_at: Option<Duration>,
     /// When it went.
-    pub gone: Option<Duration>,
+    pub gone_at: Option<Duration>,
 }
 
 /// All machines, and what can be rented.
@@ -34,22 +34,22 @@
     /// Machine types.
     pub types: Vec<MachineType>,
     /// Machines by name.
-    pub machines: BTreeMap<String, Rented>,
+    pub machines: BTreeMap<String, RentedMachine>,
     claims: BTreeMap<String, Vec<String>>,
     next: u64,
     /// Most machines of a type, zone and kind.
     pub capacity: usize,
     /// How far the list lags.
-    pub lag: Duration,
+    pub list_lag: Duration,
     rng: fastrand::Rng,
     /// Nothing is drawn: all machines boot alike.
-    pub steady: bool,
+    pub deterministic: bool,
     /// All machines are up within two seconds.
-    pub quick: bool,
+    pub fast_boot: bool,
 }
 
 /// How long a machine boots if nothing is drawn.
-const BOOT: Duration = Duration::from_secs(12);
+const DETERMINISTIC_BOOT_TIME: Duration = Duration::from_secs(12);
 
 impl Cloud {
     /// A cloud with one small and one large type in some zones.
@@ -72,15 +72,15 @@
             claims: BTreeMap::new(),
             next: 0,
             capacity: 4,
-            lag: Duration::from_secs(3),
+            list_lag: Duration::from_secs(3),
             rng: fastrand::Rng::with_seed(seed),
-            steady: false,
-            quick: false,
+            deterministic: false,
+            fast_boot: false,
         }
     }
 
     /// Rents a machine without being asked; it is up at once.
-    pub fn give(&mut self, now: Duration, kind: &str, zone: &str, spot: bool) -> String {
+    pub fn add_running(&mut self, now: Duration, kind: &str, zone: &str, spot: bool) -> String {
         let up = Some(now);
         self.add(now, kind, zone, spot, up)
     }
@@ -95,13 +95,13 @@
     ) -> String {
         let name = format!("vm-{:06}", self.next);
         self.next += 1;
-        let machine = Rented {
+        let machine = RentedMachine {
             kind: kind.into(),
             zone: zone.into(),
             spot,
-            since: now,
-            up,
-            gone: None,
+            rented_at: now,
+            running_at: up,
+            gone_at: None,
         };
         self.machines.insert(name.clone(), machine);
         name
@@ -123,7 +123,7 @@
                 Ok(machines) => {
                     for name in &machines.names {
                         if let Some(m) = self.machines.get_mut(name) {
-                            m.gone.get_or_insert(now);
+                            m.gone_at.get_or_insert(now);
                         }
                     }
                     (200, encode(&MachineNames::default()), machines.names)
@@ -140,8 +140,8 @@
             let names = names.clone();
             return (200, encode(&MachineNames { names }), Vec::new());
         }
-        let same = |m: &&Rented| {
-            m.gone.is_none() && (&m.kind, &m.zone, m.spot) == (&rent.kind, &rent.zone, rent.spot)
+        let same = |m: &&RentedMachine| {
+            m.gone_at.is_none() && (&m.kind, &m.zone, m.spot) == (&rent.kind, &rent.zone, rent.spot)
         };
         let used = self.machines.values().filter(same).count();
         let count = (rent.count as usize).min(self.capacity.saturating_sub(used));
@@ -153,8 +153,12 @@
         for _ in 0..count {
             let boot = Duration::from_millis(self.rng.u64(2000..25_000));
             let up = (self.rng.f64() > 0.1).then_some(now + boot);
-            let up = if self.steady { Some(now + BOOT) } else { up };
-            let up = if self.quick {
+            let up = if self.deterministic {
+                Some(now + DETERMINISTIC_BOOT_TIME)
+            } else {
+                up
+            };
+            let up = if self.fast_boot {
                 Some(now + boot / 13)
             } else {
                 up
@@ -167,23 +171,24 @@
 
     fn list(&mut self, now: Duration) -> MachineList {
         // Up to twice the lag, so that a list may be older than the last.
-        let lag = match self.steady {
-            true => self.lag,
-            false => self.lag.mul_f64(self.rng.f64() * 2.0),
+        let lag = match self.deterministic {
+            true => self.list_lag,
+            false => self.list_lag.mul_f64(self.rng.f64() * 2.0),
         };
         let at = now.saturating_sub(lag);
-        let shown = |m: &&Rented| m.since <= at && m.gone.is_none_or(|gone| gone > at);
+        let shown =
+            |m: &&RentedMachine| m.rented_at <= at && m.gone_at.is_none_or(|gone| gone > at);
         let machines = self.machines.iter().filter(|(_, m)| shown(m));
         let machines = machines.map(|(name, m)| ListedMachine {
             name: name.clone(),
             kind: m.kind.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            phase: match m.up {
+            phase: match m.running_at {
                 Some(up) if up <= at => MachinePhase::Running,
                 _ => MachinePhase::Booting,
             },
-            age_s: at.saturating_sub(m.since).as_secs_f64(),
+            age_s: at.saturating_sub(m.rented_at).as_secs_f64(),
         });
         MachineList {
             machines: machines.collect(),
--- a/crates/testkit/src/evidence.rs
+++ b/crates/testkit/src/evidence.rs
@@ -49,40 +49,40 @@
     pub fenced: bool,
 }
 
-/// Counts and moments, gathered as a day goes on.
+/// Counts and times, gathered as a day goes on.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     /// Times that a controller was told that the changes it asks for are no longer
     /// kept.
     pub too_old: usize,
     /// When somebody began to lead, and who.
-    pub leaders: Vec<(Duration, usize)>,
+    pub leader_changes: Vec<(Duration, usize)>,
     /// When a controller began anew.
-    pub begun: Vec<(Duration, usize)>,
+    pub controller_starts: Vec<(Duration, usize)>,
     /// When a report arrived after a newer one of its machine, and whether it was
     /// of an earlier session.
     pub old_reports: Vec<(Duration, bool)>,
     /// Reports sent before the lead changed that arrived after it at whoever leads.
-    pub reports_across: Vec<Duration>,
+    pub reports_across_leaders: Vec<Duration>,
     /// When a worker accepted an answer, and whose.
-    pub renewed: Vec<(Duration, usize)>,
+    pub lease_renewals: Vec<(Duration, usize)>,
     /// Cancellations, as users were told of them.
     pub cancelled: Vec<Cancelled>,
     /// Writes carried out late.
     pub late_writes: Vec<LateWrite>,
     /// Answers to reports that were lost on their way to a deaf machine.
-    pub unheard_answers: usize,
+    pub lost_report_answers: usize,
     /// Direct orders that a machine carried out while it reached no controller.
-    pub orders_to_mute: usize,
+    pub orders_during_report_loss: usize,
     /// Machines that hung and went on.
     pub hung: Vec<Hung>,
     /// Reports of workers that controllers have forwarded to each other.
     pub forwarded_reports: usize,
     /// Direct orders carried out 2 s or more after they were sent.
-    pub held_orders: usize,
+    pub delayed_orders: usize,
     /// Requests at the moment of a job's end: cancellations, questions, repeated
     /// submissions.
-    pub at_end: [usize; 3],
+    pub requests_at_job_end: [usize; 3],
     /// The same, one by one.
     pub late_orders: Vec<LateOrder>,
     /// Transactions that were executed at once and whose answers were lost.
@@ -94,14 +94,14 @@
     pub early_starts: Vec<Duration>,
     /// Answers to users who looked closely: to questions, repeated submissions and
     /// cancellations.
-    pub looks: [usize; 3],
+    pub follow_up_answers: [usize; 3],
     /// Those of them that were asked before another answer arrived, and arrived
     /// after it.
-    pub overtaken_looks: usize,
+    pub overtaken_follow_ups: usize,
     /// Odd requests: repeats of submissions that are open and cancellations of what
     /// is done, as they were sent; jobs that can't run and jobs that lack a field,
     /// as they were refused with the status that each calls for.
-    pub odd: [usize; 4],
+    pub unusual_requests: [usize; 4],
     /// Answers of the state service that were late by a second or more.
     pub slow_answers: usize,
     /// The longest between two answers to questions about one accepted job, once
@@ -115,6 +115,6 @@
     /// How often the lead changed within a span.
     pub fn leaders_in(&self, span: std::ops::Range<Duration>) -> usize {
         let within = |(at, _): &&(Duration, usize)| span.contains(at);
-        self.leaders.iter().filter(within).count()
+        self.leader_changes.iter().filter(within).count()
     }
 }
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -4,7 +4,7 @@
 
 /// The way of a message between a controller and a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// Reports, and answers to direct orders.
     FromMachine,
     /// Answers to reports, and direct orders.
@@ -22,7 +22,7 @@
         at: Duration,
     },
     /// A controller is killed and is back after a while of any length.
-    Ends {
+    Restart {
         /// Which.
         node: usize,
         /// When.
@@ -34,7 +34,7 @@
     /// what workers report and what users submit and cancel comes once more,
     /// late: one of so many messages. An order to a worker does so that got no
     /// answer; its sender may have ended meanwhile.
-    Copies {
+    DuplicateMessages {
         /// One of so many.
         one_in: u32,
         /// From when.
@@ -52,7 +52,7 @@
         until: Duration,
     },
     /// The state service refuses one controller.
-    Refused {
+    StateRefusesNode {
         /// Which.
         node: usize,
         /// From when.
@@ -61,7 +61,7 @@
         until: Duration,
     },
     /// The state service refuses everybody.
-    Outage {
+    StateOutage {
         /// From when.
         from: Duration,
         /// Until when.
@@ -94,14 +94,14 @@
         /// Which machines: those whose number leaves this rest by three.
         rest: usize,
         /// Which way.
-        way: Way,
+        direction: Direction,
         /// From when.
         from: Duration,
         /// Until when.
         until: Duration,
     },
     /// Connections between controllers are refused.
-    PeersRefuse {
+    PeersUnreachable {
         /// From when.
         from: Duration,
         /// Until when.
@@ -110,7 +110,7 @@
     /// Controllers of the first level are replaced by the present one, one
     /// after the other: each is killed and comes back new. One that dies before
     /// its turn comes back old.
-    Roll {
+    RollingUpgrade {
         /// Who is first; the others follow in order.
         first: usize,
         /// When the first is killed.
@@ -119,7 +119,7 @@
         every: Duration,
     },
     /// A controller dies and never comes back.
-    Gone {
+    PermanentLoss {
         /// Which.
         node: usize,
         /// When.
@@ -133,7 +133,7 @@
         at: Duration,
     },
     /// The state service lowers its limits to those that the settings announce.
-    Lower {
+    LowerStateLimits {
         /// When.
         at: Duration,
     },
@@ -149,7 +149,7 @@
     },
     /// A controller stands still while its clocks run on: what is sent to it
     /// waits, connections included.
-    Frozen {
+    ProcessPause {
         /// Which.
         node: usize,
         /// From when.
@@ -159,7 +159,7 @@
     },
     /// A controller is behind: what reaches it is taken in, and what it sends
     /// leaves, so much later each.
-    Behind {
+    ControllerLag {
         /// Which.
         node: usize,
         /// By how much.
@@ -171,7 +171,7 @@
     },
     /// A controller has little processor time: each request that it answers
     /// takes so long.
-    Slow {
+    SlowController {
         /// Which.
         node: usize,
         /// How long.
@@ -195,7 +195,7 @@
     },
     /// Connections come in at all controllers of which nothing is heard ever
     /// again, as of machines whose network holds what they send.
-    Silent {
+    SilentConnections {
         /// How many a second at each.
         rate: u32,
         /// From when.
@@ -234,7 +234,7 @@
         until: Duration,
     },
     /// Machines rented meanwhile are up within two seconds.
-    QuickBoots {
+    FastBoots {
         /// From when.
         from: Duration,
         /// Until when.
@@ -243,14 +243,14 @@
     /// Whenever a user is told that a job is accepted, done or cancelled, the same
     /// user asks at all controllers, again and again within milliseconds, and
     /// repeats the submission; some cancel at once.
-    CloseLooks {
+    FollowUpRequests {
         /// From when.
         from: Duration,
         /// Until when.
         until: Duration,
     },
     /// Reports of some machines arrive; the answers, and direct orders, are lost.
-    Deaf {
+    AnswersLost {
         /// Which machines: those whose number leaves this rest by three.
         rest: usize,
         /// From when.
@@ -259,7 +259,7 @@
         until: Duration,
     },
     /// Some machines reach no controller; direct orders reach them.
-    Mute {
+    ReportsLost {
         /// Which machines: those whose number leaves this rest by three.
         rest: usize,
         /// From when.
@@ -269,7 +269,7 @@
     },
     /// Some machines hang: their tasks don't go on, nothing leaves, and what is sent
     /// to them waits. Their lease runs on.
-    Hang {
+    WorkerHang {
         /// Which machines: those whose number leaves this rest by three.
         rest: usize,
         /// From when.
@@ -297,7 +297,7 @@
         until: Duration,
     },
     /// Some machines stop with all that is on them.
-    Dies {
+    MachineCrash {
         /// Which machines: those whose number leaves this rest by three.
         rest: usize,
         /// When.
@@ -314,7 +314,7 @@
     },
     /// One in so many direct orders is held up for 2 s to 16 s, unanswered, and then
     /// carried out if token and session still match, whoever sends orders by then.
-    HeldOrders {
+    DelayedOrders {
         /// One of so many.
         one_in: u32,
         /// From when.
@@ -323,7 +323,7 @@
         until: Duration,
     },
     /// Users call off so many jobs that run, at the same moment.
-    CancelNow {
+    CancelBurst {
         /// How many.
         count: usize,
         /// When.
@@ -331,7 +331,7 @@
     },
     /// One in so many jobs that end is called off, asked for or submitted once
     /// more at the moment of its end.
-    AtEnd {
+    RequestsAtJobEnd {
         /// One of so many.
         one_in: u32,
         /// From when.
@@ -341,19 +341,19 @@
     },
     /// Users repeat submissions, call off what is done, and submit jobs that fit no
     /// machine or lack a field, each once a second.
-    OddRequests {
+    UnusualRequests {
         /// From when.
         from: Duration,
         /// Until when.
         until: Duration,
     },
     /// The cloud takes spot machines, without notice.
-    Taken {
+    SpotReclaim {
         /// When.
         at: Duration,
     },
     /// A machine fails all its tasks.
-    Sick {
+    FaultyMachine {
         /// Its number.
         machine: usize,
         /// From when.
@@ -366,75 +366,79 @@
     pub fn span(&self) -> Option<Range<Duration>> {
         match *self {
             Self::CutState { from, until, .. }
-            | Self::Refused { from, until, .. }
-            | Self::Outage { from, until }
+            | Self::StateRefusesNode { from, until, .. }
+            | Self::StateOutage { from, until }
             | Self::CloudOutage { from, until }
             | Self::CutWorkers { from, until, .. }
             | Self::OneWay { from, until, .. }
-            | Self::Frozen { from, until, .. }
-            | Self::Behind { from, until, .. }
-            | Self::Slow { from, until, .. }
+            | Self::ProcessPause { from, until, .. }
+            | Self::ControllerLag { from, until, .. }
+            | Self::SlowController { from, until, .. }
             | Self::LateAnswers { from, until, .. }
-            | Self::Silent { from, until, .. }
+            | Self::SilentConnections { from, until, .. }
             | Self::LostAnswers { from, until, .. }
             | Self::ReportsForNextLeader { from, until, .. }
-            | Self::QuickBoots { from, until }
-            | Self::CloseLooks { from, until }
-            | Self::Copies { from, until, .. }
+            | Self::FastBoots { from, until }
+            | Self::FollowUpRequests { from, until }
+            | Self::DuplicateMessages { from, until, .. }
             | Self::LateWrites { from, until, .. }
             | Self::LateReports { from, until, .. }
-            | Self::Deaf { from, until, .. }
-            | Self::Mute { from, until, .. }
-            | Self::Hang { from, until, .. }
+            | Self::AnswersLost { from, until, .. }
+            | Self::ReportsLost { from, until, .. }
+            | Self::WorkerHang { from, until, .. }
             | Self::CutPeers { from, until, .. }
             | Self::ZoneCut { from, until, .. }
             | Self::SlowState { from, until, .. }
-            | Self::HeldOrders { from, until, .. }
-            | Self::AtEnd { from, until, .. }
-            | Self::OddRequests { from, until, .. }
-            | Self::PeersRefuse { from, until } => Some(from..until),
+            | Self::DelayedOrders { from, until, .. }
+            | Self::RequestsAtJobEnd { from, until, .. }
+            | Self::UnusualRequests { from, until, .. }
+            | Self::PeersUnreachable { from, until } => Some(from..until),
             Self::Crash { .. }
-            | Self::Ends { .. }
-            | Self::Taken { .. }
-            | Self::Sick { .. }
-            | Self::CancelNow { .. }
-            | Self::Dies { .. }
-            | Self::Roll { .. }
-            | Self::Gone { .. }
+            | Self::Restart { .. }
+            | Self::SpotReclaim { .. }
+            | Self::FaultyMachine { .. }
+            | Self::CancelBurst { .. }
+            | Self::MachineCrash { .. }
+            | Self::RollingUpgrade { .. }
+            | Self::PermanentLoss { .. }
             | Self::WriteOff { .. }
-            | Self::Lower { .. } => None,
+            | Self::LowerStateLimits { .. } => None,
         }
     }
 }
 
 /// When the last of a day's troubles is over; a controller that ended is given
 /// the time to come back. What never ends is not counted.
-pub fn over(faults: &[Fault]) -> Duration {
+pub fn last_fault_end(faults: &[Fault]) -> Duration {
     let ends = faults.iter().map(|fault| match *fault {
-        Fault::Crash { at, .. } => at + RESTART,
-        Fault::Ends { at, back, .. } => at + back,
-        Fault::CancelNow { at, .. } | Fault::Taken { at } | Fault::Dies { at, .. } => at,
-        Fault::LateWrites { until, .. } => until + LATEST_WRITE,
-        Fault::LateReports { until, .. } => until + LATEST_REPORT,
-        Fault::HeldOrders { until, .. } => until + LATEST_ORDER,
+        Fault::Crash { at, .. } => at + RESTART_DELAY,
+        Fault::Restart { at, back, .. } => at + back,
+        Fault::CancelBurst { at, .. }
+        | Fault::SpotReclaim { at }
+        | Fault::MachineCrash { at, .. } => at,
+        Fault::LateWrites { until, .. } => until + MAX_WRITE_DELAY,
+        Fault::LateReports { until, .. } => until + MAX_REPORT_DELAY,
+        Fault::DelayedOrders { until, .. } => until + MAX_ORDER_DELAY,
         _ => fault.span().map_or(Duration::ZERO, |span| span.end),
     });
     ends.max().unwrap_or_default()
 }
 
 /// How late a write, and a copy of a report, may come.
-pub const LATEST_WRITE: Duration = Duration::from_secs(12);
-pub const LATEST_REPORT: Duration = Duration::from_secs(20);
+pub const MAX_WRITE_DELAY: Duration = Duration::from_secs(12);
+pub const MAX_REPORT_DELAY: Duration = Duration::from_secs(20);
 /// How late a held order may come.
-pub const LATEST_ORDER: Duration = Duration::from_secs(16);
+pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(16);
 
 /// How long a controller takes to come back.
-pub const RESTART: Duration = Duration::from_secs(5);
+pub const RESTART_DELAY: Duration = Duration::from_secs(5);
 
 /// When all controllers have the present program.
-pub fn new_from(faults: &[Fault], nodes: usize) -> Duration {
+pub fn upgrade_complete_at(faults: &[Fault], nodes: usize) -> Duration {
     let rolls = faults.iter().filter_map(|f| match f {
-        Fault::Roll { at, every, .. } => Some(*at + *every * (nodes as u32 - 1) + RESTART),
+        Fault::RollingUpgrade { at, every, .. } => {
+            Some(*at + *every * (nodes as u32 - 1) + RESTART_DELAY)
+        }
         _ => None,
     });
     rolls.max().unwrap_or_default()
--- a/crates/testkit/src/handover.rs
+++ b/crates/testkit/src/handover.rs
@@ -8,14 +8,14 @@
 
 use std::time::Duration;
 
-use crate::{Fault, Timing, Way};
+use crate::{Direction, Fault, Timing};
 
 const S: Duration = Duration::from_secs(1);
 const MS: Duration = Duration::from_millis(1);
 /// What the settings need between `lease_s` and `cancel_s`, as a share of the lease and
 /// beyond that, so that a controller starts.
-const DRIFT_OF_LEASE: f64 = 1.002;
-const LEAST_BEYOND: Duration = Duration::from_millis(3600);
+const LEASE_DRIFT_FACTOR: f64 = 1.002;
+const MIN_CANCEL_MARGIN: Duration = Duration::from_millis(3600);
 
 /// Draws the faults of a day. Every half minute or so the state service refuses one
 /// controller; within a second of that it loses some workers, and the others lose
@@ -27,7 +27,7 @@
     while at + S * 31 < end {
         let node = rng.usize(0..nodes);
         let refused_for = MS * rng.u32(14_000..30_000);
-        faults.push(Fault::Refused {
+        faults.push(Fault::StateRefusesNode {
             node,
             from: at,
             until: at + refused_for,
@@ -49,7 +49,7 @@
 }
 
 /// Draws the faults of a day with links by pair: between each controller and each third
-/// of the machines, both ways, one way or not at all, while controllers are refused by
+/// of the machines, both ways, one direction or not at all, while controllers are refused by
 /// the state service, cut from it, end and come back within moments, and old messages
 /// are about. All is over by `end`.
 pub fn draw_links(seed: u64, nodes: usize, end: Duration) -> Vec<Fault> {
@@ -62,9 +62,9 @@
         let until = at + length(&mut rng);
         let from = at;
         faults.push(match rng.u32(0..5) {
-            0 | 1 => Fault::Refused { node, from, until },
+            0 | 1 => Fault::StateRefusesNode { node, from, until },
             2 | 3 => Fault::CutState { node, from, until },
-            _ => Fault::Ends {
+            _ => Fault::Restart {
                 node,
                 at,
                 back: MS * rng.u32(200..9_000),
@@ -74,10 +74,10 @@
             let (node, rest) = (pair / 3, pair % 3);
             let from = at + MS * rng.u32(0..4000);
             let until = (from + length(&mut rng)).min(end);
-            let one_way = |way| Fault::OneWay {
+            let one_way = |direction| Fault::OneWay {
                 node,
                 rest,
-                way,
+                direction,
                 from,
                 until,
             };
@@ -89,8 +89,8 @@
                     from,
                     until,
                 }),
-                14..17 => faults.push(one_way(Way::ToMachine)),
-                _ => faults.push(one_way(Way::FromMachine)),
+                14..17 => faults.push(one_way(Direction::ToMachine)),
+                _ => faults.push(one_way(Direction::FromMachine)),
             }
         }
         at += S * rng.u32(12..40);
@@ -101,26 +101,26 @@
         0 => Fault::LateReports {
             one_in,
             from,
-            until: end - crate::faults::LATEST_REPORT,
+            until: end - crate::faults::MAX_REPORT_DELAY,
         },
-        1 => Fault::HeldOrders {
+        1 => Fault::DelayedOrders {
             one_in,
             from,
-            until: end - crate::faults::LATEST_ORDER,
+            until: end - crate::faults::MAX_ORDER_DELAY,
         },
-        2 => Fault::Copies {
+        2 => Fault::DuplicateMessages {
             one_in,
             from,
             until,
         },
-        3 => Fault::Sick {
+        3 => Fault::FaultyMachine {
             machine: rng.usize(0..6),
             at: from,
         },
         _ => Fault::LateWrites {
             one_in,
             from,
-            until: end - crate::faults::LATEST_WRITE,
+            until: end - crate::faults::MAX_WRITE_DELAY,
         },
     });
     faults
@@ -131,7 +131,7 @@
 pub fn draw_timing(seed: u64) -> Timing {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x7469_6d65);
     let lease = MS * rng.u32(6_000..40_000);
-    let least = lease.mul_f64(DRIFT_OF_LEASE) + LEAST_BEYOND;
+    let least = lease.mul_f64(LEASE_DRIFT_FACTOR) + MIN_CANCEL_MARGIN;
     // Close to the least as often as far from it.
     let beyond = rng.f64().powi(2);
     let cancel = least + (lease * 3).saturating_sub(least).mul_f64(beyond);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -23,13 +23,14 @@
 pub mod world;
 
 pub use draws::{
-    draw, draw_behind, draw_meetings, draw_quick, draw_roll, draw_slow, draw_troubles,
+    draw, draw_combined_faults, draw_incidents, draw_lag, draw_quick_restarts,
+    draw_rolling_upgrade, draw_slow_controllers,
 };
 pub use evidence::Evidence;
-pub use faults::{Fault, Way, over};
-pub use guest::{Guest, GuestAsk, Wish};
+pub use faults::{Direction, Fault, last_fault_end};
+pub use guest::{ApiClient, ApiOperation, ApiRequest};
 pub use handover::{draw_handovers, draw_links, draw_timing};
-pub use rules::{Broken, Rules};
-pub use side_by_side::side_by_side;
-pub use state::{Done, Limits as StateLimits, State};
+pub use rules::{RuleChecker, RuleViolation};
+pub use side_by_side::run_seeds_in_parallel;
+pub use state::{Limits as StateLimits, StateResponse, StateService};
 pub use world::{ExtraJobs, Load, Outcome, Size, Timing, World};
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -12,7 +12,7 @@
 
 /// A broken rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Broken {
+pub enum RuleViolation {
     /// A task started on one machine while it was on another.
     RanTwice,
     /// A team used more than its limit.
@@ -57,7 +57,7 @@
 
 /// Watches what happens and notes what must not.
 #[derive(Debug, Default)]
-pub struct Rules {
+pub struct RuleChecker {
     /// All jobs ever submitted.
     pub jobs: BTreeMap<JobId, JobSpec>,
     /// Most processors of each team.
@@ -67,7 +67,7 @@
     /// Completed tasks.
     pub done: BTreeSet<TaskId>,
     /// What was broken, and when.
-    pub broken: Vec<(Duration, Broken, String)>,
+    pub violations: Vec<(Duration, RuleViolation, String)>,
     /// Tasks that ended with their machine or with the lease of their worker.
     pub lost: usize,
     /// Tasks started.
@@ -85,7 +85,7 @@
     /// When the last task of each job that is done was.
     pub ended: BTreeMap<JobId, Duration>,
     /// How many tasks of each job are done.
-    done_of: BTreeMap<JobId, u32>,
+    done_counts: BTreeMap<JobId, u32>,
     on: BTreeMap<TaskId, BTreeMap<String, Site>>,
     /// Accepted jobs, and when their users first heard so.
     accepted: BTreeMap<JobId, Duration>,
@@ -98,8 +98,8 @@
     told_cancelled: BTreeMap<JobId, Duration>,
 }
 
-impl Rules {
-    /// Rules for teams with these limits.
+impl RuleChecker {
+    /// RuleChecker for teams with these limits.
     pub fn new(limits: BTreeMap<String, f64>, cancel: Duration) -> Self {
         Self {
             limits,
@@ -108,12 +108,12 @@
         }
     }
 
-    fn broke(&mut self, now: Duration, rule: Broken, what: String) {
-        self.broken.push((now, rule, what));
+    fn broke(&mut self, now: Duration, rule: RuleViolation, what: String) {
+        self.violations.push((now, rule, what));
     }
 
     /// A task has its image on a machine.
-    pub fn start(&mut self, now: Duration, task: &TaskId, machine: &str, site: &Site) {
+    pub fn task_started(&mut self, now: Duration, task: &TaskId, machine: &str, site: &Site) {
         self.started += 1;
         self.starts.push((now, task.clone()));
         self.late_starts += usize::from(self.told_cancelled.contains_key(&task.job));
@@ -123,7 +123,7 @@
         let elsewhere = self.on.get(task).is_some_and(|m| !m.is_empty());
         if elsewhere {
             let where_ = format!("{task} on {machine} and {:?}", self.on[task].keys());
-            self.broke(now, Broken::RanTwice, where_);
+            self.broke(now, RuleViolation::RanTwice, where_);
         }
         let on = self.on.entry(task.clone()).or_default();
         on.insert(machine.to_owned(), site.clone());
@@ -131,38 +131,54 @@
             || !spec.allows_zone(&site.zone)
             || (site.spot && !spec.spot)
         {
-            self.broke(now, Broken::WrongPlace, format!("{task} on {machine}"));
+            self.broke(
+                now,
+                RuleViolation::WrongPlace,
+                format!("{task} on {machine}"),
+            );
         }
         let early = spec.awaits.iter().find(|id| !self.is_done(id));
         if let Some(awaited) = early.cloned() {
-            self.broke(now, Broken::TooEarly, format!("{task} before {awaited}"));
+            self.broke(
+                now,
+                RuleViolation::TooEarly,
+                format!("{task} before {awaited}"),
+            );
         }
-        let zones = self.in_zones(&task.job);
+        let zones = self.tasks_by_zone(&task.job);
         if zones.values().any(|n| *n > spec.max_tasks_per_zone())
             || (spec.one_zone && zones.len() > 1)
         {
-            self.broke(now, Broken::WrongPlace, format!("{task}: zones {zones:?}"));
+            self.broke(
+                now,
+                RuleViolation::WrongPlace,
+                format!("{task}: zones {zones:?}"),
+            );
         }
-        let used = self.used(&spec.team);
+        let used = self.cpus_used(&spec.team);
         let limit = self.limits.get(&spec.team).copied().unwrap_or(0.0);
         if limit > 0.0 && used > limit + 1e-6 {
-            self.broke(now, Broken::Quota, format!("{} uses {used}", spec.team));
+            self.broke(
+                now,
+                RuleViolation::Quota,
+                format!("{} uses {used}", spec.team),
+            );
         }
         if limit > 0.0 && used + spec.cpus > limit {
             self.at_limit.push((now, spec.team.clone()));
         }
-        self.watch_cancelled(now);
+        self.check_cancelled_jobs(now);
     }
 
     /// The processors that a team's tasks take.
-    pub fn used(&self, team: &str) -> f64 {
+    pub fn cpus_used(&self, team: &str) -> f64 {
         let on = self.on.iter().filter(|(_, m)| !m.is_empty());
         let specs = on.filter_map(|(t, _)| self.jobs.get(&t.job));
         specs.filter(|s| s.team == team).map(|s| s.cpus).sum()
     }
 
     /// How many tasks of a job are on machines, by zone.
-    pub fn in_zones(&self, job: &JobId) -> BTreeMap<String, u32> {
+    pub fn tasks_by_zone(&self, job: &JobId) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
         for (_, machines) in self.on.range(job.task(0)..=job.task(u32::MAX)) {
             if let Some(site) = machines.values().next() {
@@ -173,35 +189,35 @@
     }
 
     /// How many tasks of a job are done.
-    pub fn done_of(&self, job: &JobId) -> u32 {
-        self.done_of.get(job).copied().unwrap_or(0)
+    pub fn done_tasks(&self, job: &JobId) -> u32 {
+        self.done_counts.get(job).copied().unwrap_or(0)
     }
 
     /// Whether a job was accepted, runs until it is done and was not called off.
-    pub fn is_to_run(&self, job: &JobId) -> bool {
+    pub fn is_runnable(&self, job: &JobId) -> bool {
         let called_off = !self.with_needed(job).is_disjoint(&self.asked_to_cancel);
         let ready = |spec: &JobSpec| spec.awaits.iter().all(|id| self.is_done(id));
         self.accepted.contains_key(job) && !called_off && self.jobs.get(job).is_some_and(ready)
     }
 
     /// Whether a user has been told of the job's end.
-    pub fn is_over(&self, job: &JobId) -> bool {
+    pub fn is_ended(&self, job: &JobId) -> bool {
         let told = self.told.get(job).map(|(_, phase)| *phase);
         matches!(told, Some(JobPhase::Done | JobPhase::Cancelled))
     }
 
     /// Notes what somebody else who watches has found.
-    pub fn found(&mut self, now: Duration, rule: Broken, what: String) {
+    pub fn report(&mut self, now: Duration, rule: RuleViolation, what: String) {
         self.broke(now, rule, what);
     }
 
     /// A task has completed.
-    pub fn completes(&mut self, now: Duration, task: &TaskId) {
+    pub fn task_completed(&mut self, now: Duration, task: &TaskId) {
         if !self.done.insert(task.clone()) {
             return;
         }
         self.ends.push((now, task.clone()));
-        let count = self.done_of.entry(task.job.clone()).or_default();
+        let count = self.done_counts.entry(task.job.clone()).or_default();
         *count += 1;
         if self.jobs.get(&task.job).is_some_and(|j| j.tasks == *count) {
             self.ended.insert(task.job.clone(), now);
@@ -228,7 +244,7 @@
     }
 
     /// A task has left a machine.
-    pub fn leaves(&mut self, task: &TaskId, machine: &str) {
+    pub fn task_left(&mut self, task: &TaskId, machine: &str) {
         if let Some(on) = self.on.get_mut(task) {
             on.remove(machine);
             if on.is_empty() {
@@ -238,7 +254,7 @@
     }
 
     /// Looks for tasks of cancelled jobs; called often.
-    pub fn watch_cancelled(&mut self, now: Duration) {
+    pub fn check_cancelled_jobs(&mut self, now: Duration) {
         let mut late = Vec::new();
         for (job, at) in &self.cancelled {
             let on = self.on.range(job.task(0)..=job.task(u32::MAX)).next();
@@ -250,25 +266,29 @@
         }
         for (job, task) in late {
             self.cancelled.remove(&job);
-            self.broke(now, Broken::RanCancelled, task.to_string());
+            self.broke(now, RuleViolation::RanCancelled, task.to_string());
         }
     }
 
     /// A user asks to cancel.
-    pub fn asks_to_cancel(&mut self, job: &JobId) {
+    pub fn cancel_requested(&mut self, job: &JobId) {
         self.asked_to_cancel.insert(job.clone());
     }
 
     /// A user, who asked at some time, has been told of a job's phase.
-    pub fn told(&mut self, now: Duration, asked: Duration, job: &JobId, phase: JobPhase) {
+    pub fn phase_reported(&mut self, now: Duration, asked: Duration, job: &JobId, phase: JobPhase) {
         let Some(spec) = self.jobs.get(job).cloned() else {
-            return self.broke(now, Broken::Invented, job.to_string());
+            return self.broke(now, RuleViolation::Invented, job.to_string());
         };
         if !self.accepted.contains_key(job) {
             self.accepted.insert(job.clone(), now);
             let unknown = spec.awaits.iter().find(|id| !self.jobs.contains_key(*id));
             if let Some(unknown) = unknown {
-                self.broke(now, Broken::Invented, format!("{job} awaits {unknown}"));
+                self.broke(
+                    now,
+                    RuleViolation::Invented,
+                    format!("{job} awaits {unknown}"),
+                );
             }
         }
         let is_final = |p| matches!(p, JobPhase::Done | JobPhase::Cancelled);
@@ -282,7 +302,7 @@
             }
             self.broke(
                 now,
-                Broken::WentBack,
+                RuleViolation::WentBack,
                 format!("{job}: {before:?}, {phase:?}"),
             );
         }
@@ -290,12 +310,16 @@
         match phase {
             JobPhase::Done => {
                 if !self.is_done(job) || spec.shape == Shape::Service {
-                    self.broke(now, Broken::NotDone, job.to_string());
+                    self.broke(now, RuleViolation::NotDone, job.to_string());
                 }
             }
             JobPhase::Cancelled => {
                 if self.with_needed(job).is_disjoint(&self.asked_to_cancel) {
-                    self.broke(now, Broken::WentBack, format!("{job}: not its user's wish"));
+                    self.broke(
+                        now,
+                        RuleViolation::WentBack,
+                        format!("{job}: not its user's wish"),
+                    );
                 }
                 self.cancelled.entry(job.clone()).or_insert(now);
                 self.told_cancelled.entry(job.clone()).or_insert(now);
@@ -305,7 +329,7 @@
                 let long = |at: &Duration| now > *at + self.cancel;
                 let told = needed.iter().filter_map(|id| self.told_cancelled.get(id));
                 if told.into_iter().any(long) {
-                    self.broke(now, Broken::Orphaned, job.to_string());
+                    self.broke(now, RuleViolation::Orphaned, job.to_string());
                 }
             }
         }
@@ -313,16 +337,16 @@
 
     /// A user, who asked at some time, has been told that there is no such job, or
     /// that it can't be.
-    pub fn denied(&mut self, now: Duration, asked: Duration, job: &JobId) {
+    pub fn job_denied(&mut self, now: Duration, asked: Duration, job: &JobId) {
         // Whoever asked before the acceptance was heard may hear the older answer.
         if self.accepted.get(job).is_some_and(|at| *at <= asked) {
-            self.broke(now, Broken::Forgotten, job.to_string());
+            self.broke(now, RuleViolation::Forgotten, job.to_string());
         }
     }
 
     /// Accepted jobs whose users have not been told of an end.
-    pub fn open(&self) -> Vec<JobId> {
-        let ended = |j: &&JobId| !self.is_over(j);
+    pub fn open_jobs(&self) -> Vec<JobId> {
+        let ended = |j: &&JobId| !self.is_ended(j);
         let arrays = |j: &&JobId| self.jobs[*j].shape != Shape::Service;
         self.accepted
             .keys()
--- a/crates/testkit/src/tools.rs
+++ b/crates/testkit/src/tools.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the tools of the examples.
 
 /// The files that a tool of this class leaves behind.
-pub fn leaves(class: &str) -> &'static [&'static str] {
+pub fn output_files(class: &str) -> &'static [&'static str] {
     match class {
         "tile-split" => &["sheet.tiles"],
         "color-check" => &["report.json"],
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -8,7 +8,7 @@
 };
 
 use super::World;
-use crate::{evidence::Cancelled, rules::Broken, worker::Worker};
+use crate::{evidence::Cancelled, rules::RuleViolation, worker::Worker};
 
 /// After so long without an answer to any question about it a job counts as
 /// forgotten, and after so long beside room for it as left waiting, once troubles
@@ -39,7 +39,7 @@
     pub(super) fn heard_of(&mut self, job: &JobId, cancelled: bool, by: usize) {
         let now = self.now;
         if cancelled && !self.evidence.cancelled.iter().any(|c| c.job == *job) {
-            let on = self.rules.in_zones(job).values().sum::<u32>() as usize;
+            let on = self.rules.tasks_by_zone(job).values().sum::<u32>() as usize;
             let job = job.clone();
             let cancelled = Cancelled {
                 at: now,
@@ -64,7 +64,7 @@
         }
         let now = self.now;
         let teams = self.rules.limits.keys();
-        let used = teams.map(|team| (team.clone(), self.rules.used(team)));
+        let used = teams.map(|team| (team.clone(), self.rules.cpus_used(team)));
         let used: Used = used.collect();
         self.used.push_back(used);
         if self.used.len() > KNOWN_LATER {
@@ -77,19 +77,19 @@
         for job in unanswered {
             self.heard.insert(job.clone(), now);
             let what = format!("{job}: no question about it was answered");
-            self.rules.found(now, Broken::Forgotten, what);
+            self.rules.report(now, RuleViolation::Forgotten, what);
         }
         let waiting: Vec<_> = self
             .users
             .iter()
             .map(|u| &u.spec)
-            .filter(|spec| self.rules.is_to_run(&spec.id) && !self.rules.is_over(&spec.id))
+            .filter(|spec| self.rules.is_runnable(&spec.id) && !self.rules.is_ended(&spec.id))
             .filter_map(|spec| Some((spec.id.clone(), self.room_for(spec)?)))
             .collect();
         let mut before = std::mem::take(&mut self.left);
         for (job, machine) in waiting {
-            let on: u32 = self.rules.in_zones(&job).values().sum();
-            let progress = on + self.rules.done_of(&job);
+            let on: u32 = self.rules.tasks_by_zone(&job).values().sum();
+            let progress = on + self.rules.done_tasks(&job);
             let fresh = Waits {
                 since: now,
                 progress,
@@ -98,7 +98,7 @@
             let waits = waits.filter(|w| w.progress == progress).unwrap_or(fresh);
             if now > waits.since + LEFT_WAITING {
                 let what = format!("{job}: {progress} on machines or done, {machine} has room");
-                self.rules.found(now, Broken::LeftWaiting, what);
+                self.rules.report(now, RuleViolation::LeftWaiting, what);
                 continue;
             }
             self.left.insert(job, waits);
@@ -108,11 +108,11 @@
     /// A machine on which some task of a job that is on none would fit, with its team
     /// under its limit.
     pub(super) fn room_for(&self, spec: &JobSpec) -> Option<String> {
-        let zones = self.rules.in_zones(&spec.id);
+        let zones = self.rules.tasks_by_zone(&spec.id);
         let on: u32 = zones.values().sum();
         let done = match spec.shape {
             Shape::Service => 0,
-            Shape::Array | Shape::Gang => self.rules.done_of(&spec.id),
+            Shape::Array | Shape::Gang => self.rules.done_tasks(&spec.id),
         };
         if on + done >= spec.tasks || spec.shape == Shape::Gang {
             return None;
@@ -131,8 +131,8 @@
         let fits = |worker: &Worker| {
             let (cpus, memory) = worker.free(&self.rules);
             let site = &worker.site;
-            !worker.sick
-                && worker.taken_at.is_none()
+            !worker.faulty
+                && worker.reclaim_at.is_none()
                 && spec.allows_type(&site.kind)
                 && zone_ok(&site.zone)
                 && (spec.spot || !site.spot)
--- a/crates/testkit/src/world/outcome.rs
+++ b/crates/testkit/src/world/outcome.rs
@@ -10,13 +10,13 @@
     job::{JobSpec, Shape},
 };
 
-use crate::{best::Best, evidence::Evidence, net::Counts, rules::Broken};
+use crate::{best::Best, evidence::Evidence, net::ConnectionCounts, rules::RuleViolation};
 
 /// What came of a day.
 #[derive(Debug)]
 pub struct Outcome {
     /// Broken rules.
-    pub broken: Vec<(Duration, Broken, String)>,
+    pub broken: Vec<(Duration, RuleViolation, String)>,
     /// Accepted jobs that should have ended and did not.
     pub open: Vec<JobId>,
     /// Tasks that ended with their machine or with the lease of their worker.
@@ -39,7 +39,7 @@
     /// Jobs that were refused when they were submitted.
     pub refused_jobs: BTreeSet<JobId>,
     /// What came of connections.
-    pub sockets: Counts,
+    pub sockets: ConnectionCounts,
     /// When each job that is done had its last task done.
     pub ended: BTreeMap<JobId, Duration>,
     /// How often submissions were refused for what is open already.
--- a/crates/workflow/examples/measure.rs
+++ b/crates/workflow/examples/measure.rs
@@ -10,7 +10,7 @@
 
 use hdrhistogram::Histogram;
 use oliveshift_cwl::load;
-use oliveshift_testkit::{State, StateLimits};
+use oliveshift_testkit::{StateLimits, StateService};
 use oliveshift_wire::{JobId, job::JobPhase};
 use oliveshift_workflow::{
     active::{Active, JobReply},
@@ -103,7 +103,7 @@
         keep: S * 100_000,
     };
     let mut service = Service::new(settings, 1);
-    let mut state = State::new(StateLimits {
+    let mut state = StateService::new(StateLimits {
         txn_ops: 32,
         value_bytes: 32 * 1024,
         write_rps: 1e6,
