--- a/crates/soak/src/cloud.rs
+++ b/crates/soak/src/cloud.rs
@@ -1,20 +1,20 @@
-//! The cloud.
+//! The simulated cloud API.
 
 use oliveshift_core::Target;
 
 use crate::{
-    http::{Asked, Told},
-    site::{Shared, call},
+    http::{HttpRequest, HttpResponse},
+    site::{Shared, to_call},
 };
 
-/// Answers a request to the cloud.
-pub fn answer(site: &Shared, asked: Asked) -> Told {
+/// Handles a request to the cloud, and removes the machines that it ends.
+pub fn handle_request(site: &Shared, request: HttpRequest) -> HttpResponse {
     let mut site = site.borrow_mut();
-    site.pass();
+    site.advance();
     let now = site.now();
-    let (status, body, gone) = site.cloud.execute(now, &call(Target::Cloud, asked));
+    let (status, body, gone) = site.cloud.execute(now, &to_call(Target::Cloud, request));
     for name in gone {
-        site.remove(&name);
+        site.remove_machine(&name);
     }
-    Told { status, body }
+    HttpResponse { status, body }
 }
--- a/crates/soak/src/controllers.rs
+++ b/crates/soak/src/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers: real processes, started, killed and paused.
+//! The controllers: real processes that are started, killed and paused.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -12,51 +12,51 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::json;
 
-use crate::site::{CPUS_OF_SIX, TXN_OPS, Timing, VALUE_KB, ZONES};
+use crate::site::{CPUS_PER_SIX_MACHINES, MAX_TXN_OPS, MAX_VALUE_KB, Timing, ZONES};
 
-/// Last lines of its log that are shown of a controller that ended by itself.
-const LAST_LINES: usize = 8;
-/// Requests a second that the state service takes, by the settings.
+/// Number of final log lines that are shown of a controller that exited unexpectedly.
+const LOG_TAIL_LINES: usize = 8;
+/// Request rate limit of the state service in the settings, per second.
 const STATE_RPS: f64 = 400.0;
 
-/// Where everybody listens.
+/// Listening addresses of the controllers, the state service and the cloud.
 #[derive(Debug)]
 pub struct Addresses {
-    /// Users and workers reach controllers here.
+    /// Addresses of the controllers for users and workers.
     pub public: Vec<SocketAddrV4>,
-    /// Controllers reach each other here.
+    /// Addresses of the controllers for their peers.
     pub internal: Vec<SocketAddrV4>,
-    /// The state service, for each controller.
+    /// Addresses of the state service, one for each controller.
     pub state: Vec<SocketAddrV4>,
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud: SocketAddrV4,
 }
 
-/// An address of the loopback range that no other process of ours uses: a controller
-/// that is started again has to find its ports free, and nobody else's at them.
-pub fn own_address() -> Ipv4Addr {
+/// A loopback address derived from the id of this process, so that runs at the same time use
+/// different ones: a restarted controller must find its ports free, not used by another run.
+pub fn loopback_address() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 128 | high, middle, low)
 }
 
-/// Free ports of our address.
+/// Chooses free ports of `loopback_address`.
 ///
 /// # Errors
 ///
-/// If there are none.
+/// If a port can't be bound.
 pub fn free_ports(count: usize) -> io::Result<Vec<SocketAddrV4>> {
-    // All are taken before any is given back, so that none is given twice.
+    // All ports stay bound until the last one is, so that none is returned twice.
     let listeners: Vec<_> = (0..count)
-        .map(|_| TcpListener::bind(SocketAddrV4::new(own_address(), 0)))
+        .map(|_| TcpListener::bind(SocketAddrV4::new(loopback_address(), 0)))
         .collect::<io::Result<_>>()?;
     let ports = listeners.iter().map(|l| l.local_addr().map(|a| a.port()));
-    let addresses = ports.map(|port| Ok(SocketAddrV4::new(own_address(), port?)));
+    let addresses = ports.map(|port| Ok(SocketAddrV4::new(loopback_address(), port?)));
     addresses.collect()
 }
 
 impl Addresses {
-    /// The number of the controller of this name.
-    pub fn number_of(&self, node: &str) -> Option<usize> {
+    /// Index of the controller with this name.
+    pub fn controller_index(&self, node: &str) -> Option<usize> {
         let number: usize = node.strip_prefix("n-")?.parse().ok()?;
         (number < self.public.len()).then_some(number)
     }
@@ -68,7 +68,7 @@
         write_rps: f64,
         timing: Timing,
     ) -> serde_json::Value {
-        let cpus = f64::from(machines) / 6.0 * CPUS_OF_SIX;
+        let cpus = f64::from(machines) / 6.0 * CPUS_PER_SIX_MACHINES;
         let zone = |node: usize| ZONES[node % ZONES.len()];
         let members: Vec<_> = (0..self.public.len())
             .filter(|other| *other != node)
@@ -91,8 +91,8 @@
             "deployment": {
                 "zones": ZONES,
                 "teams": [
-                    team("red", 12.0 / CPUS_OF_SIX, 40.0 / CPUS_OF_SIX),
-                    team("blue", 8.0 / CPUS_OF_SIX, 24.0 / CPUS_OF_SIX),
+                    team("red", 12.0 / CPUS_PER_SIX_MACHINES, 40.0 / CPUS_PER_SIX_MACHINES),
+                    team("blue", 8.0 / CPUS_PER_SIX_MACHINES, 24.0 / CPUS_PER_SIX_MACHINES),
                 ],
                 "objectives": [],
                 "workers": {
@@ -103,8 +103,8 @@
                 "state": {
                     "rps": STATE_RPS,
                     "write_rps": write_rps,
-                    "value_kb": VALUE_KB,
-                    "txn_ops": TXN_OPS,
+                    "value_kb": MAX_VALUE_KB,
+                    "txn_ops": MAX_TXN_OPS,
                 },
                 "cloud": {"rps": 12.0, "list_lag_s": 3.0},
                 "limits": {"max_sockets": 2000},
@@ -113,31 +113,31 @@
     }
 }
 
-/// A controller.
+/// The process of a controller.
 #[derive(Debug)]
 struct Process {
     child: Option<Child>,
     settings: PathBuf,
     log: PathBuf,
-    back_at: Duration,
+    restart_at: Duration,
     paused: bool,
 }
 
-/// All controllers. They end with this value.
+/// All controller processes. They are killed when this value is dropped.
 #[derive(Debug)]
 pub struct Controllers {
     program: PathBuf,
-    all: Vec<Process>,
-    /// Controllers that ended by themselves, with their last lines.
-    pub deaths: Vec<String>,
+    processes: Vec<Process>,
+    /// Controllers that exited without being killed, with their last log lines.
+    pub unexpected_exits: Vec<String>,
 }
 
 impl Controllers {
-    /// Writes the settings; nothing runs yet.
+    /// Writes the settings of the controllers, without starting them.
     ///
     /// # Errors
     ///
-    /// If the folder can't be written.
+    /// If the folder can't be written or the program does not exist.
     pub fn new(
         program: &Path,
         folder: &Path,
@@ -147,7 +147,7 @@
         timing: Timing,
     ) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
-        let mut all = Vec::new();
+        let mut processes = Vec::new();
         for node in 0..addresses.public.len() {
             let settings = folder.join(format!("n-{node}.json"));
             let text = addresses
@@ -156,40 +156,41 @@
             fs::write(&settings, text)?;
             let log = folder.join(format!("n-{node}.log"));
             File::create(&log)?;
-            all.push(Process {
+            processes.push(Process {
                 child: None,
                 settings,
                 log,
-                back_at: Duration::ZERO,
+                restart_at: Duration::ZERO,
                 paused: false,
             });
         }
         let program = fs::canonicalize(program)?;
-        let deaths = Vec::new();
+        let unexpected_exits = Vec::new();
         Ok(Self {
             program,
-            all,
-            deaths,
+            processes,
+            unexpected_exits,
         })
     }
 
-    /// Starts those whose time has come, and notes those that ended by themselves.
+    /// Starts the controllers that are due, and records those that exited unexpectedly.
     ///
     /// # Errors
     ///
-    /// If the program can't be started.
+    /// If the state of a process can't be read or the program can't be started.
     pub fn tick(&mut self, now: Duration) -> io::Result<()> {
-        for (node, process) in self.all.iter_mut().enumerate() {
+        for (node, process) in self.processes.iter_mut().enumerate() {
             if let Some(child) = &mut process.child
                 && let Some(status) = child.try_wait()?
             {
-                let last = last_lines(&process.log);
-                self.deaths
-                    .push(format!("n-{node} ended by itself, {status}: {last}"));
+                let last = log_tail(&process.log);
+                self.unexpected_exits.push(format!(
+                    "controller n-{node} exited unexpectedly, {status}; end of its log: {last}"
+                ));
                 process.child = None;
-                process.back_at = now + Duration::from_secs(1);
+                process.restart_at = now + Duration::from_secs(1);
             }
-            if process.child.is_none() && now >= process.back_at {
+            if process.child.is_none() && now >= process.restart_at {
                 let log = OpenOptions::new().append(true).open(&process.log)?;
                 let child = Command::new(&self.program)
                     .arg("--config")
@@ -205,55 +206,55 @@
         Ok(())
     }
 
-    /// Kills a controller, which is back at some time.
-    pub fn kill(&mut self, node: usize, back_at: Duration) {
-        let process = &mut self.all[node];
+    /// Kills a controller; `tick` restarts it at `restart_at`.
+    pub fn kill(&mut self, node: usize, restart_at: Duration) {
+        let process = &mut self.processes[node];
         if let Some(mut child) = process.child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
         process.paused = false;
-        process.back_at = back_at;
+        process.restart_at = restart_at;
     }
 
-    /// Lets a controller stand still, or go on.
-    pub fn pause(&mut self, node: usize, pauses: bool) {
-        let process = &mut self.all[node];
-        if process.paused == pauses {
+    /// Stops a controller with SIGSTOP, or resumes it with SIGCONT.
+    pub fn set_paused(&mut self, node: usize, paused: bool) {
+        let process = &mut self.processes[node];
+        if process.paused == paused {
             return;
         }
         if let Some(child) = &process.child {
-            let signal = if pauses { Signal::STOP } else { Signal::CONT };
+            let signal = if paused { Signal::STOP } else { Signal::CONT };
             let _ = kill_process(Pid::from_child(child), signal);
-            process.paused = pauses;
+            process.paused = paused;
         }
     }
 
-    /// Lines of the logs in which a controller has found an invariant violated.
-    pub fn violations(&self) -> Vec<String> {
+    /// Log lines in which controllers report a violated invariant.
+    pub fn invariant_violations(&self) -> Vec<String> {
         let logs = self
-            .all
+            .processes
             .iter()
             .filter_map(|p| fs::read_to_string(&p.log).ok());
-        let mut violations = Vec::new();
+        let mut invariant_violations = Vec::new();
         for log in logs {
             let lines = log.lines().filter(|l| l.contains("invariant violated"));
-            violations.extend(lines.map(str::to_owned));
+            invariant_violations.extend(lines.map(str::to_owned));
         }
-        violations
+        invariant_violations
     }
 }
 
 impl Drop for Controllers {
     fn drop(&mut self) {
-        for node in 0..self.all.len() {
+        for node in 0..self.processes.len() {
             self.kill(node, Duration::MAX);
         }
     }
 }
 
-fn last_lines(log: &Path) -> String {
+fn log_tail(log: &Path) -> String {
     let text = fs::read_to_string(log).unwrap_or_default();
-    let lines: Vec<_> = text.lines().rev().take(LAST_LINES).collect();
+    let lines: Vec<_> = text.lines().rev().take(LOG_TAIL_LINES).collect();
     lines.into_iter().rev().collect::<Vec<_>>().join(" | ")
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,180 +1,196 @@
-//! What goes wrong when, drawn from a seed.
+//! Faults and their times, drawn from a seed.
 
 use std::{ops::Range, time::Duration};
 
 use serde::Serialize;
 
-/// The least and the most time from one fault to the next, in milliseconds.
-const GAP_MS: Range<u64> = 400..5000;
+/// Range of the time from one fault to the next, in milliseconds.
+const FAULT_GAP_MS: Range<u64> = 400..5000;
 
-/// The least time for which a controller is refused while others take its blocks.
-const LEAST_REFUSED_MS: u64 = 8000;
+/// Minimum time for which `draw_handovers` has the state service refuse a controller, in
+/// milliseconds, so that other controllers take over its blocks.
+const MIN_REFUSED_MS: u64 = 8000;
 
-/// A fault.
+/// A fault to inject.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Fault {
-    /// Controllers are killed, and are back after a while.
+    /// Controllers are killed, and restarted later.
     Kill {
-        /// Which.
+        /// Indices of the controllers.
         controllers: Vec<usize>,
-        /// After how many milliseconds.
-        back_ms: u64,
+        /// Time until the restart, in milliseconds.
+        #[serde(rename = "back_ms")]
+        restart_after_ms: u64,
     },
-    /// A controller stands still, its sockets open.
+    /// A controller process is stopped, with its sockets open.
     Pause {
-        /// Which.
+        /// Index of the controller.
         controller: usize,
     },
-    /// What a controller asks of the state service is held back, and carried out
-    /// afterwards.
+    /// Requests of a controller to the state service are held until the fault ends, then
+    /// executed without an answer.
     HoldState {
-        /// Which.
+        /// Index of the controller.
         controller: usize,
     },
-    /// The state service refuses a controller.
+    /// The state service refuses the requests of one controller.
     RefuseState {
-        /// Which.
+        /// Index of the controller.
         controller: usize,
     },
-    /// The state service refuses all.
+    /// The state service refuses all requests.
     Outage,
-    /// Answers of the state service come late, each by up to so many milliseconds.
+    /// The state service delays each request by a random time.
     SlowState {
-        /// How many.
-        most_ms: u64,
+        /// Maximum delay, in milliseconds.
+        #[serde(rename = "most_ms")]
+        max_delay_ms: u64,
     },
-    /// One in so many answers of the state service is lost.
-    LoseAnswers {
-        /// One of so many.
+    /// Some answers of the state service are lost.
+    #[serde(rename = "lose_answers")]
+    StateAnswersLost {
+        /// One in this many is affected, at random.
         one_in: u32,
     },
-    /// One in so many transactions is carried out seconds later, unanswered.
+    /// Some transactions are executed seconds later, without an answer.
     LateWrites {
-        /// One of so many.
+        /// One in this many is affected, at random.
         one_in: u32,
     },
-    /// Reports of some machines arrive; answers and orders to them are lost.
-    Deaf {
-        /// Which: those whose number leaves this rest by four.
-        rest: u32,
+    /// Reports of some machines arrive, but answers and orders to them are lost.
+    #[serde(rename = "deaf")]
+    AnswersLost {
+        /// The machines: those whose number modulo 4 is this value.
+        #[serde(rename = "rest")]
+        group: u32,
     },
-    /// Some machines reach no controller; orders reach them.
-    Mute {
-        /// Which: those whose number leaves this rest by four.
-        rest: u32,
+    /// Reports of some machines reach no controller, but orders reach the machines.
+    #[serde(rename = "mute")]
+    ReportsLost {
+        /// The machines: those whose number modulo 4 is this value.
+        #[serde(rename = "rest")]
+        group: u32,
     },
-    /// Some machines hang: what is sent to them waits, and their lease runs on.
+    /// Some machines hang: messages to them wait, they send no reports, and their leases
+    /// keep running.
     Hang {
-        /// Which: those whose number leaves this rest by four.
-        rest: u32,
+        /// The machines: those whose number modulo 4 is this value.
+        #[serde(rename = "rest")]
+        group: u32,
     },
-    /// One in so many direct orders is carried out seconds later, unanswered.
+    /// Some direct orders are executed seconds later, without an answer.
     LateOrders {
-        /// One of so many.
+        /// One in this many is affected, at random.
         one_in: u32,
     },
-    /// A copy of one in so many reports arrives seconds later, at any controller.
+    /// Copies of some reports arrive seconds later, at a random controller.
     LateReports {
-        /// One of so many.
+        /// One in this many is affected, at random.
         one_in: u32,
     },
-    /// A controller and some machines do not hear each other.
-    CutPair {
-        /// Which controller.
+    /// Messages between a controller and some machines are lost in both directions.
+    #[serde(rename = "cut_pair")]
+    Partition {
+        /// Index of the controller.
         controller: usize,
-        /// Which machines: those whose number leaves this rest by four.
-        rest: u32,
+        /// The machines: those whose number modulo 4 is this value.
+        #[serde(rename = "rest")]
+        group: u32,
     },
-    /// Users call off some jobs at the same moment.
+    /// Users cancel several jobs at the same time.
     Cancel {
-        /// How many.
+        /// Maximum number of jobs.
         count: usize,
     },
 }
 
-/// A fault and when it happens.
+/// A fault and the time during which it is active.
 #[derive(Clone, Debug, Serialize)]
-pub struct Timed {
-    /// When it begins, in milliseconds since the beginning.
+pub struct ScheduledFault {
+    /// Start of the fault, in milliseconds since the start of the seed.
     pub from_ms: u64,
-    /// When it is over.
+    /// End of the fault (exclusive), in milliseconds since the start of the seed.
     pub until_ms: u64,
-    /// What it is.
+    /// The fault.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
-impl Timed {
-    /// When it begins.
-    pub fn from(&self) -> Duration {
+impl ScheduledFault {
+    /// Start of the fault, since the start of the seed.
+    pub fn start(&self) -> Duration {
         Duration::from_millis(self.from_ms)
     }
 
-    /// When it is over.
-    pub fn until(&self) -> Duration {
+    /// End of the fault (exclusive), since the start of the seed.
+    pub fn end(&self) -> Duration {
         Duration::from_millis(self.until_ms)
     }
 
-    /// Whether it lasts at some moment.
-    pub fn lasts(&self, now: Duration) -> bool {
-        (self.from()..self.until()).contains(&now)
+    /// Whether the fault is active at the time `now`.
+    pub fn is_active(&self, now: Duration) -> bool {
+        (self.start()..self.end()).contains(&now)
     }
 }
 
-/// Draws faults until `end`.
-pub fn draw(rng: &mut fastrand::Rng, controllers: usize, end: Duration) -> Vec<Timed> {
+/// Draws faults until `end`. Partitions are drawn by `draw_handovers`.
+pub fn draw(rng: &mut fastrand::Rng, controllers: usize, end: Duration) -> Vec<ScheduledFault> {
     let end_ms = end.as_millis() as u64;
     let mut faults = Vec::new();
-    let mut at = 8000 + rng.u64(GAP_MS);
+    let mut at = 8000 + rng.u64(FAULT_GAP_MS);
     while at < end_ms {
         let fault = draw_fault(rng, controllers);
-        let lasts = match &fault {
+        let duration_ms = match &fault {
             Fault::Kill { .. } | Fault::Cancel { .. } => 0,
             Fault::Outage => rng.u64(500..9000),
             _ => rng.u64(300..20_000),
         };
-        faults.push(Timed {
+        faults.push(ScheduledFault {
             from_ms: at,
-            until_ms: (at + lasts).min(end_ms),
+            until_ms: (at + duration_ms).min(end_ms),
             fault,
         });
-        at += rng.u64(GAP_MS);
+        at += rng.u64(FAULT_GAP_MS);
     }
     faults
 }
 
-/// Draws times in which the state service refuses a controller, and from about then on
-/// it and each of the others are cut from some machines: blocks change hands between
-/// controllers that reach different ones.
-pub fn draw_handovers(rng: &mut fastrand::Rng, controllers: usize, end: Duration) -> Vec<Timed> {
+/// Draws periods in which the state service refuses a controller. Within 1.5 s of their
+/// start, that controller is partitioned from one group of machines and all others from
+/// another group: blocks change holders between controllers that reach different machines.
+pub fn draw_handovers(
+    rng: &mut fastrand::Rng,
+    controllers: usize,
+    end: Duration,
+) -> Vec<ScheduledFault> {
     let end_ms = end.as_millis() as u64;
     let mut faults = Vec::new();
-    let mut at = 10_000 + rng.u64(GAP_MS);
-    while at + LEAST_REFUSED_MS < end_ms {
+    let mut at = 10_000 + rng.u64(FAULT_GAP_MS);
+    while at + MIN_REFUSED_MS < end_ms {
         let refused = rng.usize(0..controllers);
-        let lasts = rng.u64(LEAST_REFUSED_MS..28_000);
-        let until_ms = (at + lasts).min(end_ms);
-        faults.push(Timed {
+        let duration_ms = rng.u64(MIN_REFUSED_MS..28_000);
+        let until_ms = (at + duration_ms).min(end_ms);
+        faults.push(ScheduledFault {
             from_ms: at,
             until_ms,
             fault: Fault::RefuseState {
                 controller: refused,
             },
         });
-        let rest = rng.u32(0..4);
+        let group = rng.u32(0..4);
         for controller in 0..controllers {
-            let own = u32::from(controller != refused);
-            faults.push(Timed {
+            let group_offset = u32::from(controller != refused);
+            faults.push(ScheduledFault {
                 from_ms: at + rng.u64(0..1500),
                 until_ms,
-                fault: Fault::CutPair {
+                fault: Fault::Partition {
                     controller,
-                    rest: (rest + own) % 4,
+                    group: (group + group_offset) % 4,
                 },
             });
         }
-        at += lasts + rng.u64(GAP_MS);
+        at += duration_ms + rng.u64(FAULT_GAP_MS);
     }
     faults
 }
@@ -182,29 +198,29 @@
 fn draw_fault(rng: &mut fastrand::Rng, controllers: usize) -> Fault {
     let controller = rng.usize(0..controllers);
     let one_in = rng.u32(2..8);
-    let rest = rng.u32(0..4);
+    let group = rng.u32(0..4);
     match rng.u32(0..16) {
         0..=2 => Fault::Kill {
             controllers: vec![controller],
-            back_ms: rng.u64(30..4000),
+            restart_after_ms: rng.u64(30..4000),
         },
         3 => Fault::Kill {
             controllers: (0..controllers).collect(),
-            back_ms: rng.u64(30..1500),
+            restart_after_ms: rng.u64(30..1500),
         },
         4 | 5 => Fault::Pause { controller },
         6 => Fault::HoldState { controller },
         7 => Fault::RefuseState { controller },
         8 => Fault::Outage,
         9 => Fault::SlowState {
-            most_ms: rng.u64(100..1200),
+            max_delay_ms: rng.u64(100..1200),
         },
-        10 => Fault::LoseAnswers { one_in },
+        10 => Fault::StateAnswersLost { one_in },
         11 => Fault::LateWrites { one_in },
-        12 => Fault::Deaf { rest },
+        12 => Fault::AnswersLost { group },
         13 => match rng.bool() {
-            true => Fault::Mute { rest },
-            false => Fault::Hang { rest },
+            true => Fault::ReportsLost { group },
+            false => Fault::Hang { group },
         },
         14 => match rng.bool() {
             true => Fault::LateOrders { one_in },
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on loopback: what the stand-ins serve and ask.
+//! HTTP/1.1 server and client for the simulated services, workers and users.
 
 use std::{
     io,
@@ -14,74 +14,76 @@
 use http_types::{Method as HttpMethod, Request, Response, StatusCode, Url};
 use oliveshift_core::Method;
 
-/// A request that has come in.
+/// An HTTP request, received or to be sent.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    /// The method.
+pub struct HttpRequest {
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path with the query string.
     pub path: String,
-    /// The body.
+    /// Message body.
     pub body: Vec<u8>,
 }
 
-/// What is answered.
+/// An HTTP response.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// The status.
+pub struct HttpResponse {
+    /// HTTP status code.
     pub status: u16,
-    /// The body.
+    /// Message body.
     pub body: Vec<u8>,
 }
 
-/// Serves a free port of an address for as long as the executor runs, and says which.
-/// No answer: the connection is closed without one.
+/// Serves a free port of an address for as long as the executor runs, and returns its
+/// socket address. If `answer` gives `None`, the connection is closed without a response.
 ///
 /// # Errors
 ///
-/// If the address can't be listened on.
+/// If it can't listen on the address.
 pub fn serve<F>(
     executor: &Rc<LocalExecutor<'static>>,
     address: Ipv4Addr,
-    answer: impl Fn(Asked) -> F + 'static,
+    answer: impl Fn(HttpRequest) -> F + 'static,
 ) -> io::Result<SocketAddrV4>
 where
-    F: Future<Output = Option<Told>> + 'static,
+    F: Future<Output = Option<HttpResponse>> + 'static,
 {
     let listener = Async::<TcpListener>::bind(SocketAddrV4::new(address, 0))?;
     let port = listener.get_ref().local_addr()?.port();
     let answer = Rc::new(answer);
     let spawner = executor.clone();
-    let accepts = async move {
+    let accept_loop = async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 Timer::after(Duration::from_millis(50)).await;
                 continue;
             };
             let answer = answer.clone();
-            spawner.spawn(connection(stream, answer)).detach();
+            spawner.spawn(serve_connection(stream, answer)).detach();
         }
     };
-    executor.spawn(accepts).detach();
+    executor.spawn(accept_loop).detach();
     Ok(SocketAddrV4::new(address, port))
 }
 
-async fn connection<F>(stream: Async<TcpStream>, answer: Rc<impl Fn(Asked) -> F + 'static>)
-where
-    F: Future<Output = Option<Told>> + 'static,
+async fn serve_connection<F>(
+    stream: Async<TcpStream>,
+    answer: Rc<impl Fn(HttpRequest) -> F + 'static>,
+) where
+    F: Future<Output = Option<HttpResponse>> + 'static,
 {
     let _ = stream.get_ref().set_nodelay(true);
     let endpoint = |request| respond(request, answer.clone());
-    // A connection that ends without an answer is what the other side sees.
+    // Errors are ignored: the client sees a connection that closes without a response.
     let _ = async_h1::accept(Arc::new(stream), endpoint).await;
 }
 
 async fn respond<F>(
     mut request: Request,
-    answer: Rc<impl Fn(Asked) -> F + 'static>,
+    answer: Rc<impl Fn(HttpRequest) -> F + 'static>,
 ) -> http_types::Result<Response>
 where
-    F: Future<Output = Option<Told>> + 'static,
+    F: Future<Output = Option<HttpResponse>> + 'static,
 {
     let mut body = Vec::new();
     request.take_body().read_to_end(&mut body).await?;
@@ -96,39 +98,48 @@
         Some(query) => format!("{}?{query}", url.path()),
         None => url.path().to_owned(),
     };
-    let asked = Asked { method, path, body };
-    let no_answer = || http_types::Error::from_str(StatusCode::RequestTimeout, "no answer");
-    let told = answer(asked).await.ok_or_else(no_answer)?;
-    let mut response = Response::new(StatusCode::try_from(told.status)?);
-    response.set_body(told.body);
+    let received = HttpRequest { method, path, body };
+    let no_answer =
+        || http_types::Error::from_str(StatusCode::RequestTimeout, "the handler gave no response");
+    let reply = answer(received).await.ok_or_else(no_answer)?;
+    let mut response = Response::new(StatusCode::try_from(reply.status)?);
+    response.set_body(reply.body);
     Ok(response)
 }
 
-/// Asks over a connection of its own; none if no answer comes in time.
-pub async fn ask(address: SocketAddrV4, asked: Asked, timeout: Duration) -> Option<Told> {
-    let exchange = async { exchange(address, asked).await.ok() };
-    let late = async {
+/// Sends a request over a new connection. `None` if it fails or no response arrives within
+/// the timeout.
+pub async fn send_with_timeout(
+    address: SocketAddrV4,
+    received: HttpRequest,
+    timeout: Duration,
+) -> Option<HttpResponse> {
+    let exchange = async { exchange(address, received).await.ok() };
+    let timed_out = async {
         Timer::after(timeout).await;
         None
     };
-    exchange.or(late).await
+    exchange.or(timed_out).await
 }
 
-async fn exchange(address: SocketAddrV4, asked: Asked) -> http_types::Result<Told> {
+async fn exchange(
+    address: SocketAddrV4,
+    received: HttpRequest,
+) -> http_types::Result<HttpResponse> {
     let stream = Async::<TcpStream>::connect(address).await?;
     stream.get_ref().set_nodelay(true)?;
-    let url = Url::parse(&format!("http://{address}{}", asked.path))?;
-    let method = match asked.method {
+    let url = Url::parse(&format!("http://{address}{}", received.path))?;
+    let method = match received.method {
         Method::Post => HttpMethod::Post,
         Method::Delete => HttpMethod::Delete,
         _ => HttpMethod::Get,
     };
     let mut request = Request::new(method, url);
     request.insert_header("connection", "close");
-    request.set_body(asked.body);
+    request.set_body(received.body);
     let mut response = async_h1::connect(Arc::new(stream), request).await?;
     let status = u16::from(response.status());
     let mut body = Vec::new();
     response.take_body().read_to_end(&mut body).await?;
-    Ok(Told { status, body })
+    Ok(HttpResponse { status, body })
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,10 +1,10 @@
-//! `oliveshift-soak`: real controllers on loopback under random faults.
+//! `oliveshift-soak`: runs real controllers on loopback under random faults.
 //!
-//! The controllers are processes of the program as it is released. State service, cloud,
-//! workers and users are stand-ins in this process, which speak the published protocol
-//! and share their models with the simulated world. Whether a rule is broken is judged
-//! by what workers and users see. A real clock makes no run repeat exactly: a seed fixes
-//! the faults and the work, not what comes of them.
+//! The controllers are processes of the release program. The state service, the cloud,
+//! workers and users are simulated in this process: they speak the published protocol
+//! and share their models with the simulation in `oliveshift-testkit`. Rules are checked
+//! against what workers and users observe. Runs use a real clock and don't repeat
+//! exactly: a seed determines the faults and the workload, not their outcome.
 
 mod cloud;
 mod controllers;
@@ -30,17 +30,17 @@
         eprintln!("oliveshift-soak: {e}");
         return ExitCode::from(2);
     }
-    let mut all_hold = true;
+    let mut all_passed = true;
     for seed in options.all_seeds() {
         match run::run(&options, seed) {
             Ok(record) => {
-                println!("{}", record.line());
+                println!("{}", record.summary());
                 for finding in record.findings() {
                     eprintln!("{finding}");
                 }
-                all_hold &= record.holds();
+                all_passed &= record.passed();
                 if let Err(e) = record.write(&options.out) {
-                    eprintln!("oliveshift-soak: the record can't be written: {e}");
+                    eprintln!("oliveshift-soak: seed {seed}: cannot write the record: {e}");
                     return ExitCode::from(2);
                 }
                 if record.interrupted {
@@ -53,7 +53,7 @@
             }
         }
     }
-    match all_hold {
+    match all_passed {
         true => ExitCode::SUCCESS,
         false => ExitCode::from(1),
     }
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -1,64 +1,67 @@
-//! What is asked of a soak, and whether this machine can give it.
+//! Command-line options, and checks that this machine has enough resources for them.
 
 use std::{path::PathBuf, time::Duration};
 
 use clap::Parser;
 use thiserror::Error;
 
-/// Open files that a machine of ours takes at most: its listener and connections.
-const FILES_EACH: u64 = 6;
-/// Open files for everything else.
-const FILES_BESIDES: u64 = 400;
-/// Memory that a machine of ours takes at most, in KiB, and a controller.
-const MACHINE_KIB: u64 = 64;
-const CONTROLLER_KIB: u64 = 200 * 1024;
+/// Maximum number of open files for a simulated machine: its listener and connections.
+const FILES_PER_MACHINE: u64 = 6;
+/// Number of open files for everything else.
+const BASE_FILES: u64 = 400;
+/// Maximum memory for a simulated machine, in KiB.
+const MEMORY_PER_MACHINE_KIB: u64 = 64;
+/// Maximum memory for a controller, in KiB.
+const MEMORY_PER_CONTROLLER_KIB: u64 = 200 * 1024;
 
-/// Real controllers on loopback under random faults.
+/// Run real controllers on loopback under random faults.
 #[derive(Clone, Debug, Parser)]
 #[command(name = "oliveshift-soak")]
 pub struct Options {
-    /// The first seed: it fixes the faults and the work.
+    /// First seed; a seed determines the faults and the workload.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How many seeds are played, one after the other.
+    /// Number of seeds to run, one after the other.
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
-    /// For how long faults happen in each; a quiet minute follows.
+    /// Duration of the fault period of each seed, in minutes; 45 s without faults follow.
     #[arg(long, default_value_t = 2.0)]
     pub minutes: f64,
-    /// How many machines are up at the beginning.
+    /// Number of machines that are up at the start.
     #[arg(long, default_value_t = 60)]
     pub machines: u32,
-    /// How many controllers there are.
+    /// Number of controllers.
     #[arg(long, default_value_t = 3)]
     pub controllers: u32,
-    /// The program of the controllers.
+    /// Path of the controller program.
     #[arg(long, default_value = "target/release/oliveshift")]
     pub program: PathBuf,
-    /// Where records and the logs of failed seeds go.
+    /// Directory for records and for settings and logs of failed seeds.
     #[arg(long, default_value = "target/soak")]
     pub out: PathBuf,
 }
 
-/// Why a soak can't be run as asked.
+/// Why a run with these options can't start.
 #[derive(Debug, Error)]
-pub enum BadOptions {
-    #[error("--{0} has to be at least 1")]
+pub enum OptionsError {
+    #[error("--{0} must be at least 1")]
     Zero(&'static str),
-    #[error("--minutes has to be a number above 0, and at most 600")]
+    #[error("--minutes must be a number above 0 and at most 600")]
     Minutes,
-    #[error("--controllers can be at most 9")]
+    #[error("--controllers must be at most 9")]
     Controllers,
-    #[error("{0} is not there: build it with `cargo build --release -p oliveshift`")]
+    #[error(
+        "program {0} does not exist or is not a file: build it with `cargo build --release -p oliveshift`"
+    )]
     Program(PathBuf),
-    #[error("--machines {machines} needs {needed} open files, and {limit} are allowed")]
+    #[error("--machines {machines} needs {needed} open files, but the limit is {limit}")]
     Files {
         machines: u32,
         needed: u64,
         limit: u64,
     },
     #[error(
-        "--machines {machines} needs {needed} MiB, and half of this machine's memory is {half} MiB"
+        "--machines {machines} needs {needed} MiB, but half of this machine's memory is {half} MiB"
     )]
     Memory {
         machines: u32,
@@ -68,45 +71,46 @@
 }
 
 impl Options {
-    /// Whether it can be run.
+    /// Checks whether a run with these options can start.
     ///
     /// # Errors
     ///
-    /// If a number makes no sense, the program is missing, or this machine is too small.
-    pub fn check(&self) -> Result<(), BadOptions> {
+    /// If a number is out of range, the program is missing, or this machine has too few open
+    /// files or too little memory.
+    pub fn check(&self) -> Result<(), OptionsError> {
         let counts = [
             ("seeds", self.seeds),
             ("machines", u64::from(self.machines)),
             ("controllers", u64::from(self.controllers)),
         ];
         if let Some((name, _)) = counts.into_iter().find(|(_, count)| *count == 0) {
-            return Err(BadOptions::Zero(name));
+            return Err(OptionsError::Zero(name));
         }
         if !(self.minutes > 0.0 && self.minutes <= 600.0) {
-            return Err(BadOptions::Minutes);
+            return Err(OptionsError::Minutes);
         }
         if self.controllers > 9 {
-            return Err(BadOptions::Controllers);
+            return Err(OptionsError::Controllers);
         }
         if !self.program.is_file() {
-            return Err(BadOptions::Program(self.program.clone()));
+            return Err(OptionsError::Program(self.program.clone()));
         }
         let machines = self.machines;
-        // As many again may be rented.
-        let needed = u64::from(machines) * 2 * FILES_EACH + FILES_BESIDES;
+        // The cloud may rent out as many machines again.
+        let needed = u64::from(machines) * 2 * FILES_PER_MACHINE + BASE_FILES;
         if let Some(limit) = open_file_limit().filter(|limit| needed > *limit) {
-            return Err(BadOptions::Files {
+            return Err(OptionsError::Files {
                 machines,
                 needed,
                 limit,
             });
         }
-        let controllers = u64::from(self.controllers) * CONTROLLER_KIB;
-        let needed = (u64::from(machines) * 2 * MACHINE_KIB + controllers) / 1024;
+        let controllers = u64::from(self.controllers) * MEMORY_PER_CONTROLLER_KIB;
+        let needed = (u64::from(machines) * 2 * MEMORY_PER_MACHINE_KIB + controllers) / 1024;
         if let Some(half) = total_memory_mib().map(|all| all / 2)
             && needed > half
         {
-            return Err(BadOptions::Memory {
+            return Err(OptionsError::Memory {
                 machines,
                 needed,
                 half,
@@ -115,18 +119,18 @@
         Ok(())
     }
 
-    /// All seeds to be played.
+    /// All seeds to run.
     pub fn all_seeds(&self) -> impl Iterator<Item = u64> {
         self.seed..self.seed.saturating_add(self.seeds)
     }
 
-    /// For how long faults happen.
-    pub fn troubled(&self) -> Duration {
+    /// Duration of the fault period.
+    pub fn fault_duration(&self) -> Duration {
         Duration::from_secs_f64(self.minutes * 60.0)
     }
 }
 
-/// How many files this process may have open; unknown where there is no `/proc`.
+/// Limit of open files of this process; `None` where there is no `/proc`.
 fn open_file_limit() -> Option<u64> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits.lines().find(|l| l.starts_with("Max open files"))?;
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,80 +1,89 @@
-//! What came of a seed.
+//! The result of a seed, written as JSON.
 
 use std::{fs, io, path::Path};
 
 use serde::Serialize;
 
-use crate::{faults::Timed, site::Timing};
+use crate::{faults::ScheduledFault, site::Timing};
 
-/// Most findings of a kind that are shown.
-const MOST_SHOWN: usize = 3;
+/// Maximum number of findings of each kind that are printed.
+const MAX_FINDINGS_SHOWN: usize = 3;
 
-/// A rule that was broken.
+/// A violation of a rule of the test kit.
 #[derive(Debug, Serialize)]
-pub struct Break {
-    /// When, in milliseconds since the beginning.
+pub struct RuleViolation {
+    /// Time of the violation, in milliseconds since the start of the seed.
     pub at_ms: u64,
-    /// Which.
+    /// Name of the rule.
     pub rule: String,
-    /// By what.
-    pub what: String,
+    /// Description of the violating event.
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
-/// What came of a seed.
+/// The result of a seed.
 #[derive(Debug, Serialize)]
 pub struct Record {
-    /// The seed.
+    /// Seed of the faults and the workload.
     pub seed: u64,
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: u32,
-    /// Machines up at the beginning.
+    /// Number of machines that are up at the start.
     pub machines: u32,
-    /// Workers' leases and cancellations.
+    /// Worker lease and cancellation settings.
     pub timing: Timing,
-    /// How long it took, in seconds.
+    /// Duration of the run, in seconds.
     pub seconds: u64,
-    /// Answers that changes are no longer kept.
+    /// Number of watch answers saying that the requested changes are no longer retained.
     pub too_old: usize,
-    /// Jobs accepted.
+    /// Number of accepted jobs.
     pub accepted: usize,
-    /// Accepted jobs whose end nobody had told at the end.
+    /// Number of accepted jobs that were never reported to their user as ended.
     pub open: usize,
-    /// Starts of tasks.
+    /// Number of task starts.
     pub started: u64,
-    /// Tasks that completed.
+    /// Number of completed tasks.
     pub done: usize,
-    /// Tasks that ended with their machine or the lease of its worker.
+    /// Number of tasks that ended because their machine was lost or its worker's lease expired.
     pub lost: usize,
-    /// Broken rules.
-    pub broken: Vec<Break>,
-    /// Controllers that ended by themselves.
-    pub deaths: Vec<String>,
-    /// Invariants that controllers have found violated.
-    pub violations: Vec<String>,
-    /// It was ended before its time.
+    /// Rule violations.
+    #[serde(rename = "broken")]
+    pub rule_violations: Vec<RuleViolation>,
+    /// Controllers that exited without being killed by a fault.
+    #[serde(rename = "deaths")]
+    pub unexpected_exits: Vec<String>,
+    /// Log lines in which controllers report a violated invariant.
+    #[serde(rename = "violations")]
+    pub invariant_violations: Vec<String>,
+    /// Whether a signal ended the run early.
     pub interrupted: bool,
-    /// What went wrong when.
-    pub faults: Vec<Timed>,
+    /// Injected faults and their times.
+    pub faults: Vec<ScheduledFault>,
 }
 
 impl Record {
-    /// Whether all that has to hold did.
-    pub fn holds(&self) -> bool {
-        self.broken.is_empty()
-            && self.deaths.is_empty()
-            && self.violations.is_empty()
+    /// Whether the run was complete, did some work and violated nothing.
+    pub fn passed(&self) -> bool {
+        self.rule_violations.is_empty()
+            && self.unexpected_exits.is_empty()
+            && self.invariant_violations.is_empty()
             && self.accepted > 0
             && self.done > 0
             && !self.interrupted
     }
 
-    /// The record in a line.
-    pub fn line(&self) -> String {
-        let verdict = if self.holds() { "holds" } else { "FAILED" };
-        let broken: Vec<_> = self.broken.iter().map(|b| b.rule.as_str()).collect();
+    /// One-line summary of the result.
+    pub fn summary(&self) -> String {
+        let verdict = if self.passed() { "holds" } else { "FAILED" };
+        let rule_violations: Vec<_> = self
+            .rule_violations
+            .iter()
+            .map(|b| b.rule.as_str())
+            .collect();
         format!(
             "seed {}: {verdict}: {} faults, {} jobs accepted, {} open, {} tasks started, {} done, {} lost, \
-             {} times changes too old; broken {broken:?}, {} ended by themselves, {} violations",
+             {} times changes too old; rules broken {rule_violations:?}, {} controllers exited unexpectedly, \
+             {} invariant violations",
             self.seed,
             self.faults.len(),
             self.accepted,
@@ -83,30 +92,30 @@
             self.done,
             self.lost,
             self.too_old,
-            self.deaths.len(),
-            self.violations.len(),
+            self.unexpected_exits.len(),
+            self.invariant_violations.len(),
         )
     }
 
-    /// The first things that must not have been, a line each.
+    /// The first rule violations, unexpected exits and invariant violations, one line each.
     pub fn findings(&self) -> Vec<String> {
-        let broken = self.broken.iter().take(MOST_SHOWN);
-        let mut lines: Vec<_> = broken
-            .map(|b| format!("  {} ms: {}: {}", b.at_ms, b.rule, b.what))
+        let rule_violations = self.rule_violations.iter().take(MAX_FINDINGS_SHOWN);
+        let mut lines: Vec<_> = rule_violations
+            .map(|b| format!("  {} ms: {}: {}", b.at_ms, b.rule, b.description))
             .collect();
-        let others = [&self.deaths, &self.violations];
-        lines.extend(others.into_iter().flat_map(|all| {
-            let first = all.iter().take(MOST_SHOWN);
+        let other_findings = [&self.unexpected_exits, &self.invariant_violations];
+        lines.extend(other_findings.into_iter().flat_map(|all| {
+            let first = all.iter().take(MAX_FINDINGS_SHOWN);
             first.map(|line| format!("  {line}"))
         }));
         lines
     }
 
-    /// Writes it to a folder.
+    /// Writes the result to `seed-N.json` in a directory, which is created if missing.
     ///
     /// # Errors
     ///
-    /// If the folder can't be written.
+    /// If the directory or the file can't be written.
     pub fn write(&self, folder: &Path) -> io::Result<()> {
         fs::create_dir_all(folder)?;
         let text = serde_json::to_string_pretty(self)?;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One seed from its beginning to its end.
+//! Runs one seed from start to end.
 
 use std::{cell::RefCell, fs, io, path::Path, rc::Rc, time::Duration};
 
@@ -10,85 +10,85 @@
 
 use crate::{
     cloud,
-    controllers::{Addresses, Controllers, free_ports, own_address},
-    faults::{Fault, Timed, draw, draw_handovers},
+    controllers::{Addresses, Controllers, free_ports, loopback_address},
+    faults::{Fault, ScheduledFault, draw, draw_handovers},
     http,
     options::Options,
-    record::{Break, Record},
+    record::{Record, RuleViolation},
     site::{Shared, Site, Timing},
     state,
     users::Users,
     workers,
 };
 
-/// How often the stand-ins act by themselves.
-const TICK: Duration = Duration::from_millis(20);
-/// How long the site is left in peace at the end.
-const CALM: Duration = Duration::from_secs(45);
-/// So many jobs for each machine and minute of faults, so that most machines are busy.
-const JOBS_PER_MACHINE: f64 = 2.5;
-/// Writes a second that the state service takes: some, and more for more machines.
-const WRITES: f64 = 40.0;
-const WRITES_PER_MACHINE: f64 = 0.1;
+/// Interval at which the simulated services, workers and users act.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Fault-free period at the end of a run.
+const RECOVERY_DURATION: Duration = Duration::from_secs(45);
+/// Jobs for each machine and minute of the fault period, so that most machines are busy.
+const JOBS_PER_MACHINE_MINUTE: f64 = 2.5;
+/// Write rate limit of the state service, per second: a base and a share for each machine.
+const BASE_WRITE_RPS: f64 = 40.0;
+const WRITE_RPS_PER_MACHINE: f64 = 0.1;
 
-/// Why a seed can't be played.
+/// Why a seed can't be run.
 #[derive(Debug, Error)]
-pub enum Failure {
-    #[error("a port of {address} can't be listened on: {0}", address = own_address())]
+pub enum RunError {
+    #[error("cannot listen on a port of {address}: {0}", address = loopback_address())]
     Ports(io::Error),
-    #[error("the controllers can't be run: {0}")]
+    #[error("cannot run the controllers: {0}")]
     Controllers(io::Error),
-    #[error("signals can't be waited for: {0}")]
+    #[error("cannot handle SIGINT and SIGTERM: {0}")]
     Signals(io::Error),
 }
 
-/// Plays a seed.
+/// Runs a seed and returns its record.
 ///
 /// # Errors
 ///
-/// If it can't be played at all; that something broke is in the record.
-pub fn run(options: &Options, seed: u64) -> Result<Record, Failure> {
+/// If the seed can't be run. Violations found during the run are in the record.
+pub fn run(options: &Options, seed: u64) -> Result<Record, RunError> {
     let folder = options.out.join(format!("seed-{seed}"));
     let executor = Rc::new(LocalExecutor::new());
-    let record = block_on(executor.run(play(options, seed, &folder, executor.clone())))?;
-    if record.holds() {
-        // The logs of what went well are of no use to anybody.
+    let record = block_on(executor.run(run_seed(options, seed, &folder, executor.clone())))?;
+    if record.passed() {
+        // Settings and logs are kept only for failed seeds.
         let _ = fs::remove_dir_all(&folder);
     }
     Ok(record)
 }
 
-/// All that a seed is played with.
-struct Play {
+/// The parts of a running seed.
+struct SeedRun {
     executor: Rc<LocalExecutor<'static>>,
     site: Shared,
     users: Rc<Users>,
     addresses: Rc<Addresses>,
     controllers: Controllers,
-    faults: Vec<Timed>,
+    faults: Vec<ScheduledFault>,
 }
 
-async fn play(
+async fn run_seed(
     options: &Options,
     seed: u64,
     folder: &Path,
     executor: Rc<LocalExecutor<'static>>,
-) -> Result<Record, Failure> {
+) -> Result<Record, RunError> {
     let nodes = options.controllers as usize;
-    let troubled = options.troubled();
-    let write_rps = WRITES + WRITES_PER_MACHINE * f64::from(options.machines);
+    let fault_duration = options.fault_duration();
+    let write_rps = BASE_WRITE_RPS + WRITE_RPS_PER_MACHINE * f64::from(options.machines);
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut faults = draw(&mut rng, nodes, troubled);
-    let mut other_rng = fastrand::Rng::with_seed(!seed);
-    let timing = Timing::draw(&mut other_rng);
-    faults.extend(draw_handovers(&mut other_rng, nodes, troubled));
+    let mut faults = draw(&mut rng, nodes, fault_duration);
+    let mut second_rng = fastrand::Rng::with_seed(!seed);
+    let timing = Timing::draw(&mut second_rng);
+    faults.extend(draw_handovers(&mut second_rng, nodes, fault_duration));
     faults.sort_by_key(|fault| fault.from_ms);
-    let jobs = JOBS_PER_MACHINE * f64::from(options.machines) * options.minutes;
-    let users = Users::draw(&mut rng, jobs.ceil() as usize, troubled.mul_f64(0.9));
+    let jobs = JOBS_PER_MACHINE_MINUTE * f64::from(options.machines) * options.minutes;
+    let users = Users::draw(&mut rng, jobs.ceil() as usize, fault_duration.mul_f64(0.9));
     let mut site = Site::new(options.machines, write_rps, timing, seed);
     site.faults = faults.clone();
     let site = Rc::new(RefCell::new(site));
-    let addresses = serve(&executor, &site, nodes).map_err(Failure::Ports)?;
+    let addresses = serve(&executor, &site, nodes).map_err(RunError::Ports)?;
     let controllers = Controllers::new(
         &options.program,
         folder,
@@ -97,24 +97,28 @@
         write_rps,
         timing,
     );
-    let mut play = Play {
+    let mut seed_run = SeedRun {
         executor,
         site,
         users: Rc::new(users),
         addresses: Rc::new(addresses),
-        controllers: controllers.map_err(Failure::Controllers)?,
+        controllers: controllers.map_err(RunError::Controllers)?,
         faults,
     };
-    let mut signals = Signals::new([Signal::Int, Signal::Term]).map_err(Failure::Signals)?;
+    let mut signals = Signals::new([Signal::Int, Signal::Term]).map_err(RunError::Signals)?;
     let interrupted = async {
         signals.next().await;
         Ok(true)
     };
-    let interrupted = play.go_on(troubled + CALM).or(interrupted).await?;
-    Ok(play.record(options, seed, interrupted))
+    let interrupted = seed_run
+        .run_until(fault_duration + RECOVERY_DURATION)
+        .or(interrupted)
+        .await?;
+    Ok(seed_run.record(options, seed, interrupted))
 }
 
-/// Serves the state service and the cloud, and finds ports for the controllers.
+/// Starts the state service (one address for each controller) and the cloud, and chooses
+/// ports for the controllers.
 fn serve(
     executor: &Rc<LocalExecutor<'static>>,
     site: &Shared,
@@ -123,15 +127,15 @@
     let mut state = Vec::new();
     for node in 0..nodes {
         let site = site.clone();
-        let answer = move |asked| state::answer(site.clone(), node, asked);
-        state.push(http::serve(executor, own_address(), answer)?);
+        let answer = move |request| state::handle_request(site.clone(), node, request);
+        state.push(http::serve(executor, loopback_address(), answer)?);
     }
     let site = site.clone();
-    let answer = move |asked| {
-        let told = cloud::answer(&site, asked);
-        async move { Some(told) }
+    let answer = move |request| {
+        let response = cloud::handle_request(&site, request);
+        async move { Some(response) }
     };
-    let cloud = http::serve(executor, own_address(), answer)?;
+    let cloud = http::serve(executor, loopback_address(), answer)?;
     let mut public = free_ports(2 * nodes)?;
     let internal = public.split_off(nodes);
     Ok(Addresses {
@@ -142,53 +146,56 @@
     })
 }
 
-impl Play {
-    /// Lets the site be until some time; whether it was interrupted.
-    async fn go_on(&mut self, end: Duration) -> Result<bool, Failure> {
-        let mut begun = 0;
+impl SeedRun {
+    /// Runs until the time `end`. Returns `false`: the run was not interrupted.
+    async fn run_until(&mut self, end: Duration) -> Result<bool, RunError> {
+        let mut started_faults = 0;
         loop {
             let now = self.site.borrow().now();
             if now >= end {
                 return Ok(false);
             }
-            self.site.borrow_mut().pass();
-            self.machines_come_up()?;
-            while let Some(timed) = self.faults.get(begun).filter(|t| now >= t.from()) {
-                let timed = timed.clone();
-                self.begin(&timed, now);
-                begun += 1;
+            self.site.borrow_mut().advance();
+            self.start_workers()?;
+            while let Some(scheduled) = self.faults.get(started_faults).filter(|t| now >= t.start())
+            {
+                let scheduled = scheduled.clone();
+                self.start_fault(&scheduled, now);
+                started_faults += 1;
             }
-            self.pauses(now);
-            self.controllers.tick(now).map_err(Failure::Controllers)?;
-            workers::reports(&self.executor, &self.site, &self.addresses);
-            self.users.act(&self.executor, &self.site, &self.addresses);
-            Timer::after(TICK).await;
+            self.apply_pauses(now);
+            self.controllers.tick(now).map_err(RunError::Controllers)?;
+            workers::send_due_reports(&self.executor, &self.site, &self.addresses);
+            self.users
+                .send_due_requests(&self.executor, &self.site, &self.addresses);
+            Timer::after(TICK_INTERVAL).await;
         }
     }
 
-    fn machines_come_up(&self) -> Result<(), Failure> {
-        let names = self.site.borrow().without_worker();
+    fn start_workers(&self) -> Result<(), RunError> {
+        let names = self.site.borrow().machines_without_worker();
         for name in names {
             let (site, served): (_, Rc<str>) = (self.site.clone(), Rc::from(name.as_str()));
-            let answer = move |asked| workers::answer(site.clone(), Rc::clone(&served), asked);
-            let address = http::serve(&self.executor, own_address(), answer);
-            let address = address.map_err(Failure::Ports)?;
-            self.site.borrow_mut().begin_worker(&name, address);
+            let answer =
+                move |request| workers::handle_request(site.clone(), Rc::clone(&served), request);
+            let address = http::serve(&self.executor, loopback_address(), answer);
+            let address = address.map_err(RunError::Ports)?;
+            self.site.borrow_mut().start_worker(&name, address);
         }
         Ok(())
     }
 
-    /// Does what a fault does at its beginning; the others are looked for while they
-    /// last.
-    fn begin(&mut self, timed: &Timed, now: Duration) {
-        match &timed.fault {
+    /// Carries out faults that act once, at their start. All others are checked for while
+    /// they are active.
+    fn start_fault(&mut self, scheduled: &ScheduledFault, now: Duration) {
+        match &scheduled.fault {
             Fault::Kill {
                 controllers,
-                back_ms,
+                restart_after_ms,
             } => {
                 for node in controllers {
-                    let back = Duration::from_millis(*back_ms);
-                    self.controllers.kill(*node, now + back);
+                    let downtime = Duration::from_millis(*restart_after_ms);
+                    self.controllers.kill(*node, now + downtime);
                 }
             }
             Fault::Cancel { count } => self.users.cancel(*count, now),
@@ -196,23 +203,28 @@
         }
     }
 
-    fn pauses(&mut self, now: Duration) {
+    fn apply_pauses(&mut self, now: Duration) {
         for node in 0..self.addresses.public.len() {
-            let pauses = self.faults.iter().any(|t| {
-                matches!(t.fault, Fault::Pause { controller } if controller == node) && t.lasts(now)
+            let paused = self.faults.iter().any(|t| {
+                matches!(t.fault, Fault::Pause { controller } if controller == node)
+                    && t.is_active(now)
             });
-            self.controllers.pause(node, pauses);
+            self.controllers.set_paused(node, paused);
         }
     }
 
     fn record(self, options: &Options, seed: u64, interrupted: bool) -> Record {
         let (accepted, open) = self.users.counts();
         let site = self.site.borrow();
-        let broken = site.rules.violations.iter().map(|(at, rule, what)| Break {
-            at_ms: at.as_millis() as u64,
-            rule: format!("{rule:?}"),
-            what: what.clone(),
-        });
+        let violations = site
+            .rules
+            .violations
+            .iter()
+            .map(|(at, rule, what)| RuleViolation {
+                at_ms: at.as_millis() as u64,
+                rule: format!("{rule:?}"),
+                description: what.clone(),
+            });
         Record {
             seed,
             controllers: options.controllers,
@@ -225,9 +237,9 @@
             started: site.rules.started,
             done: site.rules.done.len(),
             lost: site.rules.lost,
-            broken: broken.collect(),
-            deaths: self.controllers.deaths.clone(),
-            violations: self.controllers.violations(),
+            rule_violations: violations.collect(),
+            unexpected_exits: self.controllers.unexpected_exits.clone(),
+            invariant_violations: self.controllers.invariant_violations(),
             interrupted,
             faults: self.faults.clone(),
         }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -1,4 +1,5 @@
-//! The world outside the controllers: one model for all stand-ins, in real time.
+//! The simulated environment of the controllers: one model of the state service, the cloud
+//! and all machines, in real time.
 
 use std::{
     cell::RefCell,
@@ -23,35 +24,37 @@
 use serde::Serialize;
 
 use crate::{
-    faults::{Fault, Timed},
-    http::Asked,
+    faults::{Fault, ScheduledFault},
+    http::HttpRequest,
 };
 
-/// The zones of the site.
+/// Zones of the site.
 pub const ZONES: [&str; 2] = ["east", "west"];
-/// What the state service takes.
-pub const VALUE_KB: usize = 16;
-pub const TXN_OPS: usize = 20;
-/// Machines are of types that have so many processors together, by six.
-pub const CPUS_OF_SIX: f64 = 48.0;
-/// How many changes the state service keeps: few, so that short cuts make controllers
-/// read all records again.
-const KEPT_CHANGES: std::ops::Range<usize> = 3..60;
-/// How often time passes for all machines, at least.
-const PASS_EVERY: Duration = Duration::from_millis(10);
-
-/// What the settings say of workers' leases and of cancellations.
+/// Maximum size of a value in the state service, in KiB.
+pub const MAX_VALUE_KB: usize = 16;
+/// Maximum number of operations in a transaction of the state service.
+pub const MAX_TXN_OPS: usize = 20;
+/// Processors of each six initial machines together: four `small` and two `large`.
+pub const CPUS_PER_SIX_MACHINES: f64 = 48.0;
+/// Number of changes that the state service retains. It is small, so that even short
+/// interruptions make controllers read all records again.
+const CHANGE_HISTORY_LENGTH: std::ops::Range<usize> = 3..60;
+/// Minimum time between two advances of the model.
+const MIN_ADVANCE_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Worker lease and cancellation settings of the controllers.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Timing {
-    /// A worker's lease, in seconds.
+    /// Duration of a worker's lease, in seconds.
     pub lease_s: f64,
-    /// The time until tasks of cancelled jobs are gone, in seconds.
+    /// Time within which the tasks of a cancelled job must have ended, in seconds.
     pub cancel_s: f64,
 }
 
 impl Timing {
-    /// Draws leases from 6 s to 20 s, and the rest so that a controller may act without
-    /// new contact for 2.5 s to two leases: on half of all seeds a lease can end before.
+    /// Draws a lease of 6 s to 20 s, and a cancellation time that lets a controller act
+    /// without new contact for 2.5 s to two lease durations: on about half of all seeds a
+    /// lease can expire within that time.
     pub fn draw(rng: &mut fastrand::Rng) -> Self {
         let lease_s = 6.0 + rng.f64() * 14.0;
         let contact_s = 2.5 + rng.f64() * (lease_s * 2.0 - 2.5);
@@ -70,43 +73,43 @@
     }
 }
 
-/// The site, shared by all that serve and ask.
+/// The site, shared by all simulated services, workers and users.
 pub type Shared = Rc<RefCell<Site>>;
 
 /// A machine that is up.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its worker.
+    /// The worker on the machine.
     pub worker: Worker,
-    /// Where the worker listens.
+    /// Address at which the worker listens.
     pub address: SocketAddrV4,
 }
 
-/// All that the controllers deal with.
+/// Simulated state service, cloud and machines, with the faults that affect them.
 pub struct Site {
     started: Instant,
-    /// Workers' leases and cancellations.
+    /// Worker lease and cancellation settings.
     pub timing: Timing,
-    /// Who took a block, by its term.
+    /// Index of the controller that acquired a block, by the term of the block.
     holders: BTreeMap<Term, usize>,
-    /// The state service.
+    /// Model of the state service.
     pub state: StateService,
-    /// The cloud.
+    /// Model of the cloud.
     pub cloud: Cloud,
     /// Machines that are up, by name.
     pub machines: BTreeMap<String, Machine>,
-    /// Watches the rules.
+    /// Checks the rules against what workers and users observe.
     pub rules: RuleChecker,
-    /// What goes wrong when.
-    pub faults: Vec<Timed>,
-    /// For what is drawn while it runs.
+    /// Faults and their times.
+    pub faults: Vec<ScheduledFault>,
+    /// Source of the random choices made during the run.
     pub rng: fastrand::Rng,
-    passed: Duration,
-    was_out: bool,
+    last_advance: Duration,
+    was_state_out: bool,
 }
 
 impl Site {
-    /// A site with some machines up.
+    /// Creates a site with some machines up.
     pub fn new(machines: u32, write_rps: f64, timing: Timing, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let zones = ZONES.map(String::from);
@@ -120,11 +123,11 @@
             cloud.add_running(Duration::ZERO, kind, ZONES[i % 2], i % 3 == 0);
         }
         let mut state = StateService::new(StateLimits {
-            txn_ops: TXN_OPS,
-            value_bytes: VALUE_KB * 1024,
+            txn_ops: MAX_TXN_OPS,
+            value_bytes: MAX_VALUE_KB * 1024,
             write_rps,
         });
-        state.retain_changes(rng.usize(KEPT_CHANGES));
+        state.retain_changes(rng.usize(CHANGE_HISTORY_LENGTH));
         Self {
             started: Instant::now(),
             state,
@@ -135,74 +138,76 @@
             rules: RuleChecker::new(limits.into(), timing.cancel()),
             faults: Vec::new(),
             rng,
-            passed: Duration::ZERO,
-            was_out: false,
+            last_advance: Duration::ZERO,
+            was_state_out: false,
         }
     }
 
-    /// Time since the beginning.
+    /// Time since the start of the seed.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The fault of a kind that lasts now, and until when.
-    pub fn lasting<T>(&self, kind: impl Fn(&Fault) -> Option<T>) -> Option<(T, Duration)> {
+    /// The first active fault for which `kind` returns a value: that value, and the end of the
+    /// fault.
+    pub fn active_fault<T>(&self, kind: impl Fn(&Fault) -> Option<T>) -> Option<(T, Duration)> {
         let now = self.now();
-        let mut lasting = self.faults.iter().filter(|t| t.lasts(now));
-        lasting.find_map(|t| Some((kind(&t.fault)?, t.until())))
+        let mut active_fault = self.faults.iter().filter(|t| t.is_active(now));
+        active_fault.find_map(|t| Some((kind(&t.fault)?, t.end())))
     }
 
-    /// Whether one in so many of something is meant, if such a fault lasts.
-    pub fn is_chosen(&mut self, one_in: impl Fn(&Fault) -> Option<u32>) -> bool {
-        let one_in = self.lasting(one_in);
+    /// Whether an active fault that affects one in N affects this case, drawn at random.
+    pub fn hits_one_in(&mut self, one_in: impl Fn(&Fault) -> Option<u32>) -> bool {
+        let one_in = self.active_fault(one_in);
         one_in.is_some_and(|(one_in, _)| self.rng.u32(0..one_in.max(1)) == 0)
     }
 
-    /// Whether the state service refuses everybody.
-    pub fn is_out(&self) -> bool {
+    /// Whether the state service refuses all controllers.
+    pub fn is_state_out(&self) -> bool {
         let outage = |f: &Fault| matches!(f, Fault::Outage).then_some(());
-        self.lasting(outage).is_some()
+        self.active_fault(outage).is_some()
     }
 
-    /// Until when a machine hangs.
-    pub fn hangs(&self, name: &str) -> Option<Duration> {
-        let until = self.lasting(|f| match f {
-            Fault::Hang { rest } if is_of(name, *rest) => Some(()),
+    /// If a machine hangs: when this ends.
+    pub fn hangs_until(&self, name: &str) -> Option<Duration> {
+        let until = self.active_fault(|f| match f {
+            Fault::Hang { group } if is_in_group(name, *group) => Some(()),
             _ => None,
         });
         until.map(|(_, until)| until)
     }
 
     /// Whether answers and orders to a machine are lost.
-    pub fn is_deaf(&self, name: &str) -> bool {
-        let deaf = self.lasting(|f| match f {
-            Fault::Deaf { rest } if is_of(name, *rest) => Some(()),
+    pub fn loses_answers(&self, name: &str) -> bool {
+        let lost = self.active_fault(|f| match f {
+            Fault::AnswersLost { group } if is_in_group(name, *group) => Some(()),
             _ => None,
         });
-        deaf.is_some()
+        lost.is_some()
     }
 
-    /// Whether a controller and a machine do not hear each other.
-    pub fn is_cut(&self, controller: usize, name: &str) -> bool {
-        let cut = self.lasting(|f| match f {
-            Fault::CutPair {
+    /// Whether messages between a controller and a machine are lost.
+    pub fn is_partitioned(&self, controller: usize, name: &str) -> bool {
+        let partition = self.active_fault(|f| match f {
+            Fault::Partition {
                 controller: of,
-                rest,
-            } if *of == controller && is_of(name, *rest) => Some(()),
+                group,
+            } if *of == controller && is_in_group(name, *group) => Some(()),
             _ => None,
         });
-        cut.is_some()
+        partition.is_some()
     }
 
-    /// Whether the holder of a block under some term is cut from a machine. A term is
-    /// that of one holder.
-    pub fn is_holder_cut(&self, term: Term, name: &str) -> bool {
+    /// Whether the controller that acquired a block under a term is partitioned from a
+    /// machine. A term belongs to exactly one holder.
+    pub fn is_holder_partitioned(&self, term: Term, name: &str) -> bool {
         let holder = self.holders.get(&term);
-        holder.is_some_and(|holder| self.is_cut(*holder, name))
+        holder.is_some_and(|holder| self.is_partitioned(*holder, name))
     }
 
-    /// Takes in what a transaction that was carried out has written of blocks.
-    pub fn note_holders(&mut self, txn: Txn, answer: &TxnAnswer) {
+    /// Records the holders of the blocks that an executed transaction has written. The
+    /// revision of the transaction is their term.
+    pub fn record_holders(&mut self, txn: Txn, answer: &TxnAnswer) {
         for change in txn.changes {
             let Change::Put { key, value, .. } = change else {
                 continue;
@@ -218,32 +223,36 @@
         }
     }
 
-    /// Whether a machine reaches no controller.
-    pub fn is_mute(&self, name: &str) -> bool {
-        let mute = self.lasting(|f| match f {
-            Fault::Mute { rest } if is_of(name, *rest) => Some(()),
+    /// Whether the reports of a machine reach no controller.
+    pub fn loses_reports(&self, name: &str) -> bool {
+        let lost = self.active_fault(|f| match f {
+            Fault::ReportsLost { group } if is_in_group(name, *group) => Some(()),
             _ => None,
         });
-        mute.is_some()
+        lost.is_some()
     }
 
-    /// Lets time pass for the leases and all machines. Called before anything else
-    /// happens: if this process is late, leases that are over have to end before what
-    /// comes after their end.
-    pub fn pass(&mut self) {
+    /// Advances leases and all machines to the current time. Called before anything else
+    /// happens: if this process runs late, expired leases have to end before later events.
+    /// Leases of the state service don't run during an outage, and are refreshed after it.
+    pub fn advance(&mut self) {
         let now = self.now();
-        if now < self.passed + PASS_EVERY {
+        if now < self.last_advance + MIN_ADVANCE_INTERVAL {
             return;
         }
-        self.passed = now;
-        let is_out = self.is_out();
-        if std::mem::replace(&mut self.was_out, is_out) && !is_out {
+        self.last_advance = now;
+        let is_state_out = self.is_state_out();
+        if std::mem::replace(&mut self.was_state_out, is_state_out) && !is_state_out {
             self.state.refresh_leases(now);
         }
-        if !is_out {
+        if !is_state_out {
             self.state.expire_leases(now);
         }
-        let hanging: Vec<_> = self.machines.keys().map(|name| self.hangs(name)).collect();
+        let hanging: Vec<_> = self
+            .machines
+            .keys()
+            .map(|name| self.hangs_until(name))
+            .collect();
         for (machine, hangs) in self.machines.values_mut().zip(hanging) {
             match hangs {
                 Some(_) => machine.worker.check_lease_while_hung(now, &mut self.rules),
@@ -253,8 +262,8 @@
         self.rules.check_cancelled_jobs(now);
     }
 
-    /// The names of machines that are up and have no worker yet.
-    pub fn without_worker(&self) -> Vec<String> {
+    /// Names of machines that are up but have no worker yet.
+    pub fn machines_without_worker(&self) -> Vec<String> {
         let now = self.now();
         let cloud = self.cloud.machines.iter();
         let up = cloud.filter(|(name, m)| {
@@ -264,8 +273,8 @@
         up.map(|(name, _)| name.clone()).collect()
     }
 
-    /// A machine's worker begins, and listens at an address.
-    pub fn begin_worker(&mut self, name: &str, address: SocketAddrV4) {
+    /// Starts the worker of a machine, which listens at `address`.
+    pub fn start_worker(&mut self, name: &str, address: SocketAddrV4) {
         let now = self.now();
         let Some(rented) = self.cloud.machines.get(name).cloned() else {
             return;
@@ -283,15 +292,15 @@
         self.machines.insert(name.to_owned(), machine);
     }
 
-    /// A machine is gone with all that is on it.
-    pub fn remove(&mut self, name: &str) {
+    /// Removes a machine with all tasks on it.
+    pub fn remove_machine(&mut self, name: &str) {
         if let Some(mut machine) = self.machines.remove(name) {
             machine.worker.drop_tasks(&mut self.rules);
         }
     }
 
-    /// A worker's next message.
-    pub fn report(&mut self, name: &str) -> Option<Report> {
+    /// Builds the next report of a machine's worker.
+    pub fn next_report(&mut self, name: &str) -> Option<Report> {
         let now = self.now();
         let machine = self.machines.get_mut(name)?;
         let mut report = machine.worker.report(now);
@@ -300,36 +309,36 @@
     }
 }
 
-/// Whether a machine is one of those that a fault befalls.
-fn is_of(name: &str, rest: u32) -> bool {
-    number_of(name) % 4 == rest
+/// Whether a machine is in the group that a fault affects.
+fn is_in_group(name: &str, group: u32) -> bool {
+    machine_number(name) % 4 == group
 }
 
-fn number_of(name: &str) -> u32 {
+fn machine_number(name: &str) -> u32 {
     name.trim_start_matches("vm-").parse().unwrap_or(0)
 }
 
-/// What the stand-ins of the simulated world take.
-pub fn call(to: Target, asked: Asked) -> Call {
+/// Converts a request to the type that the models of the test kit take.
+pub fn to_call(to: Target, request: HttpRequest) -> Call {
     Call {
         id: 0,
         to,
-        method: asked.method,
-        path: asked.path,
-        body: asked.body,
+        method: request.method,
+        path: request.path,
+        body: request.body,
         timeout: Duration::ZERO,
     }
 }
 
-/// Waits until some time since the beginning.
-pub async fn until(site: &Shared, at: Duration) {
+/// Waits until a time since the start of the seed.
+pub async fn wait_until(site: &Shared, at: Duration) {
     let left = at.saturating_sub(site.borrow().now());
     Timer::after(left).await;
 }
 
-/// A request to the controllers.
-pub fn request(method: Method, path: &str, body: Vec<u8>) -> Asked {
-    Asked {
+/// Builds a request to a controller.
+pub fn controller_request(method: Method, path: &str, body: Vec<u8>) -> HttpRequest {
+    HttpRequest {
         method,
         path: path.to_owned(),
         body,
--- a/crates/soak/src/state.rs
+++ b/crates/soak/src/state.rs
@@ -1,4 +1,4 @@
-//! The state service, at an address of its own for each controller.
+//! The simulated state service, which has a separate address for each controller.
 
 use std::time::Duration;
 
@@ -12,109 +12,114 @@
 
 use crate::{
     faults::Fault,
-    http::{Asked, Told},
-    site::{Shared, call, until},
+    http::{HttpRequest, HttpResponse},
+    site::{Shared, to_call, wait_until},
 };
 
-/// How often a watch looks for news.
-const LOOK_EVERY: Duration = Duration::from_millis(8);
-/// When a transaction that gets no answer is carried out, in milliseconds.
-const LATE_WRITE_MS: std::ops::Range<u64> = 2000..12_000;
+/// Interval at which a watch checks for changes.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(8);
+/// Delay of a transaction that `Fault::LateWrites` affects, in milliseconds.
+const LATE_WRITE_DELAY_MS: std::ops::Range<u64> = 2000..12_000;
 
-/// Answers a controller; none: it gets no answer.
-pub async fn answer(site: Shared, controller: usize, asked: Asked) -> Option<Told> {
-    let is_write = asked.method == Method::Post && asked.path == "/multi";
-    let held = site.borrow().lasting(|f| match f {
+/// Handles a request of a controller. `None` closes the connection without an answer.
+pub async fn handle_request(
+    site: Shared,
+    controller: usize,
+    request: HttpRequest,
+) -> Option<HttpResponse> {
+    let is_write = request.method == Method::Post && request.path == "/multi";
+    let held = site.borrow().active_fault(|f| match f {
         Fault::HoldState { controller: held } if *held == controller => Some(()),
         _ => None,
     });
-    if let Some((_, over)) = held {
-        until(&site, over).await;
+    if let Some((_, ends_at)) = held {
+        wait_until(&site, ends_at).await;
     }
     let late = is_write
-        && site.borrow_mut().is_chosen(|f| match f {
+        && site.borrow_mut().hits_one_in(|f| match f {
             Fault::LateWrites { one_in } => Some(*one_in),
             _ => None,
         });
     if late {
-        let lag = site.borrow_mut().rng.u64(LATE_WRITE_MS);
-        Timer::after(Duration::from_millis(lag)).await;
+        let delay_ms = site.borrow_mut().rng.u64(LATE_WRITE_DELAY_MS);
+        Timer::after(Duration::from_millis(delay_ms)).await;
     } else {
-        lag(&site).await;
+        delay_if_slow(&site).await;
     }
-    let told = execute(&site, controller, asked).await;
-    let lost = site.borrow_mut().is_chosen(|f| match f {
-        Fault::LoseAnswers { one_in } => Some(*one_in),
+    let response = execute(&site, controller, request).await;
+    let lost = site.borrow_mut().hits_one_in(|f| match f {
+        Fault::StateAnswersLost { one_in } => Some(*one_in),
         _ => None,
     });
     if late || held.is_some() || lost {
         return None;
     }
-    lag(&site).await;
-    Some(told)
+    delay_if_slow(&site).await;
+    Some(response)
 }
 
-/// A slow state service takes half of its time before and half after it acts.
-async fn lag(site: &Shared) {
-    let slow = site.borrow().lasting(|f| match f {
-        Fault::SlowState { most_ms } => Some(*most_ms),
+/// Sleeps while `Fault::SlowState` is active, for up to half of its maximum delay. Called
+/// before and after a request is executed.
+async fn delay_if_slow(site: &Shared) {
+    let slow = site.borrow().active_fault(|f| match f {
+        Fault::SlowState { max_delay_ms } => Some(*max_delay_ms),
         _ => None,
     });
-    if let Some((most_ms, _)) = slow {
-        let lag = site.borrow_mut().rng.u64(0..=most_ms / 2);
-        Timer::after(Duration::from_millis(lag)).await;
+    if let Some((max_delay_ms, _)) = slow {
+        let delay_ms = site.borrow_mut().rng.u64(0..=max_delay_ms / 2);
+        Timer::after(Duration::from_millis(delay_ms)).await;
     }
 }
 
-fn refuses(site: &Shared, controller: usize) -> bool {
+fn is_refused(site: &Shared, controller: usize) -> bool {
     let site = site.borrow();
-    let refused = site.lasting(|f| match f {
+    let refused = site.active_fault(|f| match f {
         Fault::RefuseState { controller: c } if *c == controller => Some(()),
         _ => None,
     });
-    refused.is_some() || site.is_out()
+    refused.is_some() || site.is_state_out()
 }
 
-async fn execute(site: &Shared, controller: usize, asked: Asked) -> Told {
-    if refuses(site, controller) {
-        return Told {
+async fn execute(site: &Shared, controller: usize, request: HttpRequest) -> HttpResponse {
+    if is_refused(site, controller) {
+        return HttpResponse {
             status: 503,
             body: Vec::new(),
         };
     }
     let done = {
         let mut site = site.borrow_mut();
-        site.pass();
+        site.advance();
         let now = site.now();
-        let txn = decode::<Txn>(&asked.body);
-        let done = site.state.execute(now, &call(Target::State, asked));
+        let txn = decode::<Txn>(&request.body);
+        let done = site.state.execute(now, &to_call(Target::State, request));
         if let (Ok(txn), StateResponse::Answer(200, body)) = (txn, &done)
             && let Ok(answer) = decode::<TxnAnswer>(body)
         {
-            site.note_holders(txn, &answer);
+            site.record_holders(txn, &answer);
         }
         done
     };
     match done {
-        StateResponse::Answer(status, body) => Told { status, body },
+        StateResponse::Answer(status, body) => HttpResponse { status, body },
         StateResponse::Wait { after, block } => {
             let (status, body) = watch(site, controller, after, block).await;
-            Told { status, body }
+            HttpResponse { status, body }
         }
     }
 }
 
-/// Waits for news or until the time is up. While a controller is refused its watches
-/// wait, whatever changes.
+/// Waits for changes after a revision, for at most `block`. While the controller is refused,
+/// its watches keep waiting even if there are changes or the time is up.
 async fn watch(site: &Shared, controller: usize, after: u64, block: Duration) -> (u16, Vec<u8>) {
-    let over = site.borrow().now() + block;
+    let ends_at = site.borrow().now() + block;
     loop {
-        Timer::after(LOOK_EVERY).await;
-        let refused = refuses(site, controller);
+        Timer::after(WATCH_POLL_INTERVAL).await;
+        let refused = is_refused(site, controller);
         let mut site = site.borrow_mut();
-        site.pass();
-        let is_news = site.state.revision() > after && !refused;
-        if is_news || (site.now() >= over && !refused) {
+        site.advance();
+        let has_changes = site.state.revision() > after && !refused;
+        if has_changes || (site.now() >= ends_at && !refused) {
             return site.state.changes(after);
         }
     }
--- a/crates/soak/src/users.rs
+++ b/crates/soak/src/users.rs
@@ -1,4 +1,4 @@
-//! Users: they submit jobs, ask how they stand and call some off.
+//! Simulated users, who submit jobs, poll their status and cancel some of them.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -11,188 +11,190 @@
 
 use crate::{
     controllers::Addresses,
-    http::{Asked, Told, ask},
-    site::{Shared, ZONES, request},
+    http::{HttpRequest, HttpResponse, send_with_timeout},
+    site::{Shared, ZONES, controller_request},
 };
 
-/// For how long a user waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// How long a user waits before the next question, after an answer and without one.
-const NEXT: Duration = Duration::from_secs(3);
-const AGAIN: Duration = Duration::from_secs(1);
-/// One question in so many is about a job that nobody submitted.
-const UNKNOWN_ONE_IN: u32 = 40;
+/// Timeout of a user's request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time until a user's next request, after its job's status was received.
+const POLL_INTERVAL: Duration = Duration::from_secs(3);
+/// Time until a user's next request, after a failed one or one without a status.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// One request in this many polls a job that was never submitted; as often, an accepted job
+/// is submitted again.
+const RARE_REQUEST_ONE_IN: u32 = 40;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Question {
+enum RequestKind {
     Submit,
     Poll,
-    Abort,
-    /// About a job that nobody submitted.
-    Unknown,
+    Cancel,
+    /// Polls a job that was never submitted.
+    PollUnknown,
 }
 
-/// A user and its job.
+/// A user and their job.
 #[derive(Debug)]
 struct User {
     spec: JobSpec,
-    next: Duration,
-    abort_at: Option<Duration>,
+    next_request_at: Duration,
+    cancel_at: Option<Duration>,
     accepted: bool,
     ended: bool,
     refused: bool,
-    waits: bool,
+    awaits_response: bool,
 }
 
-/// All users.
+/// All simulated users.
 #[derive(Debug, Default)]
 pub struct Users {
-    all: RefCell<Vec<User>>,
+    users: RefCell<Vec<User>>,
 }
 
 impl Users {
-    /// Users who submit a job each until `end`.
+    /// Draws users who each submit one job, at a random time before `end`.
     pub fn draw(rng: &mut fastrand::Rng, jobs: usize, end: Duration) -> Self {
         let users = (0..jobs).map(|number| draw_user(rng, number, end));
         Self {
-            all: RefCell::new(users.collect()),
+            users: RefCell::new(users.collect()),
         }
     }
 
-    /// So many users call their jobs off, now.
+    /// Has up to `count` users with open jobs cancel them now.
     pub fn cancel(&self, count: usize, now: Duration) {
-        let mut all = self.all.borrow_mut();
-        let open = all.iter_mut().filter(|u| u.accepted && !u.ended);
+        let mut users = self.users.borrow_mut();
+        let open = users.iter_mut().filter(|u| u.accepted && !u.ended);
         for user in open.take(count) {
-            user.abort_at = Some(now);
-            user.next = now;
+            user.cancel_at = Some(now);
+            user.next_request_at = now;
         }
     }
 
-    /// Jobs that were accepted, and those of them whose end nobody has told yet.
+    /// The number of accepted jobs, and of those that were not reported as ended yet.
     pub fn counts(&self) -> (usize, usize) {
-        let all = self.all.borrow();
-        let accepted = all.iter().filter(|u| u.accepted);
+        let users = self.users.borrow();
+        let accepted = users.iter().filter(|u| u.accepted);
         let open = accepted.clone().filter(|u| !u.ended);
         (accepted.count(), open.count())
     }
 
-    /// Asks what is due.
-    pub fn act(
+    /// Sends the requests that are due.
+    pub fn send_due_requests(
         self: &Rc<Self>,
         executor: &Rc<LocalExecutor<'static>>,
         site: &Shared,
         addresses: &Rc<Addresses>,
     ) {
         let now = site.borrow().now();
-        let mut all = self.all.borrow_mut();
-        for (index, user) in all.iter_mut().enumerate() {
-            if user.waits || user.refused || now < user.next {
+        let mut users = self.users.borrow_mut();
+        for (index, user) in users.iter_mut().enumerate() {
+            if user.awaits_response || user.refused || now < user.next_request_at {
                 continue;
             }
-            user.waits = true;
-            let question = next_question(user, now, &mut site.borrow_mut().rng);
-            let asks = self
+            user.awaits_response = true;
+            let kind = next_request_kind(user, now, &mut site.borrow_mut().rng);
+            let task = self
                 .clone()
-                .asks(site.clone(), index, question, addresses.clone());
-            executor.spawn(asks).detach();
+                .send_request(site.clone(), index, kind, addresses.clone());
+            executor.spawn(task).detach();
         }
     }
 
-    async fn asks(
+    async fn send_request(
         self: Rc<Self>,
         site: Shared,
         index: usize,
-        question: Question,
+        kind: RequestKind,
         addresses: Rc<Addresses>,
     ) {
-        let spec = self.all.borrow()[index].spec.clone();
-        let (job, asked) = prepare(&site, spec, question);
+        let spec = self.users.borrow()[index].spec.clone();
+        let (job, request) = prepare(&site, spec, kind);
         let sent = site.borrow().now();
         let to = site.borrow_mut().rng.usize(0..addresses.public.len());
-        let told = ask(addresses.public[to], asked, PATIENCE).await;
-        site.borrow_mut().pass();
-        self.answered(&site, index, question, &job, sent, told);
+        let response = send_with_timeout(addresses.public[to], request, REQUEST_TIMEOUT).await;
+        site.borrow_mut().advance();
+        self.handle_response(&site, index, kind, &job, sent, response);
     }
 
-    fn answered(
+    fn handle_response(
         &self,
         site: &Shared,
         index: usize,
-        question: Question,
+        kind: RequestKind,
         job: &JobId,
         sent: Duration,
-        told: Option<Told>,
+        response: Option<HttpResponse>,
     ) {
         let mut site = site.borrow_mut();
         let now = site.now();
-        let user = &mut self.all.borrow_mut()[index];
-        user.waits = false;
-        user.next = now + AGAIN;
-        let Some(Told { status, body }) = told else {
+        let user = &mut self.users.borrow_mut()[index];
+        user.awaits_response = false;
+        user.next_request_at = now + RETRY_DELAY;
+        let Some(HttpResponse { status, body }) = response else {
             return;
         };
         match (status, decode::<JobStatus>(&body)) {
             (200 | 201, Ok(status)) => {
                 site.rules.phase_reported(now, sent, job, status.phase);
-                if question == Question::Unknown {
+                if kind == RequestKind::PollUnknown {
                     return;
                 }
-                user.next = now + NEXT;
+                user.next_request_at = now + POLL_INTERVAL;
                 user.accepted = true;
                 user.ended |= matches!(status.phase, JobPhase::Done | JobPhase::Cancelled);
             }
-            (404, _) if question == Question::Unknown => {}
+            (404, _) if kind == RequestKind::PollUnknown => {}
             (400 | 404 | 422, _) => {
                 site.rules.job_denied(now, sent, job);
-                user.refused |= question == Question::Submit && !user.accepted;
+                user.refused |= kind == RequestKind::Submit && !user.accepted;
             }
             _ => {}
         }
     }
 }
 
-fn next_question(user: &User, now: Duration, rng: &mut fastrand::Rng) -> Question {
-    if rng.u32(0..UNKNOWN_ONE_IN) == 0 {
-        Question::Unknown
-    } else if !user.accepted || rng.u32(0..UNKNOWN_ONE_IN) == 0 {
-        Question::Submit
-    } else if !user.ended && user.abort_at.is_some_and(|at| now >= at) {
-        Question::Abort
+fn next_request_kind(user: &User, now: Duration, rng: &mut fastrand::Rng) -> RequestKind {
+    if rng.u32(0..RARE_REQUEST_ONE_IN) == 0 {
+        RequestKind::PollUnknown
+    } else if !user.accepted || rng.u32(0..RARE_REQUEST_ONE_IN) == 0 {
+        RequestKind::Submit
+    } else if !user.ended && user.cancel_at.is_some_and(|at| now >= at) {
+        RequestKind::Cancel
     } else {
-        Question::Poll
+        RequestKind::Poll
     }
 }
 
-/// The request, and the job that it is about. What a user wants is noted before it is
-/// sent.
-fn prepare(site: &Shared, spec: JobSpec, question: Question) -> (JobId, Asked) {
+/// Builds a request, and returns the job that it is about. Submissions and cancellations
+/// are registered with the rules before they are sent.
+fn prepare(site: &Shared, spec: JobSpec, kind: RequestKind) -> (JobId, HttpRequest) {
     let mut site = site.borrow_mut();
     let job = spec.id.clone();
-    match question {
-        Question::Submit => {
+    match kind {
+        RequestKind::Submit => {
             let body = encode(&spec);
             site.rules.jobs.insert(job.clone(), spec);
-            (job, request(Method::Post, "/work", body))
+            (job, controller_request(Method::Post, "/work", body))
         }
-        Question::Poll => {
+        RequestKind::Poll => {
             let path = format!("/work/{job}");
-            (job, request(Method::Get, &path, Vec::new()))
+            (job, controller_request(Method::Get, &path, Vec::new()))
         }
-        Question::Abort => {
+        RequestKind::Cancel => {
             site.rules.cancel_requested(&job);
             let path = format!("/work/{job}/abort");
-            (job, request(Method::Post, &path, Vec::new()))
+            (job, controller_request(Method::Post, &path, Vec::new()))
         }
-        Question::Unknown => {
+        RequestKind::PollUnknown => {
             let job = unknown_job(site.rng.u32(..));
             let path = format!("/work/{job}");
-            (job, request(Method::Get, &path, Vec::new()))
+            (job, controller_request(Method::Get, &path, Vec::new()))
         }
     }
 }
 
-/// A job that nobody submits.
+/// Id of a job that is never submitted.
 fn unknown_job(number: u32) -> JobId {
     job_id(&format!("j-99{number}"))
 }
@@ -206,7 +208,7 @@
     let cpus = [1.0, 2.0, 4.0][rng.usize(0..3)];
     let saves = rng.bool();
     let at = end.mul_f64(rng.f64());
-    let calls_off = is_service || rng.u32(0..5) == 0;
+    let cancels = is_service || rng.u32(0..5) == 0;
     let spec = JobSpec {
         id: job_id(&format!("j-{number:06}")),
         class: "some".into(),
@@ -249,11 +251,11 @@
     };
     User {
         spec,
-        next: at,
-        abort_at: calls_off.then(|| at + Duration::from_secs(rng.u64(5..60))),
+        next_request_at: at,
+        cancel_at: cancels.then(|| at + Duration::from_secs(rng.u64(5..60))),
         accepted: false,
         ended: false,
         refused: false,
-        waits: false,
+        awaits_response: false,
     }
 }
--- a/crates/soak/src/workers.rs
+++ b/crates/soak/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: their reports, and the orders that they get.
+//! Simulated workers: their reports, and the orders they receive.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,56 +13,61 @@
 use crate::{
     controllers::Addresses,
     faults::Fault,
-    http::{Asked, Told, ask},
-    site::{Shared, request, until},
+    http::{HttpRequest, HttpResponse, send_with_timeout},
+    site::{Shared, controller_request, wait_until},
 };
 
-/// Time between two reports, give or take a quarter.
-const REPORT_EVERY: Duration = Duration::from_secs(2);
-/// For how long a worker waits for the answer.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// How long it waits before it tries the next controller.
-const TRY_NEXT: Duration = Duration::from_secs(1);
-/// When held messages arrive, in milliseconds.
-const LATE_MS: std::ops::Range<u64> = 2000..16_000;
+/// Mean time between two reports; each interval varies by up to a quarter.
+const REPORT_INTERVAL: Duration = Duration::from_secs(2);
+/// Timeout of a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay before a worker reports to the next controller after a failed report.
+const RETARGET_DELAY: Duration = Duration::from_secs(1);
+/// Delay of late orders and of copied reports, in milliseconds.
+const LATE_DELAY_MS: std::ops::Range<u64> = 2000..16_000;
 
-/// Answers direct orders, or says what the worker would report.
-pub async fn answer(site: Shared, name: Rc<str>, asked: Asked) -> Option<Told> {
-    let hangs = site.borrow().hangs(&name);
-    if let Some(over) = hangs {
-        until(&site, over).await;
+/// Handles a request to a worker: direct orders, or `/inspect`, which is answered with the
+/// worker's next report. `None` closes the connection without an answer.
+pub async fn handle_request(
+    site: Shared,
+    name: Rc<str>,
+    request: HttpRequest,
+) -> Option<HttpResponse> {
+    let hangs = site.borrow().hangs_until(&name);
+    if let Some(hang_end) = hangs {
+        wait_until(&site, hang_end).await;
     }
-    if site.borrow().is_deaf(&name) {
+    if site.borrow().loses_answers(&name) {
         return None;
     }
-    let orders = decode::<DirectOrders>(&asked.body);
-    if orders.is_ok_and(|o| site.borrow().is_holder_cut(o.token, &name)) {
+    let orders = decode::<DirectOrders>(&request.body);
+    if orders.is_ok_and(|o| site.borrow().is_holder_partitioned(o.token, &name)) {
         return None;
     }
-    if asked.path == "/inspect" {
-        let report = site.borrow_mut().report(&name)?;
-        return Some(Told {
+    if request.path == "/inspect" {
+        let report = site.borrow_mut().next_report(&name)?;
+        return Some(HttpResponse {
             status: 200,
             body: encode(&report),
         });
     }
-    let late = site.borrow_mut().is_chosen(|f| match f {
+    let late = site.borrow_mut().hits_one_in(|f| match f {
         Fault::LateOrders { one_in } => Some(*one_in),
         _ => None,
     });
     if late {
-        let lag = site.borrow_mut().rng.u64(LATE_MS);
-        Timer::after(Duration::from_millis(lag)).await;
+        let delay_ms = site.borrow_mut().rng.u64(LATE_DELAY_MS);
+        Timer::after(Duration::from_millis(delay_ms)).await;
     }
-    let told = execute(&site, &name, &asked.body);
-    told.filter(|_| !late)
+    let response = execute(&site, &name, &request.body);
+    response.filter(|_| !late)
 }
 
-fn execute(site: &Shared, name: &str, body: &[u8]) -> Option<Told> {
+fn execute(site: &Shared, name: &str, body: &[u8]) -> Option<HttpResponse> {
     let mut site = site.borrow_mut();
-    site.pass();
+    site.advance();
     let Ok(orders) = decode::<DirectOrders>(body) else {
-        return Some(Told {
+        return Some(HttpResponse {
             status: 400,
             body: Vec::new(),
         });
@@ -73,18 +78,24 @@
     let status = machine
         .worker
         .handle_direct_orders(now, orders, &mut site.rules);
-    let body = encode(&site.report(name)?);
-    Some(Told { status, body })
+    let body = encode(&site.next_report(name)?);
+    Some(HttpResponse { status, body })
 }
 
 /// Sends the reports that are due.
-pub fn reports(executor: &Rc<LocalExecutor<'static>>, site: &Shared, addresses: &Rc<Addresses>) {
+pub fn send_due_reports(
+    executor: &Rc<LocalExecutor<'static>>,
+    site: &Shared,
+    addresses: &Rc<Addresses>,
+) {
     let now = site.borrow().now();
     let due: Vec<String> = {
         let site = site.borrow();
         let machines = site.machines.iter().filter(|(name, machine)| {
             let worker = &machine.worker;
-            worker.in_flight.is_none() && now >= worker.report_at && site.hangs(name).is_none()
+            worker.in_flight.is_none()
+                && now >= worker.report_at
+                && site.hangs_until(name).is_none()
         });
         machines.map(|(name, _)| name.clone()).collect()
     };
@@ -100,63 +111,65 @@
     addresses: Rc<Addresses>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
-    let Some((target, session, sent, asked)) = begin_report(&site, &name) else {
+    let Some((target, session, sent, request)) = begin_report(&site, &name) else {
         return;
     };
-    let copied = site.borrow_mut().is_chosen(|f| match f {
+    let copied = site.borrow_mut().hits_one_in(|f| match f {
         Fault::LateReports { one_in } => Some(*one_in),
         _ => None,
     });
     if copied {
-        let (lag, to) = {
+        let (delay_ms, to) = {
             let rng = &mut site.borrow_mut().rng;
-            (rng.u64(LATE_MS), rng.usize(0..addresses.public.len()))
+            (rng.u64(LATE_DELAY_MS), rng.usize(0..addresses.public.len()))
         };
-        let (address, copy) = (addresses.public[to], asked.clone());
-        let again = async move {
-            Timer::after(Duration::from_millis(lag)).await;
-            ask(address, copy, PATIENCE).await;
+        let (address, copy) = (addresses.public[to], request.clone());
+        let late_copy = async move {
+            Timer::after(Duration::from_millis(delay_ms)).await;
+            send_with_timeout(address, copy, REPORT_TIMEOUT).await;
         };
-        executor.spawn(again).detach();
+        executor.spawn(late_copy).detach();
     }
-    let is_lost = site.borrow().is_mute(&name) || site.borrow().is_cut(target, &name);
-    let told = match is_lost {
+    let is_lost = site.borrow().loses_reports(&name) || site.borrow().is_partitioned(target, &name);
+    let response = match is_lost {
         true => None,
-        false => ask(addresses.public[target], asked, PATIENCE).await,
+        false => send_with_timeout(addresses.public[target], request, REPORT_TIMEOUT).await,
     };
-    let hangs = site.borrow().hangs(&name);
-    if let Some(over) = hangs {
-        until(&site, over).await;
+    let hangs = site.borrow().hangs_until(&name);
+    if let Some(hang_end) = hangs {
+        wait_until(&site, hang_end).await;
     }
-    let lost_now = site.borrow().is_deaf(&name) || site.borrow().is_cut(target, &name);
-    let told = told.filter(|_| !lost_now);
-    end_report(&site, &name, session, sent, told, &addresses);
+    let lost_now =
+        site.borrow().loses_answers(&name) || site.borrow().is_partitioned(target, &name);
+    let response = response.filter(|_| !lost_now);
+    handle_report_response(&site, &name, session, sent, response, &addresses);
 }
 
-/// Which controller a report goes to, its session, when it was sent, and the request.
-fn begin_report(site: &Shared, name: &str) -> Option<(usize, u64, Duration, Asked)> {
+/// Builds a report. Returns the index of the controller that it goes to, the worker's session,
+/// the time of sending, and the request.
+fn begin_report(site: &Shared, name: &str) -> Option<(usize, u64, Duration, HttpRequest)> {
     let mut site = site.borrow_mut();
-    site.pass();
+    site.advance();
     let now = site.now();
-    let body = encode(&site.report(name)?);
-    let next = REPORT_EVERY.mul_f64(0.75 + 0.5 * site.rng.f64());
+    let body = encode(&site.next_report(name)?);
+    let next = REPORT_INTERVAL.mul_f64(0.75 + 0.5 * site.rng.f64());
     let worker = &mut site.machines.get_mut(name)?.worker;
     worker.report_at = now + next;
     worker.in_flight = Some((0, now));
-    let asked = request(Method::Post, "/checkin", body);
-    Some((worker.target, worker.session(), now, asked))
+    let request = controller_request(Method::Post, "/checkin", body);
+    Some((worker.target, worker.session(), now, request))
 }
 
-fn end_report(
+fn handle_report_response(
     site: &Shared,
     name: &str,
     session: u64,
     sent: Duration,
-    told: Option<Told>,
+    response: Option<HttpResponse>,
     addresses: &Addresses,
 ) {
     let mut site = site.borrow_mut();
-    site.pass();
+    site.advance();
     let now = site.now();
     let soon = Duration::from_millis(site.rng.u64(0..500));
     let site = &mut *site;
@@ -165,31 +178,35 @@
     };
     let worker = &mut machine.worker;
     worker.in_flight = None;
-    let told = told.filter(|_| now <= sent + PATIENCE);
-    match told {
-        Some(Told { status: 200, body }) => {
+    let response = response.filter(|_| now <= sent + REPORT_TIMEOUT);
+    match response {
+        Some(HttpResponse { status: 200, body }) => {
             if worker.session() == session
                 && let Ok(answer) = decode::<ReportAnswer>(&body)
             {
                 worker.handle_report_answer(now, sent, answer, &mut site.rules);
             }
         }
-        Some(Told { status: 421, body }) => {
-            let named = decode::<Redirect>(&body).ok().and_then(|r| r.report_to);
-            let named = named.and_then(|node| addresses.number_of(&node));
-            match named.filter(|n| *n != worker.target) {
+        Some(HttpResponse { status: 421, body }) => {
+            let target = decode::<Redirect>(&body).ok().and_then(|r| r.report_to);
+            let target = target.and_then(|node| addresses.controller_index(&node));
+            match target.filter(|n| *n != worker.target) {
                 Some(target) => {
                     worker.target = target;
                     worker.report_at = now + soon;
                 }
-                None => try_next(worker, now, addresses),
+                None => target_next_controller(worker, now, addresses),
             }
         }
-        _ => try_next(worker, now, addresses),
+        _ => target_next_controller(worker, now, addresses),
     }
 }
 
-fn try_next(worker: &mut oliveshift_testkit::worker::Worker, now: Duration, addresses: &Addresses) {
+fn target_next_controller(
+    worker: &mut oliveshift_testkit::worker::Worker,
+    now: Duration,
+    addresses: &Addresses,
+) {
     worker.target = (worker.target + 1) % addresses.public.len();
-    worker.report_at = now + TRY_NEXT;
+    worker.report_at = now + RETARGET_DELAY;
 }
