--- a/crates/testkit/src/world/setup.rs
+++ b/crates/testkit/src/world/setup.rs
@@ -7,7 +7,7 @@
     settings::Settings,
 };
 
-use super::{NODES, S, User, ZONES};
+use super::{CONTROLLER_COUNT, S, User, ZONES};
 use crate::state::Limits;
 
 /// Jobs of a class that come besides the drawn ones.
@@ -138,7 +138,10 @@
             i + 1
         )
     };
-    let peers: Vec<_> = (0..NODES).filter(|i| *i != node).map(peer).collect();
+    let peers: Vec<_> = (0..CONTROLLER_COUNT)
+        .filter(|i| *i != node)
+        .map(peer)
+        .collect();
     let next = match size.limits() {
         [_, then] if size.pipelines > 0 => format!(
             r#","next":{{"write_rps":{},"value_kb":2.0,"txn_ops":{}}}"#,
@@ -230,14 +233,14 @@
             spread: spec.spread && !spec.one_zone && spec.zone.is_none(),
             ..spec
         },
-        after: Vec::new(),
-        late: false,
-        next: arrives,
-        came: arrives,
-        abort_at: aborts.then_some(arrives + after),
+        waits_for: Vec::new(),
+        waits_for_end: false,
+        next_request_at: arrives,
+        submit_at: arrives,
+        cancel_at: aborts.then_some(arrives + after),
         accepted: false,
         ended: false,
-        waiting: None,
+        answer_due: None,
     }
 }
 
@@ -279,9 +282,9 @@
                 let mut user = draw_user(&mut rng, users.len(), busy, 1);
                 let cancels = rng.f64() < 0.06;
                 let after = S * rng.u32(1..60);
-                user.abort_at = cancels.then_some(begins + after);
-                user.next = begins;
-                user.late = stage == 3 && rng.f64() < 0.3;
+                user.cancel_at = cancels.then_some(begins + after);
+                user.next_request_at = begins;
+                user.waits_for_end = stage == 3 && rng.f64() < 0.3;
                 user.spec.shape = Shape::Array;
                 user.spec.team = team.into();
                 user.spec.estimate_s = rng.f64() * 8.0 + 1.0;
@@ -291,7 +294,7 @@
                 };
                 user.spec.deadline_s = (stage == 3).then_some(60.0);
                 user.spec.awaits = before.iter().map(|i| users[*i].spec.id.clone()).collect();
-                user.after = before.clone();
+                user.waits_for = before.clone();
                 now.push(users.len());
                 users.push(user);
             }
