--- a/crates/testkit/src/world/follow_ups.rs
+++ b/crates/testkit/src/world/follow_ups.rs
@@ -84,13 +84,13 @@
                 (Method::Get, format!("/work/{job}"), Vec::new())
             }
         };
-        let asker = Requester::FollowUp {
+        let requester = Requester::FollowUp {
             job,
             what,
             asked: now,
         };
         let conn = self.new_id();
-        self.send_request(node, conn, asker, method, path, body);
+        self.send_request(node, conn, requester, method, path, body);
     }
 
     /// An answer leaves for a user who looks closely.
--- a/crates/testkit/src/world/unusual_requests.rs
+++ b/crates/testkit/src/world/unusual_requests.rs
@@ -64,8 +64,8 @@
             if self.nodes[node].controller.is_none() {
                 continue;
             }
-            let asker = Requester::InvalidSubmission { job, defect };
-            self.send_request(node, conn, asker, Method::Post, "/work".into(), body);
+            let requester = Requester::InvalidSubmission { job, defect };
+            self.send_request(node, conn, requester, Method::Post, "/work".into(), body);
         }
     }
 
