--- a/crates/soak/src/cloud.rs
+++ b/crates/soak/src/cloud.rs
@@ -4,11 +4,11 @@
 
 use crate::{
     http::{HttpRequest, HttpResponse},
-    site::{Shared, to_call},
+    site::{SharedSite, to_call},
 };
 
 /// Handles a request to the cloud, and removes the machines that it ends.
-pub fn handle_request(site: &Shared, request: HttpRequest) -> HttpResponse {
+pub fn handle_request(site: &SharedSite, request: HttpRequest) -> HttpResponse {
     let mut site = site.borrow_mut();
     site.advance();
     let now = site.now();
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -135,7 +135,11 @@
 }
 
 /// Draws faults until `end`. Partitions are drawn by `draw_handovers`.
-pub fn draw(rng: &mut fastrand::Rng, controllers: usize, end: Duration) -> Vec<ScheduledFault> {
+pub fn draw_faults(
+    rng: &mut fastrand::Rng,
+    controllers: usize,
+    end: Duration,
+) -> Vec<ScheduledFault> {
     let end_ms = end.as_millis() as u64;
     let mut faults = Vec::new();
     let mut at = 8000 + rng.u64(FAULT_GAP_MS);
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -35,7 +35,7 @@
 }
 
 /// Serves a free port of an address for as long as the executor runs, and returns its
-/// socket address. If `answer` gives `None`, the connection is closed without a response.
+/// socket address. If `handler` returns `None`, the connection is closed without a response.
 ///
 /// # Errors
 ///
@@ -43,14 +43,14 @@
 pub fn serve<F>(
     executor: &Rc<LocalExecutor<'static>>,
     address: Ipv4Addr,
-    answer: impl Fn(HttpRequest) -> F + 'static,
+    handler: impl Fn(HttpRequest) -> F + 'static,
 ) -> io::Result<SocketAddrV4>
 where
     F: Future<Output = Option<HttpResponse>> + 'static,
 {
     let listener = Async::<TcpListener>::bind(SocketAddrV4::new(address, 0))?;
     let port = listener.get_ref().local_addr()?.port();
-    let answer = Rc::new(answer);
+    let handler = Rc::new(handler);
     let spawner = executor.clone();
     let accept_loop = async move {
         loop {
@@ -58,8 +58,8 @@
                 Timer::after(Duration::from_millis(50)).await;
                 continue;
             };
-            let answer = answer.clone();
-            spawner.spawn(serve_connection(stream, answer)).detach();
+            let handler = handler.clone();
+            spawner.spawn(serve_connection(stream, handler)).detach();
         }
     };
     executor.spawn(accept_loop).detach();
@@ -68,19 +68,19 @@
 
 async fn serve_connection<F>(
     stream: Async<TcpStream>,
-    answer: Rc<impl Fn(HttpRequest) -> F + 'static>,
+    handler: Rc<impl Fn(HttpRequest) -> F + 'static>,
 ) where
     F: Future<Output = Option<HttpResponse>> + 'static,
 {
     let _ = stream.get_ref().set_nodelay(true);
-    let endpoint = |request| respond(request, answer.clone());
+    let endpoint = |request| respond(request, handler.clone());
     // Errors are ignored: the client sees a connection that closes without a response.
     let _ = async_h1::accept(Arc::new(stream), endpoint).await;
 }
 
 async fn respond<F>(
     mut request: Request,
-    answer: Rc<impl Fn(HttpRequest) -> F + 'static>,
+    handler: Rc<impl Fn(HttpRequest) -> F + 'static>,
 ) -> http_types::Result<Response>
 where
     F: Future<Output = Option<HttpResponse>> + 'static,
@@ -101,7 +101,7 @@
     let received = HttpRequest { method, path, body };
     let no_answer =
         || http_types::Error::from_str(StatusCode::RequestTimeout, "the handler gave no response");
-    let reply = answer(received).await.ok_or_else(no_answer)?;
+    let reply = handler(received).await.ok_or_else(no_answer)?;
     let mut response = Response::new(StatusCode::try_from(reply.status)?);
     response.set_body(reply.body);
     Ok(response)
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -78,7 +78,7 @@
         let rule_violations: Vec<_> = self
             .rule_violations
             .iter()
-            .map(|b| b.rule.as_str())
+            .map(|v| v.rule.as_str())
             .collect();
         format!(
             "seed {}: {verdict}: {} faults, {} jobs accepted, {} open, {} tasks started, {} done, {} lost, \
@@ -101,7 +101,7 @@
     pub fn findings(&self) -> Vec<String> {
         let rule_violations = self.rule_violations.iter().take(MAX_FINDINGS_SHOWN);
         let mut lines: Vec<_> = rule_violations
-            .map(|b| format!("  {} ms: {}: {}", b.at_ms, b.rule, b.description))
+            .map(|v| format!("  {} ms: {}: {}", v.at_ms, v.rule, v.description))
             .collect();
         let other_findings = [&self.unexpected_exits, &self.invariant_violations];
         lines.extend(other_findings.into_iter().flat_map(|all| {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -11,11 +11,11 @@
 use crate::{
     cloud,
     controllers::{Addresses, Controllers, free_ports, loopback_address},
-    faults::{Fault, ScheduledFault, draw, draw_handovers},
+    faults::{Fault, ScheduledFault, draw_faults, draw_handovers},
     http,
     options::Options,
     record::{Record, RuleViolation},
-    site::{Shared, Site, Timing},
+    site::{SharedSite, Site, Timing},
     state,
     users::Users,
     workers,
@@ -61,7 +61,7 @@
 /// The parts of a running seed.
 struct SeedRun {
     executor: Rc<LocalExecutor<'static>>,
-    site: Shared,
+    site: SharedSite,
     users: Rc<Users>,
     addresses: Rc<Addresses>,
     controllers: Controllers,
@@ -78,7 +78,7 @@
     let fault_duration = options.fault_duration();
     let write_rps = BASE_WRITE_RPS + WRITE_RPS_PER_MACHINE * f64::from(options.machines);
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut faults = draw(&mut rng, nodes, fault_duration);
+    let mut faults = draw_faults(&mut rng, nodes, fault_duration);
     let mut second_rng = fastrand::Rng::with_seed(!seed);
     let timing = Timing::draw(&mut second_rng);
     faults.extend(draw_handovers(&mut second_rng, nodes, fault_duration));
@@ -121,21 +121,21 @@
 /// ports for the controllers.
 fn serve(
     executor: &Rc<LocalExecutor<'static>>,
-    site: &Shared,
+    site: &SharedSite,
     nodes: usize,
 ) -> io::Result<Addresses> {
     let mut state = Vec::new();
     for node in 0..nodes {
         let site = site.clone();
-        let answer = move |request| state::handle_request(site.clone(), node, request);
-        state.push(http::serve(executor, loopback_address(), answer)?);
+        let handler = move |request| state::handle_request(site.clone(), node, request);
+        state.push(http::serve(executor, loopback_address(), handler)?);
     }
     let site = site.clone();
-    let answer = move |request| {
+    let handler = move |request| {
         let response = cloud::handle_request(&site, request);
         async move { Some(response) }
     };
-    let cloud = http::serve(executor, loopback_address(), answer)?;
+    let cloud = http::serve(executor, loopback_address(), handler)?;
     let mut public = free_ports(2 * nodes)?;
     let internal = public.split_off(nodes);
     Ok(Addresses {
@@ -147,7 +147,7 @@
 }
 
 impl SeedRun {
-    /// Runs until the time `end`. Returns `false`: the run was not interrupted.
+    /// Runs until `end`, then returns `false`: the run was not interrupted.
     async fn run_until(&mut self, end: Duration) -> Result<bool, RunError> {
         let mut started_faults = 0;
         loop {
@@ -175,10 +175,11 @@
     fn start_workers(&self) -> Result<(), RunError> {
         let names = self.site.borrow().machines_without_worker();
         for name in names {
-            let (site, served): (_, Rc<str>) = (self.site.clone(), Rc::from(name.as_str()));
-            let answer =
-                move |request| workers::handle_request(site.clone(), Rc::clone(&served), request);
-            let address = http::serve(&self.executor, loopback_address(), answer);
+            let (site, worker_name): (_, Rc<str>) = (self.site.clone(), Rc::from(name.as_str()));
+            let handler = move |request| {
+                workers::handle_request(site.clone(), Rc::clone(&worker_name), request)
+            };
+            let address = http::serve(&self.executor, loopback_address(), handler);
             let address = address.map_err(RunError::Ports)?;
             self.site.borrow_mut().start_worker(&name, address);
         }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -74,7 +74,7 @@
 }
 
 /// The site, shared by all simulated services, workers and users.
-pub type Shared = Rc<RefCell<Site>>;
+pub type SharedSite = Rc<RefCell<Site>>;
 
 /// A machine that is up.
 #[derive(Debug)]
@@ -87,7 +87,7 @@
 
 /// Simulated state service, cloud and machines, with the faults that affect them.
 pub struct Site {
-    started: Instant,
+    started_at: Instant,
     /// Worker lease and cancellation settings.
     pub timing: Timing,
     /// Index of the controller that acquired a block, by the term of the block.
@@ -129,7 +129,7 @@
         });
         state.retain_changes(rng.usize(CHANGE_HISTORY_LENGTH));
         Self {
-            started: Instant::now(),
+            started_at: Instant::now(),
             state,
             cloud,
             machines: BTreeMap::new(),
@@ -145,7 +145,7 @@
 
     /// Time since the start of the seed.
     pub fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
     /// The first active fault for which `kind` returns a value: that value, and the end of the
@@ -156,8 +156,9 @@
         active_fault.find_map(|t| Some((kind(&t.fault)?, t.end())))
     }
 
-    /// Whether an active fault that affects one in N affects this case, drawn at random.
-    pub fn hits_one_in(&mut self, one_in: impl Fn(&Fault) -> Option<u32>) -> bool {
+    /// Whether this message is affected by an active fault that affects one in N, at random.
+    /// `one_in` returns N for a fault of the wanted kind.
+    pub fn is_affected(&mut self, one_in: impl Fn(&Fault) -> Option<u32>) -> bool {
         let one_in = self.active_fault(one_in);
         one_in.is_some_and(|(one_in, _)| self.rng.u32(0..one_in.max(1)) == 0)
     }
@@ -168,7 +169,7 @@
         self.active_fault(outage).is_some()
     }
 
-    /// If a machine hangs: when this ends.
+    /// The time until which a machine hangs, if it does.
     pub fn hangs_until(&self, name: &str) -> Option<Duration> {
         let until = self.active_fault(|f| match f {
             Fault::Hang { group } if is_in_group(name, *group) => Some(()),
@@ -331,7 +332,7 @@
 }
 
 /// Waits until a time since the start of the seed.
-pub async fn wait_until(site: &Shared, at: Duration) {
+pub async fn wait_until(site: &SharedSite, at: Duration) {
     let left = at.saturating_sub(site.borrow().now());
     Timer::after(left).await;
 }
--- a/crates/soak/src/state.rs
+++ b/crates/soak/src/state.rs
@@ -13,7 +13,7 @@
 use crate::{
     faults::Fault,
     http::{HttpRequest, HttpResponse},
-    site::{Shared, to_call, wait_until},
+    site::{SharedSite, to_call, wait_until},
 };
 
 /// Interval at which a watch checks for changes.
@@ -23,7 +23,7 @@
 
 /// Handles a request of a controller. `None` closes the connection without an answer.
 pub async fn handle_request(
-    site: Shared,
+    site: SharedSite,
     controller: usize,
     request: HttpRequest,
 ) -> Option<HttpResponse> {
@@ -36,7 +36,7 @@
         wait_until(&site, ends_at).await;
     }
     let late = is_write
-        && site.borrow_mut().hits_one_in(|f| match f {
+        && site.borrow_mut().is_affected(|f| match f {
             Fault::LateWrites { one_in } => Some(*one_in),
             _ => None,
         });
@@ -47,7 +47,7 @@
         delay_if_slow(&site).await;
     }
     let response = execute(&site, controller, request).await;
-    let lost = site.borrow_mut().hits_one_in(|f| match f {
+    let lost = site.borrow_mut().is_affected(|f| match f {
         Fault::StateAnswersLost { one_in } => Some(*one_in),
         _ => None,
     });
@@ -58,9 +58,9 @@
     Some(response)
 }
 
-/// Sleeps while `Fault::SlowState` is active, for up to half of its maximum delay. Called
-/// before and after a request is executed.
-async fn delay_if_slow(site: &Shared) {
+/// If `Fault::SlowState` is active, sleeps for a random time of up to half its maximum delay.
+/// Called before and after a request is executed.
+async fn delay_if_slow(site: &SharedSite) {
     let slow = site.borrow().active_fault(|f| match f {
         Fault::SlowState { max_delay_ms } => Some(*max_delay_ms),
         _ => None,
@@ -71,7 +71,7 @@
     }
 }
 
-fn is_refused(site: &Shared, controller: usize) -> bool {
+fn is_refused(site: &SharedSite, controller: usize) -> bool {
     let site = site.borrow();
     let refused = site.active_fault(|f| match f {
         Fault::RefuseState { controller: c } if *c == controller => Some(()),
@@ -80,7 +80,7 @@
     refused.is_some() || site.is_state_out()
 }
 
-async fn execute(site: &Shared, controller: usize, request: HttpRequest) -> HttpResponse {
+async fn execute(site: &SharedSite, controller: usize, request: HttpRequest) -> HttpResponse {
     if is_refused(site, controller) {
         return HttpResponse {
             status: 503,
@@ -111,7 +111,12 @@
 
 /// Waits for changes after a revision, for at most `block`. While the controller is refused,
 /// its watches keep waiting even if there are changes or the time is up.
-async fn watch(site: &Shared, controller: usize, after: u64, block: Duration) -> (u16, Vec<u8>) {
+async fn watch(
+    site: &SharedSite,
+    controller: usize,
+    after: u64,
+    block: Duration,
+) -> (u16, Vec<u8>) {
     let ends_at = site.borrow().now() + block;
     loop {
         Timer::after(WATCH_POLL_INTERVAL).await;
--- a/crates/soak/src/workers.rs
+++ b/crates/soak/src/workers.rs
@@ -14,7 +14,7 @@
     controllers::Addresses,
     faults::Fault,
     http::{HttpRequest, HttpResponse, send_with_timeout},
-    site::{Shared, controller_request, wait_until},
+    site::{SharedSite, controller_request, wait_until},
 };
 
 /// Mean time between two reports; each interval varies by up to a quarter.
@@ -29,7 +29,7 @@
 /// Handles a request to a worker: direct orders, or `/inspect`, which is answered with the
 /// worker's next report. `None` closes the connection without an answer.
 pub async fn handle_request(
-    site: Shared,
+    site: SharedSite,
     name: Rc<str>,
     request: HttpRequest,
 ) -> Option<HttpResponse> {
@@ -51,7 +51,7 @@
             body: encode(&report),
         });
     }
-    let late = site.borrow_mut().hits_one_in(|f| match f {
+    let late = site.borrow_mut().is_affected(|f| match f {
         Fault::LateOrders { one_in } => Some(*one_in),
         _ => None,
     });
@@ -63,7 +63,7 @@
     response.filter(|_| !late)
 }
 
-fn execute(site: &Shared, name: &str, body: &[u8]) -> Option<HttpResponse> {
+fn execute(site: &SharedSite, name: &str, body: &[u8]) -> Option<HttpResponse> {
     let mut site = site.borrow_mut();
     site.advance();
     let Ok(orders) = decode::<DirectOrders>(body) else {
@@ -85,7 +85,7 @@
 /// Sends the reports that are due.
 pub fn send_due_reports(
     executor: &Rc<LocalExecutor<'static>>,
-    site: &Shared,
+    site: &SharedSite,
     addresses: &Rc<Addresses>,
 ) {
     let now = site.borrow().now();
@@ -106,7 +106,7 @@
 }
 
 async fn send_report(
-    site: Shared,
+    site: SharedSite,
     name: String,
     addresses: Rc<Addresses>,
     executor: Rc<LocalExecutor<'static>>,
@@ -114,7 +114,7 @@
     let Some((target, session, sent, request)) = begin_report(&site, &name) else {
         return;
     };
-    let copied = site.borrow_mut().hits_one_in(|f| match f {
+    let copied = site.borrow_mut().is_affected(|f| match f {
         Fault::LateReports { one_in } => Some(*one_in),
         _ => None,
     });
@@ -139,15 +139,15 @@
     if let Some(hang_end) = hangs {
         wait_until(&site, hang_end).await;
     }
-    let lost_now =
+    let answer_lost =
         site.borrow().loses_answers(&name) || site.borrow().is_partitioned(target, &name);
-    let response = response.filter(|_| !lost_now);
+    let response = response.filter(|_| !answer_lost);
     handle_report_response(&site, &name, session, sent, response, &addresses);
 }
 
 /// Builds a report. Returns the index of the controller that it goes to, the worker's session,
 /// the time of sending, and the request.
-fn begin_report(site: &Shared, name: &str) -> Option<(usize, u64, Duration, HttpRequest)> {
+fn begin_report(site: &SharedSite, name: &str) -> Option<(usize, u64, Duration, HttpRequest)> {
     let mut site = site.borrow_mut();
     site.advance();
     let now = site.now();
@@ -161,7 +161,7 @@
 }
 
 fn handle_report_response(
-    site: &Shared,
+    site: &SharedSite,
     name: &str,
     session: u64,
     sent: Duration,
@@ -171,7 +171,7 @@
     let mut site = site.borrow_mut();
     site.advance();
     let now = site.now();
-    let soon = Duration::from_millis(site.rng.u64(0..500));
+    let redirect_delay = Duration::from_millis(site.rng.u64(0..500));
     let site = &mut *site;
     let Some(machine) = site.machines.get_mut(name) else {
         return;
@@ -193,7 +193,7 @@
             match target.filter(|n| *n != worker.target) {
                 Some(target) => {
                     worker.target = target;
-                    worker.report_at = now + soon;
+                    worker.report_at = now + redirect_delay;
                 }
                 None => target_next_controller(worker, now, addresses),
             }
