--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -1,4 +1,4 @@
-//! What has to hold once all troubles of a day are over.
+//! Progress checks that apply once all faults of a run have ended.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,32 +10,34 @@
 use super::World;
 use crate::{evidence::Cancelled, rules::RuleViolation, worker::Worker};
 
-/// After so long without an answer to any question about it a job counts as
-/// forgotten, and after so long beside room for it as left waiting, once troubles
-/// are over.
+/// A job without an answer to any request about it for this long counts as forgotten,
+/// once all faults have ended.
 const UNANSWERED_LIMIT: Duration = Duration::from_secs(75);
+/// A job without progress for this long, although a machine has capacity for it, counts
+/// as left waiting, once all faults have ended.
 const WAITING_LIMIT: Duration = Duration::from_secs(90);
-/// Seconds until an end is known to whoever decides: a report, then a write that
-/// waits while others press. A team that was at its limit within them is not under
-/// it: the next of its jobs in order is about to take what has got free.
+/// Seconds until the end of a task is known to the leader: a report, then a write that
+/// may be delayed by other writes. A team that was at its limit within this window does
+/// not count as under it, because the next of its jobs in order is about to take the
+/// freed share.
 const USAGE_WINDOW_SECONDS: usize = 12;
 
-/// A job beside which there is room.
+/// A job without progress although a machine has capacity for it.
 #[derive(Clone, Debug)]
 pub(super) struct WaitingJob {
     since: Duration,
-    /// How much of it was started or done by then.
+    /// Number of its tasks that were running or done at `since`.
     progress: u32,
 }
 
-/// When the jobs of users were heard of, and what waits beside room.
+/// When users last received an answer about each job.
 pub(super) type LastAnswers = BTreeMap<JobId, Duration>;
 pub(super) type WaitingJobs = BTreeMap<JobId, WaitingJob>;
-/// What each team's tasks take.
+/// Processors that the tasks of each team use.
 pub(super) type TeamUsage = BTreeMap<String, f64>;
 
 impl World {
-    /// A user has been told of a job's phase by a controller.
+    /// Records that a controller has reported the phase of a job to a user.
     pub(super) fn record_answer(&mut self, job: &JobId, cancelled: bool, by: usize) {
         let now = self.now;
         if cancelled && !self.evidence.cancelled.iter().any(|c| c.job == *job) {
@@ -57,7 +59,8 @@
         }
     }
 
-    /// What has to hold once troubles are over, looked at each second.
+    /// Checks once a second that requests are answered and that jobs make progress,
+    /// after all faults have ended.
     pub(super) fn check_progress(&mut self) {
         if self.now < self.faults_end {
             return;
@@ -81,7 +84,7 @@
         let unanswered: Vec<_> = unanswered.map(|u| u.spec.id.clone()).collect();
         for job in unanswered {
             self.last_answers.insert(job.clone(), now);
-            let what = format!("{job}: no question about it was answered");
+            let what = format!("{job}: no request about it was answered in time");
             self.rules.report(now, RuleViolation::Forgotten, what);
         }
         let waiting: Vec<_> = self
@@ -102,7 +105,9 @@
             let waits = before.remove(&job);
             let waits = waits.filter(|w| w.progress == progress).unwrap_or(fresh);
             if now > waits.since + WAITING_LIMIT {
-                let what = format!("{job}: {progress} on machines or done, {machine} has room");
+                let what = format!(
+                    "{job}: stays at {progress} tasks running or done, {machine} has capacity"
+                );
                 self.rules.report(now, RuleViolation::LeftWaiting, what);
                 continue;
             }
@@ -110,8 +115,8 @@
         }
     }
 
-    /// A machine on which some task of a job that is on none would fit, with its team
-    /// under its limit.
+    /// Returns a machine that could run one more task of the job with its team under
+    /// its limit. None for gangs and for jobs whose tasks are all running or done.
     pub(super) fn machine_with_room(&self, spec: &JobSpec) -> Option<String> {
         let zones = self.rules.tasks_by_zone(&spec.id);
         let on: u32 = zones.values().sum();
--- a/crates/testkit/src/world/outcome.rs
+++ b/crates/testkit/src/world/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a simulated day.
+//! The outcome of a simulated run.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,59 +14,61 @@
     evidence::Evidence, net::ConnectionCounts, rules::RuleViolation, upper_bound::JobCounts,
 };
 
-/// What came of a day.
+/// The outcome of a simulated run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Broken rules.
+    /// Violations of the protocol's rules.
     pub violations: Vec<(Duration, RuleViolation, String)>,
-    /// Accepted jobs that should have ended and did not.
+    /// Accepted jobs of whose end no user was informed; services are left out.
     pub open: Vec<JobId>,
     /// Tasks that ended with their machine or with the lease of their worker.
     pub lost: usize,
-    /// Tasks started.
+    /// Number of tasks started.
     pub started: u64,
-    /// Which, and when.
+    /// Each task start with its time.
     pub starts: Vec<(Duration, TaskId)>,
     /// All jobs that were submitted.
     pub jobs: BTreeMap<JobId, JobSpec>,
-    /// Jobs accepted, however they ended.
+    /// Number of accepted jobs, however they ended.
     pub accepted: usize,
-    /// The longest that a worker waited for an answer to a report.
+    /// Longest time from a report of a worker to its answer.
     pub slowest_report_answer: Duration,
-    /// What the controllers asked of the outside.
+    /// Calls of the controllers to the state service, peers and workers.
     pub load: Load,
-    /// Transactions that the state service refused for their size, and as too
-    /// many.
+    /// Transactions that the state service refused for their size, and for exceeding
+    /// its rate limit.
     pub refused_writes: (usize, usize),
-    /// Jobs that were refused when they were submitted.
+    /// Jobs that were refused permanently at submission.
     pub refused_jobs: BTreeSet<JobId>,
-    /// What came of connections.
+    /// Statistics of connections.
     pub sockets: ConnectionCounts,
-    /// When each job that is done had its last task done.
+    /// When the last task of each completed job was done.
     pub ended: BTreeMap<JobId, Duration>,
-    /// How often submissions were refused for what is open already.
+    /// Number of refusals with a retry delay of more than 1 s, which submissions get
+    /// when too much work is open.
     pub admission_refusals: usize,
-    /// How often users were told to come again, for whatever reason.
+    /// Number of answers to users that were neither a success nor a permanent refusal.
     pub temporary_refusals: usize,
-    /// Jobs that their users asked to cancel.
+    /// Jobs whose users requested their cancellation.
     pub cancelled: BTreeSet<JobId>,
-    /// When each user came first.
+    /// When each user first submits its job.
     pub submitted_at: BTreeMap<JobId, Duration>,
-    /// What machines of each size had in processors at most: of each, of all.
+    /// Highest total of processors that the running machines of each size had at one
+    /// time, by processors of one machine.
     pub max_cpus_by_machine_size: BTreeMap<u32, f64>,
-    /// What really came about.
+    /// Evidence that the scripted situations occurred.
     pub evidence: Evidence,
-    /// Tasks started after their user was told that the job is cancelled.
+    /// Number of tasks started after a user was informed that the job is cancelled.
     pub late_starts: usize,
     /// When a team was within one task of its limit.
     pub at_limit: Vec<(Duration, String)>,
-    /// When each task that is done was.
+    /// Each task completion with its time.
     pub ends: Vec<(Duration, TaskId)>,
 }
 
 impl Outcome {
-    /// The longest that a job which was not called off had to wait until its first
-    /// task started, and which one it was.
+    /// Longest time from the submission of a job to the start of its first task, and
+    /// that job. Jobs whose cancellation was requested are left out.
     pub fn longest_start_delay(&self) -> Option<(Duration, JobId)> {
         let mut first: BTreeMap<&JobId, Duration> = BTreeMap::new();
         for (at, task) in &self.starts {
@@ -82,9 +84,10 @@
         waits.max()
     }
 
-    /// What was served until `end`, by class and by `team NAME`: services not
-    /// among it, as they don't end, and neither what was cancelled.
-    pub fn served(
+    /// Counts submitted jobs, jobs completed by `end` and jobs completed in time, by
+    /// class and by `team NAME`. Services, which don't end, and jobs whose cancellation
+    /// was requested are left out.
+    pub fn job_counts(
         &self,
         end: Duration,
         due: impl Fn(&JobSpec) -> Duration,
@@ -106,15 +109,15 @@
     }
 }
 
-/// Counts of what the controllers send.
+/// Counts of the calls that the controllers send.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// Requests to the state service, by second.
+    /// Calls to the state service, by second.
     pub requests: BTreeMap<u64, usize>,
     /// Changes in transactions, by second.
     pub writes: BTreeMap<u64, usize>,
-    /// Bytes told to peers.
+    /// Bytes of the bodies of calls to peers.
     pub peer_bytes: usize,
-    /// Direct orders to workers.
+    /// Calls to workers: direct orders and inspections.
     pub orders: usize,
 }
