--- a/crates/xtask/src/regress.rs
+++ b/crates/xtask/src/regress.rs
@@ -1,4 +1,5 @@
-//! Regression: the operators' sites, scored and compared with references.
+//! Regression check: scores the operators' sites with their bench and compares the scores
+//! with reference scores.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,11 +12,12 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::journal::{self, BadJournal, Entry};
+use crate::journal::{self, Entry, JournalError};
 
-/// A fall by more than this is one; less is scatter, as the operators say.
-const NOISE: f64 = 0.03;
-/// The sites, below the kit.
+/// A score drop of more than this is a regression. The operators state that smaller
+/// differences are noise.
+const MAX_SCORE_DROP: f64 = 0.03;
+/// Site files that are scored, relative to the kit.
 const SITES: [&str; 6] = [
     "more/atlas-herbaria-rabat-ops.toml",
     "more/gempa-nusantara-ops-ops.toml",
@@ -24,38 +26,41 @@
     "more/fleet/atlas-herbaria-rabat-fleet.toml",
     "more/fleet/gempa-nusantara-ops-fleet.toml",
 ];
-/// The sites that are hunted on, below the kit.
-const HUNTED: [&str; 2] = [
+/// Site files for `--hunt`, relative to the kit.
+const HUNT_SITES: [&str; 2] = [
     "more/hunt/atlas-herbaria-rabat-hunt.toml",
     "more/hunt/gempa-nusantara-ops-hunt.toml",
 ];
-const BENCH: &str = "more/hunt/bin/fleetbench";
+/// The bench executable, relative to the kit.
+const BENCH_PATH: &str = "more/hunt/bin/fleetbench";
 
-/// How a regression is run.
+/// Options of `cargo xtask regress`.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// Plays only the two roughest days of each site.
+    /// Runs only the two hardest days of each site.
     #[arg(long)]
     quick: bool,
-    /// Where the operators' kit is.
+    /// Folder of the operators' kit, which holds the bench and the site files.
     #[arg(long, value_name = "DIR", default_value = "../given/kit")]
     kit: PathBuf,
-    /// Only sites whose name has this in it.
+    /// Runs only the sites whose name contains this text.
     #[arg(long, value_name = "NAME")]
     only: Option<String>,
-    /// What is measured, for the journal.
+    /// Purpose of the run, recorded in the journal entries.
     #[arg(long, value_name = "TEXT", default_value = "regression")]
     why: String,
-    /// Plays nothing: judges the newest entry of each site.
+    /// Runs nothing; evaluates the newest journal entry of each site.
     #[arg(long)]
     no_run: bool,
-    /// Makes the scores the new references, if no rule was broken.
+    /// Stores the scores as the new references. Requires completed scores of a clean commit,
+    /// without broken rules or failed days.
     #[arg(long, conflicts_with = "quick")]
     accept: bool,
-    /// Hunts so many days on each of the sites with meetings of troubles afterwards.
+    /// After scoring, runs the bench's `hunt` for this many days on each hunt site, where
+    /// faults coincide.
     #[arg(long, value_name = "DAYS", conflicts_with_all = ["no_run", "accept"])]
     hunt: Option<u32>,
-    /// The references.
+    /// File that holds the reference scores.
     #[arg(
         long,
         value_name = "FILE",
@@ -64,118 +69,123 @@
     references: PathBuf,
 }
 
-/// Why there is no verdict.
+/// Error of `cargo xtask regress`.
 #[derive(Debug, Error)]
 pub enum Failure {
-    #[error("no bench at {0}: name the operators' kit with --kit")]
+    #[error("no bench executable at {0}; pass the folder of the operators' kit with --kit")]
     NoBench(String),
-    #[error("no site file {0}: the kit is not whole, or --only names no site")]
+    #[error("no site file {0}: the kit is incomplete, or --only matches no site")]
     NoSite(String),
-    #[error("the bench can't be started: {0}")]
+    #[error("the bench could not be started: {0}")]
     Start(std::io::Error),
-    #[error("the bench ended with {0} and left no entry for {1}")]
+    #[error("no matching journal entry for {1} (bench: {0})")]
     NoEntry(String, String),
-    #[error("no reference can be made of {0}: {1}")]
+    #[error("the score of {0} cannot become a reference: {1}")]
     NotAccepted(String, String),
     #[error("{0}: {1}")]
     References(String, String),
     #[error(transparent)]
-    Journal(#[from] BadJournal),
+    Journal(#[from] JournalError),
 }
 
-/// What a site has reached before.
+/// Reference score of a site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reference {
-    /// The score, between 0 and 1.
-    pub figure: f64,
-    /// The journal's entry.
+    /// Between 0 and 1.
+    #[serde(rename = "figure")]
+    pub score: f64,
+    /// Id of the journal entry that the score comes from.
     pub journal: String,
-    /// The commit that it measured.
+    /// Commit that was scored.
     pub commit: String,
 }
 
-/// The references, by site.
+/// Reference scores by site name.
 pub type References = BTreeMap<String, Reference>;
 
-/// What a site's entry says against its reference.
+/// A site's score compared with its reference: one row of the result table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     pub site: String,
-    pub figure: Option<f64>,
+    pub score: Option<f64>,
     pub reference: Option<f64>,
-    /// What speaks against a landing, in words.
-    pub against: Vec<String>,
-    pub ended: f64,
+    /// Reasons why the change must not be merged; empty if there are none.
+    pub problems: Vec<String>,
+    /// Number of processes that exited on their own.
+    pub unexpected_exits: f64,
 }
 
 impl Row {
-    /// Judges an entry.
-    pub fn judge(site: &str, entry: &Entry, reference: Option<&Reference>) -> Self {
-        let reference = reference.map(|r| r.figure);
-        let mut against: Vec<_> = entry.broken();
-        against.extend(entry.failed().iter().map(|d| format!("{d} failed")));
+    /// Compares a journal entry with the reference score.
+    pub fn compare(site: &str, entry: &Entry, reference: Option<&Reference>) -> Self {
+        let reference = reference.map(|r| r.score);
+        let mut problems: Vec<_> = entry.broken_rules();
+        problems.extend(entry.failed_days().iter().map(|d| format!("{d} failed")));
         if !entry.ok {
             let why = entry.error.as_deref().unwrap_or("no reason given");
-            against.push(format!("not ended: {why}"));
+            problems.push(format!("run incomplete: {why}"));
         }
         match (entry.score, reference) {
-            (None, _) => against.push("no score".into()),
-            // Figures have four digits; a fall of just the noise is none.
-            (Some(now), Some(then)) if then - now > NOISE + 1e-9 => against.push("fell".into()),
+            (None, _) => problems.push("no score".into()),
+            // Scores have four decimal places. The tolerance of 1e-9 keeps a drop of exactly
+            // the limit from failing because of floating-point rounding.
+            (Some(now), Some(then)) if then - now > MAX_SCORE_DROP + 1e-9 => {
+                problems.push("score dropped".into())
+            }
             _ => {}
         }
         Self {
             site: site.to_owned(),
-            figure: entry.score,
+            score: entry.score,
             reference,
-            against,
-            ended: entry.ended(),
+            problems,
+            unexpected_exits: entry.unexpected_exits(),
         }
     }
 
-    /// Whether nothing speaks against a landing.
-    pub fn is_good(&self) -> bool {
-        self.against.is_empty()
+    /// Whether there is no reason against merging.
+    pub fn passes(&self) -> bool {
+        self.problems.is_empty()
     }
 }
 
-/// What speaks against a landing in a hunt: broken rules and failed days. Its days
-/// have no reference, and a low figure of one is none of it.
-pub fn judge_hunt(entry: &Entry) -> Vec<String> {
-    let mut against = entry.broken();
-    against.extend(entry.failed().iter().map(|d| format!("{d} failed")));
+/// Reasons in a hunt's journal entry against merging: broken rules, failed days and an
+/// incomplete run. Hunt days have no reference, so a low score above 0 is not a problem.
+pub fn hunt_problems(entry: &Entry) -> Vec<String> {
+    let mut problems = entry.broken_rules();
+    problems.extend(entry.failed_days().iter().map(|d| format!("{d} failed")));
     if !entry.ok || entry.days.is_empty() {
-        let why = entry.error.as_deref().unwrap_or("no day was played");
-        against.push(format!("not ended: {why}"));
+        let why = entry.error.as_deref().unwrap_or("no day was run");
+        problems.push(format!("run incomplete: {why}"));
     }
-    against
+    problems
 }
 
-/// The verdict as a table.
+/// Formats the results as a table.
 pub fn table(rows: &[Row]) -> String {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
     table.set_header([
         "site",
-        "figure",
+        "score",
         "reference",
         "difference",
-        "ended",
+        "exits",
         "verdict",
     ]);
     for row in rows {
         let number = |n: Option<f64>| n.map_or("-".to_owned(), |n| format!("{n:.3}"));
-        let difference = row.figure.zip(row.reference);
+        let difference = row.score.zip(row.reference);
         table.add_row([
             row.site.clone(),
-            number(row.figure),
+            number(row.score),
             number(row.reference),
             difference.map_or("-".to_owned(), |(now, then)| format!("{:+.3}", now - then)),
-            row.ended.to_string(),
-            if row.is_good() {
+            row.unexpected_exits.to_string(),
+            if row.passes() {
                 "good".to_owned()
             } else {
-                row.against.join(", ")
+                row.problems.join(", ")
             },
         ]);
     }
@@ -187,10 +197,11 @@
     table.to_string()
 }
 
-/// New references out of full scores; what was not played stays. Where a commit
-/// was scored several times, `all` having these scores, the mean counts: a
-/// lucky score as the reference makes each later one look like a fall.
-pub fn accept(
+/// Returns `old` with the scores of `entries` as new references; sites without an entry keep
+/// theirs. If `all` holds several full scores of the same site and commit, the reference is
+/// their mean: a reference from one unusually high score makes later scores look like
+/// regressions.
+pub fn updated_references(
     old: &References,
     entries: &[(String, Entry)],
     all: &[Entry],
@@ -198,23 +209,23 @@
     let mut new = old.clone();
     for (site, entry) in entries {
         let refuse = |why: &str| Err(Failure::NotAccepted(site.clone(), why.to_owned()));
-        if !entry.broken().is_empty() || !entry.failed().is_empty() {
+        if !entry.broken_rules().is_empty() || !entry.failed_days().is_empty() {
             return refuse("a rule was broken or a day failed");
         }
-        let (true, Some(figure), Some(commit)) = (entry.is_reference(), entry.score, &entry.head)
+        let (true, Some(score), Some(commit)) = (entry.is_reference(), entry.score, &entry.head)
         else {
-            return refuse("it takes a full score of committed sources that came to its end");
+            return refuse("a reference needs a completed full score of a clean commit");
         };
         let same = |e: &&Entry| {
             e.is_reference() && e.site.as_ref() == Some(site) && e.head.as_ref() == Some(commit)
         };
         let scores: Vec<f64> = all.iter().filter(same).filter_map(|e| e.score).collect();
-        let figure = match scores.len() {
-            0 => figure,
+        let score = match scores.len() {
+            0 => score,
             n => scores.iter().sum::<f64>() / n as f64,
         };
         let reference = Reference {
-            figure: (figure * 1e4).round() / 1e4,
+            score: (score * 1e4).round() / 1e4,
             journal: entry.id.clone(),
             commit: commit.clone(),
         };
@@ -238,15 +249,20 @@
     std::fs::write(path, text).map_err(|e| bad(e.to_string()))
 }
 
-fn name_of(file: &str) -> String {
+fn site_name(file: &str) -> String {
     let stem = Path::new(file).file_stem().unwrap_or_default();
     stem.to_string_lossy().into_owned()
 }
 
-/// The site files that are meant.
-fn sites(kit: &Path, all: &[&str], only: Option<&str>) -> Result<Vec<PathBuf>, Failure> {
-    let meant = |file: &&&str| only.is_none_or(|only| name_of(file).contains(only));
-    let files: Vec<_> = all.iter().filter(meant).map(|f| kit.join(f)).collect();
+/// Paths of the files in `all` whose site name contains `only`; all files without `only`.
+/// Fails if one of them is missing or none matches.
+fn site_files(kit: &Path, all: &[&str], only: Option<&str>) -> Result<Vec<PathBuf>, Failure> {
+    let is_selected = |file: &&&str| only.is_none_or(|only| site_name(file).contains(only));
+    let files: Vec<_> = all
+        .iter()
+        .filter(is_selected)
+        .map(|f| kit.join(f))
+        .collect();
     let missing = files.iter().find(|f| !f.is_file());
     if let Some(missing) = missing {
         return Err(Failure::NoSite(missing.display().to_string()));
@@ -257,18 +273,18 @@
     Ok(files)
 }
 
-/// Runs a regression. False if something speaks against a landing.
+/// Runs the regression check. Returns false if there is a reason against merging.
 pub fn run(root: &Path, options: &Options) -> Result<bool, Failure> {
     let kit = root.join(&options.kit);
-    let bench = kit.join(BENCH);
+    let bench = kit.join(BENCH_PATH);
     if !bench.is_file() {
         return Err(Failure::NoBench(bench.display().to_string()));
     }
-    let hunted = match options.hunt {
-        Some(_) => sites(&kit, &HUNTED, None)?,
+    let hunt_files = match options.hunt {
+        Some(_) => site_files(&kit, &HUNT_SITES, None)?,
         None => Vec::new(),
     };
-    let sites = sites(&kit, &SITES, options.only.as_deref())?;
+    let site_files = site_files(&kit, &SITES, options.only.as_deref())?;
     let references_file = root.join(&options.references);
     let references = load(&references_file)?;
     let journal = root.join("journal");
@@ -277,17 +293,17 @@
     } else {
         journal::files(&journal)?.into_iter().collect()
     };
-    let mut ended = "nothing played".to_owned();
+    let mut status = "not run".to_owned();
     if !options.no_run {
         let mut command = Command::new(&bench);
-        command.current_dir(root).arg("score").args(&sites);
+        command.current_dir(root).arg("score").args(&site_files);
         if options.quick {
             command.arg("--quick");
         }
         command.args(["--why", &options.why]);
-        ended = command.status().map_err(Failure::Start)?.to_string();
+        status = command.status().map_err(Failure::Start)?.to_string();
     }
-    // Of each site the newest entry of the kind that was asked for.
+    // The newest entry of each site, quick or full as requested.
     let mut newest = BTreeMap::new();
     let mut all = Vec::new();
     for path in journal::files(&journal)? {
@@ -309,42 +325,46 @@
             newest.insert(site, entry);
         }
     }
-    let mut played = Vec::new();
-    for site in &sites {
-        let name = name_of(&site.to_string_lossy());
+    let mut scored = Vec::new();
+    for site in &site_files {
+        let name = site_name(&site.to_string_lossy());
         let Some(entry) = newest.remove(&name) else {
-            return Err(Failure::NoEntry(ended, name));
+            return Err(Failure::NoEntry(status, name));
         };
-        played.push((name, entry));
+        scored.push((name, entry));
     }
-    let judge = |(name, entry): &(String, Entry)| Row::judge(name, entry, references.get(name));
-    let rows: Vec<_> = played.iter().map(judge).collect();
+    let compare = |(name, entry): &(String, Entry)| Row::compare(name, entry, references.get(name));
+    let rows: Vec<_> = scored.iter().map(compare).collect();
     println!("{}", table(&rows));
     if options.accept {
-        save(&references_file, &accept(&references, &played, &all)?)?;
-        println!("these are the references from now on");
+        save(
+            &references_file,
+            &updated_references(&references, &scored, &all)?,
+        )?;
+        println!("scores stored as new references");
         return Ok(true);
     }
-    let mut good = rows.iter().all(Row::is_good);
+    let mut good = rows.iter().all(Row::passes);
     if let Some(days) = options.hunt {
-        for site in hunted {
+        for site in hunt_files {
             good &= hunt(root, &bench, &site, days, &options.why)?;
         }
     }
     Ok(good)
 }
 
-/// Hunts on a site. False if a rule was broken or a day failed.
+/// Runs the bench's `hunt` on a site. Returns false if a rule was broken, a day failed or the
+/// run is incomplete.
 fn hunt(root: &Path, bench: &Path, site: &Path, days: u32, why: &str) -> Result<bool, Failure> {
     let journal = root.join("journal");
     let before: BTreeSet<_> = journal::files(&journal)?.into_iter().collect();
     let mut command = Command::new(bench);
     command.current_dir(root).arg("hunt").arg(site);
     command.args(["--days", &days.to_string(), "--why", why]);
-    let ended = command.status().map_err(Failure::Start)?.to_string();
+    let status = command.status().map_err(Failure::Start)?.to_string();
     let new = journal::files(&journal)?;
     let new = new.into_iter().filter(|path| !before.contains(path));
-    let name = name_of(&site.to_string_lossy());
+    let name = site_name(&site.to_string_lossy());
     let mut found = None;
     for path in new {
         let entry = journal::read(&path)?;
@@ -352,14 +372,14 @@
             found = Some(entry);
         }
     }
-    let entry = found.ok_or_else(|| Failure::NoEntry(ended, name.clone()))?;
-    let against = judge_hunt(&entry);
-    let verdict = match against.is_empty() {
+    let entry = found.ok_or_else(|| Failure::NoEntry(status, name.clone()))?;
+    let problems = hunt_problems(&entry);
+    let verdict = match problems.is_empty() {
         true => "good".to_owned(),
-        false => against.join(", "),
+        false => problems.join(", "),
     };
-    println!("{name}: {} days hunted: {verdict}", entry.days.len());
-    Ok(against.is_empty())
+    println!("{name}: {} hunt days: {verdict}", entry.days.len());
+    Ok(problems.is_empty())
 }
 
 #[cfg(test)]
